--- a/bluebellport/door/attempt.go
+++ b/bluebellport/door/attempt.go
@@ -59,8 +59,8 @@
 		_ = c.Close()
 		return ending{kind: endGone}
 	}
-	s.Known.Begin()
-	defer s.Known.End()
+	s.State.Begin()
+	defer s.State.End()
 	if x.sends++; x.sends == 1 {
 		x.door.tally.sent(x.q.At)
 	}
@@ -110,7 +110,7 @@
 // awaitAnswer reads the head of the request's answer, past whole answers that
 // belong to others.
 func (x *exchange) awaitAnswer(c *targetConn) (*Answer, error) {
-	if x.route.Repeat() && x.sends < x.route.Attempts {
+	if x.route.Repeatable() && x.sends < x.route.MaxAttempts {
 		_ = c.SetReadDeadline(earlier(x.end, time.Now().Add(x.patience())))
 	}
 	for range maxForeign {
@@ -134,7 +134,7 @@
 // patience is how long a request that may be repeated waits for the head of an
 // answer before it is sent elsewhere.
 func (x *exchange) patience() time.Duration {
-	return max(patienceAims*x.route.Aim, leastPatience)
+	return max(patienceAims*x.route.LatencyObjective, leastPatience)
 }
 
 // take passes an answer on, if it is one.
@@ -171,7 +171,7 @@
 	if x.stream.begun {
 		return out
 	}
-	if a.Status >= 500 && x.route.Repeat() && x.sends < x.route.Attempts {
+	if a.Status >= 500 && x.route.Repeatable() && x.sends < x.route.MaxAttempts {
 		return out
 	}
 	switch a.Status {
--- a/bluebellport/door/caller.go
+++ b/bluebellport/door/caller.go
@@ -27,12 +27,12 @@
 
 // limits returns the limits in force.
 func (c *caller) limits() bbplan.Limits {
-	l := bbplan.Limits{Header: maxHead, Body: maxBody, HeaderTime: headTime, Idle: idleTime}
+	l := bbplan.Limits{MaxHeaderBytes: maxHead, MaxBodyBytes: maxBody, HeaderTimeout: headTime, IdleTimeout: idleTime}
 	plan := c.door.board.Plan.Load()
 	if plan == nil {
 		return l
 	}
-	if p := plan.Limits; p.Header > 0 && p.Body > 0 && p.HeaderTime > 0 && p.Idle > 0 {
+	if p := plan.Limits; p.MaxHeaderBytes > 0 && p.MaxBodyBytes > 0 && p.HeaderTimeout > 0 && p.IdleTimeout > 0 {
 		return p
 	}
 	return l
@@ -53,7 +53,7 @@
 // awaitRequest waits for the first byte of a request.
 func (c *caller) awaitRequest() bool {
 	c.idle.Store(true)
-	_ = c.SetReadDeadline(time.Now().Add(c.limits().Idle))
+	_ = c.SetReadDeadline(time.Now().Add(c.limits().IdleTimeout))
 	if c.door.closing.Load() {
 		_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	}
@@ -64,8 +64,8 @@
 // one reads and answers one request. It tells whether the connection stays.
 func (c *caller) one() bool {
 	l := c.limits()
-	_ = c.SetReadDeadline(time.Now().Add(l.HeaderTime))
-	q, frame, err := readRequest(c.br, l.Header)
+	_ = c.SetReadDeadline(time.Now().Add(l.HeaderTimeout))
+	q, frame, err := readRequest(c.br, l.MaxHeaderBytes)
 	if err != nil {
 		return c.refuseHead(q, err)
 	}
@@ -74,8 +74,8 @@
 			return false
 		}
 	}
-	_ = c.SetReadDeadline(time.Now().Add(max(l.HeaderTime, q.Wait)))
-	if q.Body, err = requestBody(c.br, frame).all(l.Body); err != nil {
+	_ = c.SetReadDeadline(time.Now().Add(max(l.HeaderTimeout, q.Wait)))
+	if q.Body, err = requestBody(c.br, frame).all(l.MaxBodyBytes); err != nil {
 		return c.refuseHead(q, err)
 	}
 	q.At = time.Now()
@@ -104,7 +104,7 @@
 		return false
 	}
 	c.idle.Store(true)
-	_ = c.SetReadDeadline(time.Now().Add(c.limits().Idle))
+	_ = c.SetReadDeadline(time.Now().Add(c.limits().IdleTimeout))
 	<-watched
 	select {
 	case <-gone:
--- a/bluebellport/door/core.go
+++ b/bluebellport/door/core.go
@@ -64,7 +64,7 @@
 	}
 	store, closeStore := bbplatform.NewStore(set.Store)
 	defer closeStore()
-	d.money = newMoney(store, d.board, log, d.now, bbshare.NewHolder(set.Instance, bbunit.InstanceID(set.Peers), newLife()))
+	d.money = newMoney(store, d.board, log, d.now, bbshare.NewHolderID(set.Instance, bbunit.InstanceID(set.Peers), newLife()))
 
 	back, stop := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
--- a/bluebellport/door/exchange.go
+++ b/bluebellport/door/exchange.go
@@ -30,7 +30,7 @@
 	end     time.Time // when the answer is of no more use
 	print   uint64
 
-	purse    *bbshare.Purse
+	purse    *bbshare.Balance
 	reserved bbunit.Tokens
 	stride   bbunit.Tokens
 
@@ -63,11 +63,11 @@
 	if x.plan == nil || x.door.board.Groups.Load() == nil {
 		return notRun("nothing is in force here yet", comeBack)
 	}
-	if x.route = x.plan.Route(x.q.Host, x.q.Path()); x.route == nil {
+	if x.route = x.plan.FindRoute(x.q.Host, x.q.Path()); x.route == nil {
 		return &Refusal{Status: http.StatusNotFound, Reason: "no such route"}
 	}
-	if x.plan.Locked && !x.route.Open {
-		if x.account = x.plan.Key(x.q.Key); x.account == nil {
+	if x.plan.KeyRequired && !x.route.Public {
+		if x.account = x.plan.AccountByKey(x.q.Key); x.account == nil {
 			return &Refusal{Status: http.StatusUnauthorized, Reason: "unknown key"}
 		}
 	}
@@ -76,7 +76,7 @@
 		x.end = earlier(x.end, x.q.At.Add(t))
 	}
 	x.end = x.end.Add(-answerSlack)
-	x.service = x.route.Pick(rand.Float64())
+	x.service = x.route.PickService(rand.Float64())
 	x.print = x.q.Print(x.accountID())
 	if x.door.suspects.poison(x.print) {
 		return notRun("targets that ran this request have crashed", 0)
@@ -90,8 +90,8 @@
 	if s == nil || s.Engine == nil {
 		return nil
 	}
-	x.stride = s.Engine.Stride
-	if x.account == nil || !x.account.Metered {
+	x.stride = s.Engine.MaxEventTokens
+	if x.account == nil || !x.account.Prepaid {
 		return nil
 	}
 	if !x.q.Sized {
@@ -116,7 +116,7 @@
 			used += unseenEvents * x.stride
 		}
 	}
-	x.purse.End(x.reserved, used)
+	x.purse.Settle(x.reserved, used)
 }
 
 func (x *exchange) accountID() bbunit.AccountID {
@@ -171,7 +171,7 @@
 	case endNotRun:
 		return notRun("the targets have no room", comeBack), x.mayRepeat()
 	}
-	return mayHaveRun("the target broke off"), x.route.Repeat() && x.mayRepeat()
+	return mayHaveRun("the target broke off"), x.route.Repeatable() && x.mayRepeat()
 }
 
 // give ends a request that no target answered. Of a stream that has begun there
@@ -180,7 +180,7 @@
 	if x.stream.begun {
 		return false
 	}
-	if x.ran && !x.route.Repeat() && r.outcome() == "not-run" {
+	if x.ran && !x.route.Repeatable() && r.outcome() == "not-run" {
 		r = mayHaveRun(r.Reason)
 	}
 	return x.refuse(r)
@@ -195,7 +195,7 @@
 // mayRepeat takes a repeat from the service's budget, if the route allows one more
 // attempt.
 func (x *exchange) mayRepeat() bool {
-	return x.sends < x.route.Attempts && time.Now().Before(x.end) && x.door.mayRepeat(x.service)
+	return x.sends < x.route.MaxAttempts && time.Now().Before(x.end) && x.door.mayRepeat(x.service)
 }
 
 // choose returns the target for the next attempt, or why there is none.
@@ -205,17 +205,17 @@
 		return nil, notRun("no target of the service is known", comeBack)
 	}
 	now := x.door.now()
-	ask := bbplace.Ask{Domain: x.door.domain, Tried: x.tried, Draw: rand.Uint64()}
+	ask := bbplace.Request{Domain: x.door.domain, Excluded: x.tried, Random: rand.Uint64()}
 	if x.stride > 0 {
-		ask.Prompt, ask.Shared = x.q.Shared()
-		ask.Tokens = x.q.Prompt
+		ask.PromptHash, ask.SharedTokens = x.q.Shared()
+		ask.PromptTokens = x.q.Prompt
 	}
 	i, why := bbplace.Choose(g.Places, &ask, now)
 	if i >= 0 {
-		x.unread = ask.Unread(bbplace.Home(g.Places, i, &ask, now))
+		x.unread = ask.UncachedTokens(bbplace.IsCacheTarget(g.Places, i, &ask, now))
 		return g.Servers[i], nil
 	}
-	if why == bbplace.FullLoad {
+	if why == bbplace.ReasonAllFull {
 		return nil, notRun("the targets have no room", comeBack)
 	}
 	return nil, notRun("no target of the service can be used", comeBack)
@@ -278,7 +278,7 @@
 func (x *exchange) fields(s *Server, out *ending) logrus.Fields {
 	f := logrus.Fields{
 		"request": x.q.Attempt, "service": x.service, "target": s.ID, "end": out.kind.String(),
-		"sends": x.sends, "plan": x.plan.Version, "ms": time.Since(x.q.At).Milliseconds(), "inflight": s.Known.InFlight(),
+		"sends": x.sends, "plan": x.plan.Version, "ms": time.Since(x.q.At).Milliseconds(), "inflight": s.State.InFlight(),
 	}
 	if out.err != nil {
 		f["error"] = out.err.Error()
--- a/bluebellport/door/loan.go
+++ b/bluebellport/door/loan.go
@@ -48,18 +48,18 @@
 	q := e.GetLoanask()
 	l.money.mu.Lock()
 	defer l.money.mu.Unlock()
-	line := l.money.book.Line(bbunit.AccountID(q.Account))
+	line := l.money.book.Account(bbunit.AccountID(q.Account))
 	need := bbunit.Tokens(max(q.Tokens, 0))
 	var n bbunit.Tokens
 	if q.Home {
-		n = line.LendFor(bbshare.Ask{Need: need, Ahead: bbunit.Tokens(max(q.Ahead, 0))})
+		n = line.GrantLoan(bbshare.LoanRequest{Need: need, Prefetch: bbunit.Tokens(max(q.Ahead, 0))})
 		l.money.poked()
 	} else {
-		n = line.Lend(need)
+		n = line.LendUpTo(need)
 	}
 	t := &bbwire.LoanTell{
 		Account: q.Account, Tokens: int64(n), Free: int64(max(line.Free(), 0)),
-		Covered: n >= need || !line.Known() || line.Covers(need, l.money.book.Holder),
+		Covered: n >= need || !line.RowLoaded() || line.Covers(need, l.money.book.Holder),
 	}
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Loantell{Loantell: t}}
 }
@@ -72,7 +72,7 @@
 	v := l.fleet.View()
 	holders := int(m.board.Instances.Load())
 	large := m.board.Homes()
-	horizon := bbshare.DefaultRule().Horizon
+	horizon := bbshare.DefaultPolicy().Horizon
 	if large {
 		horizon = bbshare.HomeHorizon
 		holders = domains(v)
@@ -122,7 +122,7 @@
 }
 
 // askHomes borrows what is due, each account by itself. The homes are known.
-func (l *loans) askHomes(asks []bbshare.Ask) {
+func (l *loans) askHomes(asks []bbshare.LoanRequest) {
 	for _, a := range asks {
 		home, ok := l.known.at[a.Account]
 		if _, busy := l.asking.LoadOrStore(a.Account, true); !ok || busy {
@@ -135,16 +135,16 @@
 	}
 }
 
-func (l *loans) askHome(home bbunit.InstanceID, a bbshare.Ask) {
-	q := &bbwire.LoanAsk{Account: string(a.Account), Tokens: int64(a.Need), Ahead: int64(a.Ahead), Home: true}
+func (l *loans) askHome(home bbunit.InstanceID, a bbshare.LoanRequest) {
+	q := &bbwire.LoanAsk{Account: string(a.Account), Tokens: int64(a.Need), Ahead: int64(a.Prefetch), Home: true}
 	t := l.call(home, q)
 	if t == nil || t.Tokens < 0 || t.Tokens > q.Tokens+q.Ahead {
 		return
 	}
 	l.money.mu.Lock()
-	line := l.money.book.Line(a.Account)
-	line.Borrow(bbunit.Tokens(t.Tokens))
-	line.Heard(bbunit.Tokens(t.Free))
+	line := l.money.book.Account(a.Account)
+	line.AddLoan(bbunit.Tokens(t.Tokens))
+	line.SetHomeFree(bbunit.Tokens(t.Free))
 	if t.Covered {
 		delete(l.uncovered, a.Account)
 	} else {
@@ -174,7 +174,7 @@
 func (l *loans) borrow(a *bbplan.Account, n bbunit.Tokens) bool {
 	m := l.money
 	m.mu.Lock()
-	line := m.book.Line(a.ID)
+	line := m.book.Account(a.ID)
 	peers := line.Lenders(m.book.Holder)
 	if now := m.now(); now.Sub(l.asked[a.ID]) < loanEvery {
 		peers = nil
@@ -183,7 +183,7 @@
 	}
 	m.mu.Unlock()
 	for _, p := range peers[:min(len(peers), loanPeers)] {
-		short := n - line.Purse.Available()
+		short := n - line.Balance.Available()
 		if short <= 0 {
 			break
 		}
@@ -192,10 +192,10 @@
 			continue
 		}
 		m.mu.Lock()
-		line.Borrow(got)
+		line.AddLoan(got)
 		m.mu.Unlock()
 	}
-	return line.Purse.Available() >= n
+	return line.Balance.Available() >= n
 }
 
 // ask asks one peer, unless it did not answer of late.
--- a/bluebellport/door/money.go
+++ b/bluebellport/door/money.go
@@ -37,7 +37,7 @@
 	poke  chan struct{}
 
 	mu    sync.Mutex // guards book and drawn
-	book  *bbshare.Book
+	book  *bbshare.Allocator
 	drawn chan struct{} // closed after each write and replaced
 	last  time.Time     // last answer of the store
 	plan  *bbplan.Plan
@@ -53,18 +53,18 @@
 func newMoney(rows Rows, board *Board, log logrus.FieldLogger, now func() time.Time, holder bbunit.HolderID) *money {
 	return &money{
 		rows: rows, board: board, log: log, now: now, poke: make(chan struct{}, 1),
-		book: bbshare.NewBook(holder, moneyPrefix, bbshare.DefaultRule()), drawn: make(chan struct{}),
+		book: bbshare.NewAllocator(holder, moneyPrefix, bbshare.DefaultPolicy()), drawn: make(chan struct{}),
 	}
 }
 
 // purse returns an account's purse.
-func (m *money) purse(id bbunit.AccountID) *bbshare.Purse {
+func (m *money) purse(id bbunit.AccountID) *bbshare.Balance {
 	if p, ok := m.purses.Load(id); ok {
-		return p.(*bbshare.Purse)
+		return p.(*bbshare.Balance)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := m.book.Line(id).Purse
+	p := m.book.Account(id).Balance
 	m.purses.Store(id, p)
 	return p
 }
@@ -72,7 +72,7 @@
 // reserve sets n of an account aside, or says why not. While the store answers
 // it waits a little for a share, as long as gone stays open; while it does not,
 // the answer is given at once.
-func (m *money) reserve(a *bbplan.Account, n bbunit.Tokens, until time.Time, gone <-chan struct{}) (*bbshare.Purse, *Refusal) {
+func (m *money) reserve(a *bbplan.Account, n bbunit.Tokens, until time.Time, gone <-chan struct{}) (*bbshare.Balance, *Refusal) {
 	p := m.purse(a.ID)
 	if p.Reserve(n) {
 		return p, nil
@@ -81,7 +81,7 @@
 	defer wait.Stop()
 	for round := 0; round < shareRounds; round++ {
 		m.mu.Lock()
-		drawn, away := m.drawn, m.book.Line(a.ID).Away()
+		drawn, away := m.drawn, m.book.Account(a.ID).UsesRemoteHome()
 		m.mu.Unlock()
 		if !away && m.lostSince() > 0 {
 			break
@@ -117,11 +117,11 @@
 func (m *money) drained(a *bbplan.Account, n bbunit.Tokens) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.book.Line(a.ID)
-	if l.Away() {
+	l := m.book.Account(a.ID)
+	if l.UsesRemoteHome() {
 		return m.loans.broke(a.ID)
 	}
-	return l.Known() && l.Free()+l.Purse.Available() < n
+	return l.RowLoaded() && l.Free()+l.Balance.Available() < n
 }
 
 // poked makes the controller look at once.
@@ -147,7 +147,7 @@
 	r := notRun("no share of the account's money at hand", min(max(m.lostSince(), comeBack), comeBackMost))
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r.Inputs = m.facts(m.book.Line(a.ID), n)
+	r.Inputs = m.facts(m.book.Account(a.ID), n)
 	return r
 }
 
@@ -156,12 +156,12 @@
 func (m *money) uncovered(a *bbplan.Account, n bbunit.Tokens) *Refusal {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.book.Line(a.ID)
-	fresh := !l.Away() && l.Known() && m.now().Sub(m.last) <= shareWait
+	l := m.book.Account(a.ID)
+	fresh := !l.UsesRemoteHome() && l.RowLoaded() && m.now().Sub(m.last) <= shareWait
 	switch {
-	case l.Away() && m.loans.brokeJustNow(a.ID), fresh && !l.Covers(n, m.book.Holder):
+	case l.UsesRemoteHome() && m.loans.brokeJustNow(a.ID), fresh && !l.Covers(n, m.book.Holder):
 		return &Refusal{Status: http.StatusPaymentRequired, Reason: "the account's balance does not cover the request", Inputs: m.facts(l, n)}
-	case !fresh || l.Free()+l.Purse.Available() >= n:
+	case !fresh || l.Free()+l.Balance.Available() >= n:
 		return nil
 	}
 	r := notRun("the rest of the account's money is in other instances' shares", comeBack)
@@ -170,9 +170,9 @@
 }
 
 // facts are what decides whether a share is to be had.
-func (m *money) facts(l *bbshare.Line, n bbunit.Tokens) logrus.Fields {
+func (m *money) facts(l *bbshare.AccountShare, n bbunit.Tokens) logrus.Fields {
 	return logrus.Fields{
-		"account": l.Account, "tokens": n, "here": l.Purse.Available(), "free": l.Free(), "others": l.Others(m.book.Holder),
+		"account": l.ID, "tokens": n, "here": l.Balance.Available(), "free": l.Free(), "others": l.UnspentByOthers(m.book.Holder),
 		"age": m.now().Sub(m.last).Milliseconds(),
 	}
 }
@@ -217,8 +217,8 @@
 	}
 	m.plan = plan
 	for _, a := range plan.Accounts {
-		if a.Metered {
-			m.book.Pay(a.ID, a.Paid)
+		if a.Prepaid {
+			m.book.SetPaid(a.ID, a.Paid)
 		}
 	}
 }
@@ -232,7 +232,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.told(m.book.Read(entries))
+	m.told(m.book.ApplyRows(entries))
 }
 
 // draw writes what is due, and again after a conflict.
@@ -241,12 +241,12 @@
 		m.mu.Lock()
 		m.pay()
 		holders := m.loans.homes()
-		m.loans.askHomes(m.book.Asks(bbshare.DefaultHomeRule(), int(m.board.Instances.Load())))
+		m.loans.askHomes(m.book.LoanRequests(bbshare.DefaultHomePolicy(), int(m.board.Instances.Load())))
 		now, every := m.now(), aheadEvery
 		if m.board.Homes() {
 			every = homeAheadEvery
 		}
-		d := m.book.Draw(holders, now.Sub(m.ahead) >= every)
+		d := m.book.NextWrite(holders, now.Sub(m.ahead) >= every)
 		if d != nil {
 			m.ahead = now
 		}
@@ -262,12 +262,12 @@
 }
 
 // write carries out one write and takes its outcome.
-func (m *money) write(ctx context.Context, d *bbshare.Draw) error {
+func (m *money) write(ctx context.Context, d *bbshare.RowWrite) error {
 	call, cancel := context.WithTimeout(ctx, swapTime)
 	rev, now, err := m.rows.Swap(call, d.Rows, 0)
 	cancel()
 	m.mu.Lock()
-	m.told(m.book.Done(d, rev, now, err))
+	m.told(m.book.FinishWrite(d, rev, now, err))
 	if err == nil || errors.Is(err, bbstore.ErrConflict) {
 		m.last = m.now()
 		m.lost.Store(0)
@@ -304,7 +304,7 @@
 // leave gives back what lies unused; requests still find what they ask for.
 func (m *money) leave() {
 	m.mu.Lock()
-	m.book.Leave()
+	m.book.Drain()
 	m.mu.Unlock()
 	m.poked()
 }
--- a/bluebellport/door/outcome.go
+++ b/bluebellport/door/outcome.go
@@ -15,8 +15,8 @@
 	now := d.now()
 	switch out.kind {
 	case endDone:
-		s.Known.Circuit.Success()
-		s.Known.Result(!out.failed)
+		s.State.Circuit.Success()
+		s.State.RecordResult(!out.failed)
 		if !out.failed {
 			d.suspects.ran(x.print)
 			d.budget(x.service).Earn(d.retryRule())
@@ -27,18 +27,18 @@
 	case endGone:
 		return
 	case endNotRun:
-		s.Known.Busy(now.Add(busyTime))
+		s.State.BackOffUntil(now.Add(busyTime))
 	case endUnsent:
 		if d.board.Crowded.Load() {
 			break // the own link is as likely the cause
 		}
 		for range circuitRule.Fails {
-			s.Known.Circuit.Failure(now, &circuitRule)
+			s.State.Circuit.Failure(now, &circuitRule)
 		}
 	case endBroken, endLate:
-		s.Known.Result(false)
+		s.State.RecordResult(false)
 		if out.reset || out.silent {
-			s.Known.Circuit.Failure(now, &circuitRule)
+			s.State.Circuit.Failure(now, &circuitRule)
 		}
 		if out.reset {
 			go d.suspects.broke(x.print, s)
@@ -56,7 +56,7 @@
 	}
 	f := logrus.Fields{
 		"request": x.q.Attempt, "service": x.service, "target": s.ID, "sends": x.sends,
-		"ms": time.Since(x.q.At).Milliseconds(), "inflight": s.Known.InFlight(),
+		"ms": time.Since(x.q.At).Milliseconds(), "inflight": s.State.InFlight(),
 	}
 	if x.stream.events > 0 {
 		f["first"] = x.stream.first.Sub(x.q.At).Milliseconds()
--- a/bluebellport/door/prefill.go
+++ b/bluebellport/door/prefill.go
@@ -27,7 +27,7 @@
 	if n <= 0 {
 		return
 	}
-	s.Known.Prefill(n, p.now())
+	s.State.AddPrefill(n, p.now())
 	if n < largePrompt {
 		return
 	}
@@ -47,7 +47,7 @@
 	}
 	for _, s := range g.Servers {
 		if s.ID == bbunit.TargetID(t.Target) {
-			s.Known.Prefill(bbunit.Tokens(t.Tokens), p.now())
+			s.State.AddPrefill(bbunit.Tokens(t.Tokens), p.now())
 		}
 	}
 	return nil
--- a/bluebellport/door/server.go
+++ b/bluebellport/door/server.go
@@ -36,7 +36,7 @@
 	if old != nil && old.Target.Target == t {
 		return false
 	}
-	if old != nil && old.Address == t.Address && old.Born == t.Born {
+	if old != nil && old.Address == t.Address && old.StartedAtMillis == t.StartedAtMillis {
 		next := *old
 		next.Target.Target = t
 		r.servers[t.ID] = &next
@@ -45,9 +45,9 @@
 	if old != nil {
 		old.pool.shut()
 	}
-	k := &bbplace.Known{}
-	s := &Server{Target: bbplace.Target{Target: t, Known: k}}
-	s.pool = &pool{address: t.Address, meter: r.meter, load: func(running, waiting, slots int) { k.Report(running, waiting, slots, r.now()) }}
+	k := &bbplace.TargetState{}
+	s := &Server{Target: bbplace.Target{Target: t, State: k}}
+	s.pool = &pool{address: t.Address, meter: r.meter, load: func(running, waiting, slots int) { k.ReportLoad(running, waiting, slots, r.now()) }}
 	r.servers[t.ID] = s
 	return true
 }
--- a/bluebellport/door/stream.go
+++ b/bluebellport/door/stream.go
@@ -87,8 +87,8 @@
 func (x *exchange) passEvents(c *targetConn, b *body) error {
 	buf := make([]byte, 0, bufferSize)
 	for {
-		if x.route.Repeat() && x.sends < x.route.Attempts {
-			_ = c.SetReadDeadline(earlier(x.end, time.Now().Add(max(patienceGaps*x.route.Gap, leastPatience))))
+		if x.route.Repeatable() && x.sends < x.route.MaxAttempts {
+			_ = c.SetReadDeadline(earlier(x.end, time.Now().Add(max(patienceGaps*x.route.EventGapObjective, leastPatience))))
 		}
 		if len(buf) == cap(buf) {
 			if len(buf) >= maxEvent {
--- a/bluebellport/src/options.go
+++ b/bluebellport/src/options.go
@@ -128,13 +128,13 @@
 	if o.Body <= 0 {
 		bad = append(bad, fmt.Sprintf("--max-body: must be above 0, is %d", o.Body))
 	}
-	bad = append(bad, bbcli.BadDuration("--drain", o.Drain)...)
-	bad = append(bad, bbcli.BadDuration("--silence", o.Silence)...)
-	bad = append(bad, bbcli.BadDuration("--late", o.Late)...)
+	bad = append(bad, bbcli.CheckDuration("--drain", o.Drain)...)
+	bad = append(bad, bbcli.CheckDuration("--silence", o.Silence)...)
+	bad = append(bad, bbcli.CheckDuration("--late", o.Late)...)
 	if o.Linger < 0 || o.Linger >= o.Drain {
 		bad = append(bad, fmt.Sprintf("--linger: must be from 0 to below --drain (%s), is %s", o.Drain, o.Linger))
 	}
-	return append(bad, bbcli.BadDuration("--timeout", o.Timeout)...)
+	return append(bad, bbcli.CheckDuration("--timeout", o.Timeout)...)
 }
 
 // PeerOptions set how instances reach each other.
@@ -161,7 +161,7 @@
 func (o *PeerOptions) check() []string {
 	bad := badAddress("--peer", o.Listen, true)
 	bad = append(bad, badAdvertise(o.Advertised())...)
-	bad = append(bad, bbcli.BadDuration("--gossip-period", o.Period)...)
+	bad = append(bad, bbcli.CheckDuration("--gossip-period", o.Period)...)
 	if o.Suspicion < 3*o.Period {
 		bad = append(bad, fmt.Sprintf("--suspicion: must be at least 3 times --gossip-period, is %s", o.Suspicion))
 	}
@@ -220,11 +220,11 @@
 }
 
 func (o *RecordOptions) check() []string {
-	bad := bbcli.BadDuration("--claim-period", o.ClaimPeriod)
-	bad = append(bad, bbcli.BadDuration("--bill-period", o.BillPeriod)...)
-	bad = append(bad, bbcli.BadDuration("--record-takeover", o.Takeover)...)
-	bad = append(bad, bbcli.BadDuration("--answer-keep", o.AnswerKeep)...)
-	bad = append(bad, bbcli.BadDuration("--answer-grace", o.AnswerGrace)...)
+	bad := bbcli.CheckDuration("--claim-period", o.ClaimPeriod)
+	bad = append(bad, bbcli.CheckDuration("--bill-period", o.BillPeriod)...)
+	bad = append(bad, bbcli.CheckDuration("--record-takeover", o.Takeover)...)
+	bad = append(bad, bbcli.CheckDuration("--answer-keep", o.AnswerKeep)...)
+	bad = append(bad, bbcli.CheckDuration("--answer-grace", o.AnswerGrace)...)
 	if o.Retention < retentionLeast {
 		bad = append(bad, fmt.Sprintf("--record-retention: must be at least %s, is %s", retentionLeast, o.Retention))
 	}
@@ -302,13 +302,13 @@
 	if o.PoisonCrashes < 1 || o.PoisonCrashes > 8 {
 		bad = append(bad, fmt.Sprintf("--poison-crashes: must be from 1 to 8, is %d", o.PoisonCrashes))
 	}
-	bad = append(bad, bbcli.BadDuration("--load-every", o.LoadEvery)...)
-	bad = append(bad, bbcli.BadDuration("--queue-longest", o.QueueLongest)...)
-	bad = append(bad, bbcli.BadDuration("--circuit-open", o.CircuitOpen)...)
-	bad = append(bad, bbcli.BadDuration("--circuit-longest", o.CircuitLongest)...)
-	bad = append(bad, bbcli.BadDuration("--circuit-probe", o.CircuitProbe)...)
-	bad = append(bad, bbcli.BadDuration("--slow-start", o.SlowStart)...)
-	return append(bad, bbcli.BadDuration("--spill", o.Spill)...)
+	bad = append(bad, bbcli.CheckDuration("--load-every", o.LoadEvery)...)
+	bad = append(bad, bbcli.CheckDuration("--queue-longest", o.QueueLongest)...)
+	bad = append(bad, bbcli.CheckDuration("--circuit-open", o.CircuitOpen)...)
+	bad = append(bad, bbcli.CheckDuration("--circuit-longest", o.CircuitLongest)...)
+	bad = append(bad, bbcli.CheckDuration("--circuit-probe", o.CircuitProbe)...)
+	bad = append(bad, bbcli.CheckDuration("--slow-start", o.SlowStart)...)
+	return append(bad, bbcli.CheckDuration("--spill", o.Spill)...)
 }
 
 // choice returns the rule by which targets are chosen.
@@ -345,5 +345,5 @@
 	if v == "" && !needed {
 		return nil
 	}
-	return bbcli.BadAddress(flag, v)
+	return bbcli.CheckAddress(flag, v)
 }
--- a/bluebellstand/src/ask.go
+++ b/bluebellstand/src/ask.go
@@ -41,7 +41,7 @@
 }
 
 func (o *AskOptions) check() []string {
-	bad := bbcli.BadAddress("--instance", o.Instance)
+	bad := bbcli.CheckAddress("--instance", o.Instance)
 	if o.Key == "" {
 		bad = append(bad, "--key: needed")
 	}
@@ -49,7 +49,7 @@
 		bad = append(bad, "--service, --plain: just one is needed")
 	}
 	bad = append(bad, badNumber("--tokens", float64(o.Tokens), 1)...)
-	return append(bad, bbcli.BadDuration("--timeout", o.Timeout)...)
+	return append(bad, bbcli.CheckDuration("--timeout", o.Timeout)...)
 }
 
 func (o *AskOptions) run(_ context.Context, s streams) error {
--- a/bluebellstand/src/fetch.go
+++ b/bluebellstand/src/fetch.go
@@ -30,7 +30,7 @@
 }
 
 func (o *GetOptions) check() []string {
-	return append(bbcli.BadAddress("address", o.Address), bbcli.BadDuration("--timeout", o.Timeout)...)
+	return append(bbcli.CheckAddress("address", o.Address), bbcli.CheckDuration("--timeout", o.Timeout)...)
 }
 
 func (o *GetOptions) run(ctx context.Context, s streams) error {
@@ -66,7 +66,7 @@
 }
 
 func (o *PostOptions) check() []string {
-	return append(bbcli.BadAddress("address", o.Address), bbcli.BadDuration("--timeout", o.Timeout)...)
+	return append(bbcli.CheckAddress("address", o.Address), bbcli.CheckDuration("--timeout", o.Timeout)...)
 }
 
 func (o *PostOptions) run(_ context.Context, s streams) error {
--- a/bluebellstand/src/list.go
+++ b/bluebellstand/src/list.go
@@ -135,8 +135,8 @@
 		return fiber.NewError(http.StatusBadRequest, "id: must not be empty")
 	case inst.Domain == "":
 		return fiber.NewError(http.StatusBadRequest, "domain: must not be empty")
-	case len(bbcli.BadAddress("address", inst.Address)) > 0:
-		return fiber.NewError(http.StatusBadRequest, bbcli.BadAddress("address", inst.Address)[0])
+	case len(bbcli.CheckAddress("address", inst.Address)) > 0:
+		return fiber.NewError(http.StatusBadRequest, bbcli.CheckAddress("address", inst.Address)[0])
 	case inst.State != stateLive && inst.State != stateLeaving:
 		return fiber.NewError(http.StatusBadRequest, "state: must be live or leaving")
 	}
--- a/bluebellstand/src/load.go
+++ b/bluebellstand/src/load.go
@@ -66,7 +66,7 @@
 		bad = append(bad, "--instance: needed")
 	}
 	for _, a := range o.Instances {
-		bad = append(bad, bbcli.BadAddress("--instance", a)...)
+		bad = append(bad, bbcli.CheckAddress("--instance", a)...)
 	}
 	if len(o.Keys) == 0 {
 		bad = append(bad, "--key: needed")
@@ -82,11 +82,11 @@
 	bad = append(bad, badShare("--write-share", o.WriteShare)...)
 	bad = append(bad, badNumber("--rate", o.Rate, 0)...)
 	bad = append(bad, badNumber("--concurrency", float64(o.Concurrency), 1)...)
-	bad = append(bad, bbcli.BadDuration("--duration", o.Duration)...)
+	bad = append(bad, bbcli.CheckDuration("--duration", o.Duration)...)
 	bad = append(bad, badNumber("--count", float64(o.Count), 0)...)
 	bad = append(bad, badNumber("--tokens", float64(o.Tokens), 1)...)
 	bad = append(bad, badNumber("--retries", float64(o.Retries), 0)...)
-	return append(bad, bbcli.BadDuration("--timeout", o.Timeout)...)
+	return append(bad, bbcli.CheckDuration("--timeout", o.Timeout)...)
 }
 
 func badShare(flag string, v float64) []string {
--- a/bluebellstand/src/options.go
+++ b/bluebellstand/src/options.go
@@ -35,10 +35,10 @@
 }
 
 func (o *StoreOptions) check() []string {
-	bad := bbcli.BadAddress("--store", o.Listen)
+	bad := bbcli.CheckAddress("--store", o.Listen)
 	bad = append(bad, badNumber("--read-rate", o.ReadRate, 0)...)
 	bad = append(bad, badNumber("--write-rate", o.WriteRate, 0)...)
-	return append(bad, bbcli.BadDuration("--progress", o.Progress)...)
+	return append(bad, bbcli.CheckDuration("--progress", o.Progress)...)
 }
 
 // ListOptions set the stand-in of the list of instances.
@@ -53,7 +53,7 @@
 }
 
 func (o *ListOptions) check() []string {
-	return append(bbcli.BadAddress("--list", o.Listen), badNumber("--list-lag", o.Lag.Seconds(), 0)...)
+	return append(bbcli.CheckAddress("--list", o.Listen), badNumber("--list-lag", o.Lag.Seconds(), 0)...)
 }
 
 // PlatformOptions set both stand-ins of the platform.
@@ -105,10 +105,10 @@
 }
 
 func (o *EngineOptions) check() []string {
-	bad := bbcli.BadAddress("--listen", o.Listen)
+	bad := bbcli.CheckAddress("--listen", o.Listen)
 	bad = append(bad, badNumber("--slots", float64(o.Slots), 1)...)
 	bad = append(bad, badNumber("--queue", float64(o.Queue), 0)...)
-	bad = append(bad, bbcli.BadDuration("--interval", o.Interval)...)
+	bad = append(bad, bbcli.CheckDuration("--interval", o.Interval)...)
 	bad = append(bad, badNumber("--prefill", o.Prefill.Seconds(), 0)...)
 	bad = append(bad, badNumber("--answer", float64(o.Answer), 1)...)
 	bad = append(bad, badNumber("--load-lag", o.LoadLag.Seconds(), 0)...)
@@ -134,7 +134,7 @@
 }
 
 func (o *PlainOptions) check() []string {
-	bad := bbcli.BadAddress("--listen", o.Listen)
+	bad := bbcli.CheckAddress("--listen", o.Listen)
 	bad = append(bad, badNumber("--slots", float64(o.Slots), 1)...)
 	bad = append(bad, badNumber("--queue", float64(o.Queue), 0)...)
 	return append(bad, badNumber("--delay", o.Delay.Seconds(), 0)...)
--- a/shared/bbcli/check.go
+++ b/shared/bbcli/check.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// BadAddress returns a line when the flag's value is not host:port.
-func BadAddress(flag, v string) []string {
+// CheckAddress returns a line when the flag's value is not host:port.
+func CheckAddress(flag, v string) []string {
 	if _, _, err := net.SplitHostPort(v); err != nil {
 		return []string{fmt.Sprintf("%s: not host:port: %q", flag, v)}
 	}
 	return nil
 }
 
-// BadDuration returns a line when the flag's value is not above zero.
-func BadDuration(flag string, d time.Duration) []string {
+// CheckDuration returns a line when the flag's value is not above zero.
+func CheckDuration(flag string, d time.Duration) []string {
 	if d <= 0 {
 		return []string{fmt.Sprintf("%s: must be above 0, is %s", flag, d)}
 	}
--- a/shared/bbplace/place.go
+++ b/shared/bbplace/place.go
@@ -40,8 +40,8 @@
 	prefillRate = 140
 )
 
-// Known is what one instance knows of a target. The zero value knows nothing.
-type Known struct {
+// TargetState is what one instance knows of a target. The zero value knows nothing.
+type TargetState struct {
 	Circuit  bbroute.Circuit
 	inflight atomic.Int64
 	report   atomic.Pointer[report]
@@ -57,25 +57,25 @@
 }
 
 // Begin counts a request in flight; End takes it away.
-func (k *Known) Begin() { k.inflight.Add(1) }
+func (k *TargetState) Begin() { k.inflight.Add(1) }
 
 // End takes away what Begin counted.
-func (k *Known) End() { k.inflight.Add(-1) }
+func (k *TargetState) End() { k.inflight.Add(-1) }
 
 // InFlight returns how many requests of this instance the target has.
-func (k *Known) InFlight() int { return int(k.inflight.Load()) }
+func (k *TargetState) InFlight() int { return int(k.inflight.Load()) }
 
-// Report takes what a target tells of its load.
-func (k *Known) Report(running, waiting, slots int, now time.Time) {
+// ReportLoad takes what a target tells of its load.
+func (k *TargetState) ReportLoad(running, waiting, slots int, now time.Time) {
 	k.report.Store(&report{running: running, waiting: waiting, slots: slots, own: k.inflight.Load(), at: now})
 }
 
-// Busy keeps requests away until a time.
-func (k *Known) Busy(until time.Time) { k.busy.Store(until.UnixNano()) }
+// BackOffUntil keeps requests away until a time.
+func (k *TargetState) BackOffUntil(until time.Time) { k.busy.Store(until.UnixNano()) }
 
-// Prefill notes that the target has been sent a prompt of which it has to read
+// AddPrefill notes that the target has been sent a prompt of which it has to read
 // that many tokens.
-func (k *Known) Prefill(n bbunit.Tokens, now time.Time) {
+func (k *TargetState) AddPrefill(n bbunit.Tokens, now time.Time) {
 	took := int64(prefillTime(n))
 	for {
 		old := k.prefill.Load()
@@ -91,12 +91,12 @@
 }
 
 // backlog is how long the target is still thought to read prompts.
-func (k *Known) backlog(now time.Time) time.Duration {
+func (k *TargetState) backlog(now time.Time) time.Duration {
 	return max(time.Duration(k.prefill.Load()-now.UnixNano()), 0)
 }
 
-// Result notes whether a request that the target took ended well.
-func (k *Known) Result(ok bool) {
+// RecordResult notes whether a request that the target took ended well.
+func (k *TargetState) RecordResult(ok bool) {
 	v := 0.0
 	if !ok {
 		v = 1
@@ -113,16 +113,16 @@
 // Target is one target with what is known of it.
 type Target struct {
 	bbplan.Target
-	Known *Known
+	State *TargetState
 }
 
 // load returns the requests that the target is thought to have, in parts of its
 // slots.
 func (t *Target) load(now time.Time) float64 {
-	own := float64(t.Known.inflight.Load())
+	own := float64(t.State.inflight.Load())
 	slots := t.Slots
 	others := 0.0
-	if r := t.Known.report.Load(); r != nil {
+	if r := t.State.report.Load(); r != nil {
 		if r.slots > 0 {
 			slots = r.slots
 		}
@@ -137,53 +137,53 @@
 	return (own + others) / float64(slots)
 }
 
-// Ask is what a request asks of a placement.
-type Ask struct {
+// Request is what a request asks of a placement.
+type Request struct {
 	Domain bbunit.DomainID
-	// Prompt is a hash of the parts that the prompt shares with others; 0 for
+	// PromptHash is a hash of the parts that the prompt shares with others; 0 for
 	// none. Shared is how many tokens they have, of Tokens in all.
-	Prompt         uint64
-	Shared, Tokens bbunit.Tokens
-	// Tried are targets that are not to be used again.
-	Tried []bbunit.TargetID
-	// Draw breaks ties.
-	Draw uint64
+	PromptHash                 uint64
+	SharedTokens, PromptTokens bbunit.Tokens
+	// Excluded are targets that are not to be used again.
+	Excluded []bbunit.TargetID
+	// Random breaks ties.
+	Random uint64
 }
 
-// Full tells why no target was chosen.
-type Full int
+// Reason tells why no target was chosen.
+type Reason int
 
 // Reasons for no target.
 const (
-	// FullNone means that no usable target is known.
-	FullNone Full = iota
-	// FullLoad means that all usable ones have as much as they may have.
-	FullLoad
+	// ReasonNoneUsable means that no usable target is known.
+	ReasonNoneUsable Reason = iota
+	// ReasonAllFull means that all usable ones have as much as they may have.
+	ReasonAllFull
 )
 
 // Choose returns the index of the target with the least cost, or -1 and why. The
 // cost is a time: how long the target still reads other prompts, how long it
 // would read this one, and what its load, its failures and its failure domain
 // are counted as.
-func Choose(targets []*Target, ask *Ask, now time.Time) (int, Full) {
+func Choose(targets []*Target, ask *Request, now time.Time) (int, Reason) {
 	home := homeOf(targets, ask, now)
 	best, least := -1, time.Duration(math.MaxInt64)
-	why := FullNone
+	why := ReasonNoneUsable
 	for i, t := range targets {
 		if !usable(t, ask, now) {
 			continue
 		}
 		load := t.load(now)
 		if load >= full {
-			why = FullLoad
+			why = ReasonAllFull
 			continue
 		}
-		cost := t.Known.backlog(now) + prefillTime(ask.Unread(i == home)) + time.Duration(load*float64(slotsTime))
-		cost += time.Duration(float64(failTime) * math.Float64frombits(t.Known.fails.Load()))
+		cost := t.State.backlog(now) + prefillTime(ask.UncachedTokens(i == home)) + time.Duration(load*float64(slotsTime))
+		cost += time.Duration(float64(failTime) * math.Float64frombits(t.State.fails.Load()))
 		if t.Domain != ask.Domain {
 			cost += otherDomain
 		}
-		cost += time.Duration(scramble(ask.Draw+uint64(i)) % uint64(chanceTime))
+		cost += time.Duration(scramble(ask.Random+uint64(i)) % uint64(chanceTime))
 		if cost < least {
 			best, least = i, cost
 		}
@@ -191,42 +191,42 @@
 	return best, why
 }
 
-// Unread returns how many tokens of the prompt a target has to read, which is
+// UncachedTokens returns how many tokens of the prompt a target has to read, which is
 // the prompt's home or not.
-func (a *Ask) Unread(home bool) bbunit.Tokens {
+func (a *Request) UncachedTokens(home bool) bbunit.Tokens {
 	if home {
-		return a.Tokens - a.Shared
+		return a.PromptTokens - a.SharedTokens
 	}
-	return a.Tokens
+	return a.PromptTokens
 }
 
-// Home tells whether a target is where the prompt's shared parts are kept.
-func Home(targets []*Target, i int, ask *Ask, now time.Time) bool {
+// IsCacheTarget tells whether a target is where the prompt's shared parts are kept.
+func IsCacheTarget(targets []*Target, i int, ask *Request, now time.Time) bool {
 	return i >= 0 && homeOf(targets, ask, now) == i
 }
 
 // homeOf returns the index of the target that a prompt hashes to, -1 for none.
-func homeOf(targets []*Target, ask *Ask, now time.Time) int {
+func homeOf(targets []*Target, ask *Request, now time.Time) int {
 	home, high := -1, uint64(0)
-	if ask.Prompt == 0 {
+	if ask.PromptHash == 0 {
 		return home
 	}
 	for i, t := range targets {
-		if t.Leaving || !t.Known.Circuit.Usable(now) {
+		if t.Leaving || !t.State.Circuit.Usable(now) {
 			continue
 		}
-		if h := scramble(ask.Prompt ^ xxhash.Sum64String(string(t.ID))); home < 0 || h > high {
+		if h := scramble(ask.PromptHash ^ xxhash.Sum64String(string(t.ID))); home < 0 || h > high {
 			home, high = i, h
 		}
 	}
 	return home
 }
 
-func usable(t *Target, ask *Ask, now time.Time) bool {
-	if t.Leaving || !t.Known.Circuit.Usable(now) || now.UnixNano() < t.Known.busy.Load() {
+func usable(t *Target, ask *Request, now time.Time) bool {
+	if t.Leaving || !t.State.Circuit.Usable(now) || now.UnixNano() < t.State.busy.Load() {
 		return false
 	}
-	for _, id := range ask.Tried {
+	for _, id := range ask.Excluded {
 		if id == t.ID {
 			return false
 		}
--- a/shared/bbplace/place_test.go
+++ b/shared/bbplace/place_test.go
@@ -18,7 +18,7 @@
 	for i := range out {
 		out[i] = &Target{
 			Target: bbplan.Target{ID: bbunit.TargetID(fmt.Sprint("t", i)), Domain: bbunit.DomainID(fmt.Sprint("d", i%3)), Slots: 64},
-			Known:  &Known{},
+			State:  &TargetState{},
 		}
 	}
 	return out
@@ -28,22 +28,22 @@
 func TestWhoGetsNothing(t *testing.T) {
 	cases := []struct {
 		name string
-		set  func(x *Target, a *Ask)
-		full Full
+		set  func(x *Target, a *Request)
+		full Reason
 	}{
-		{"leaving", func(x *Target, _ *Ask) { x.Leaving = true }, FullNone},
-		{"tried", func(x *Target, a *Ask) { a.Tried = append(a.Tried, x.ID) }, FullNone},
-		{"busy", func(x *Target, _ *Ask) { x.Known.Busy(start.Add(time.Second)) }, FullNone},
-		{"full", func(x *Target, _ *Ask) { x.Known.Report(100, 10, 64, start) }, FullLoad},
+		{"leaving", func(x *Target, _ *Request) { x.Leaving = true }, ReasonNoneUsable},
+		{"tried", func(x *Target, a *Request) { a.Excluded = append(a.Excluded, x.ID) }, ReasonNoneUsable},
+		{"busy", func(x *Target, _ *Request) { x.State.BackOffUntil(start.Add(time.Second)) }, ReasonNoneUsable},
+		{"full", func(x *Target, _ *Request) { x.State.ReportLoad(100, 10, 64, start) }, ReasonAllFull},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			targets := fleet(2)
-			ask := &Ask{}
+			ask := &Request{}
 			c.set(targets[0], ask)
 			for draw := range uint64(20) {
-				ask.Draw = draw
+				ask.Random = draw
 				i, _ := Choose(targets, ask, start)
 				is.Equal(i, 1)
 			}
@@ -65,11 +65,11 @@
 	for round := range 50 {
 		used := map[int]bool{}
 		for k := range 4 {
-			ask := &Ask{Domain: "d0", Tokens: 20_000, Draw: uint64(round*4 + k)}
+			ask := &Request{Domain: "d0", PromptTokens: 20_000, Random: uint64(round*4 + k)}
 			i, _ := Choose(targets, ask, now)
 			is.True(!used[i])
 			used[i] = true
-			targets[i].Known.Prefill(ask.Tokens, now)
+			targets[i].State.AddPrefill(ask.PromptTokens, now)
 		}
 		now = now.Add(400 * time.Millisecond)
 	}
@@ -80,15 +80,15 @@
 func TestSharedPromptsMeet(t *testing.T) {
 	is := is.New(t)
 	targets := fleet(9)
-	ask := &Ask{Prompt: 77, Shared: 5000, Tokens: 6000}
+	ask := &Request{PromptHash: 77, SharedTokens: 5000, PromptTokens: 6000}
 	first, _ := Choose(targets, ask, start)
 	for range 5 {
-		ask.Draw++
+		ask.Random++
 		i, _ := Choose(targets, ask, start)
 		is.Equal(i, first)
-		is.True(Home(targets, i, ask, start))
+		is.True(IsCacheTarget(targets, i, ask, start))
 	}
-	targets[first].Known.Prefill(10_000, start)
+	targets[first].State.AddPrefill(10_000, start)
 	i, _ := Choose(targets, ask, start)
 	is.True(i != first)
 }
@@ -98,10 +98,10 @@
 	is := is.New(t)
 	targets := fleet(3)
 	for k := range 30 {
-		targets[0].Known.Result(k%2 == 0)
+		targets[0].State.RecordResult(k%2 == 0)
 	}
 	for draw := range uint64(50) {
-		i, _ := Choose(targets, &Ask{Domain: "d0", Draw: draw}, start)
+		i, _ := Choose(targets, &Request{Domain: "d0", Random: draw}, start)
 		is.True(i != 0)
 	}
 }
@@ -111,9 +111,9 @@
 		targets := fleet(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
-			ask := &Ask{Prompt: 5, Shared: 100, Tokens: 2000}
+			ask := &Request{PromptHash: 5, SharedTokens: 100, PromptTokens: 2000}
 			for b.Loop() {
-				ask.Draw++
+				ask.Random++
 				Choose(targets, ask, start)
 			}
 		})
--- a/shared/bbplan/plan.go
+++ b/shared/bbplan/plan.go
@@ -20,17 +20,17 @@
 
 // Kinds of requests.
 const (
-	// KindOnce is a request that must run at most once.
-	KindOnce Kind = iota
-	// KindRepeatable is an idempotent request.
-	KindRepeatable
+	// KindNonIdempotent is a request that must run at most once.
+	KindNonIdempotent Kind = iota
+	// KindIdempotent is an idempotent request.
+	KindIdempotent
 	// KindStream is a generation whose answer is a stream of events; it may run
 	// once, unless its route lets streams resume.
 	KindStream
 )
 
-// Share is a service's part of the traffic of a route.
-type Share struct {
+// WeightedService is a service's part of the traffic of a route.
+type WeightedService struct {
 	Service bbunit.ServiceID
 	Weight  float64
 }
@@ -43,37 +43,39 @@
 	Kind   Kind
 	// Timeout is the longest time that a request may be kept waiting.
 	Timeout time.Duration
-	// Aim is the time within which an answer, or the first event, is on time.
-	Aim time.Duration
-	// Gap is the longest pause between events of a stream that is on time.
-	Gap      time.Duration
-	Priority int // 0 is the most urgent
-	Shares   []Share
-	// Attempts is the most targets that one request may be sent to.
-	Attempts int
-	// Open routes need no key.
-	Open bool
-	// Resume lets a broken stream go on at another target.
-	Resume bool
+	// LatencyObjective is the time within which an answer, or the first event, is on time.
+	LatencyObjective time.Duration
+	// EventGapObjective is the longest pause between events of a stream that is on time.
+	EventGapObjective time.Duration
+	Priority          int // 0 is the most urgent
+	Services          []WeightedService
+	// MaxAttempts is the most targets that one request may be sent to.
+	MaxAttempts int
+	// Public routes need no key.
+	Public bool
+	// Resumable lets a broken stream go on at another target.
+	Resumable bool
 }
 
-// Repeat tells whether a request of the route may run more than once.
-func (r *Route) Repeat() bool { return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resume }
+// Repeatable tells whether a request of the route may run more than once.
+func (r *Route) Repeatable() bool {
+	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
+}
 
 // Service is a model service or a plain one.
 type Service struct {
 	ID bbunit.ServiceID
-	// Conns is the most connections that one target takes from all callers.
-	Conns int
+	// MaxConns is the most connections that one target takes from all callers.
+	MaxConns int
 	// Engine is set for model services.
 	Engine *Engine
 }
 
 // Engine tells what the targets of a model service are.
 type Engine struct {
-	Slots  int           // requests that run at once
-	Memory bbunit.Tokens // of running requests and cached parts
-	Stride bbunit.Tokens // most tokens of one event
+	Slots          int           // requests that run at once
+	CacheTokens    bbunit.Tokens // of running requests and cached parts
+	MaxEventTokens bbunit.Tokens // most tokens of one event
 }
 
 // Account is a client account.
@@ -83,16 +85,16 @@
 	Priority int
 	// Paid is what the account may consume; Metered tells that it is bounded.
 	Paid    bbunit.Tokens
-	Metered bool
+	Prepaid bool
 }
 
 // Limits bound what a client may send.
 type Limits struct {
-	Header, Body int // bytes
-	// HeaderTime is how long a client may take to send a head.
-	HeaderTime time.Duration
-	// Idle is how long a connection may stay idle.
-	Idle time.Duration
+	MaxHeaderBytes, MaxBodyBytes int // bytes
+	// HeaderTimeout is how long a client may take to send a head.
+	HeaderTimeout time.Duration
+	// IdleTimeout is how long a connection may stay idle.
+	IdleTimeout time.Duration
 }
 
 // Plan is a whole declared state. It is immutable.
@@ -101,8 +103,8 @@
 	Limits   Limits
 	Services map[bbunit.ServiceID]*Service
 	Accounts map[bbunit.AccountID]*Account
-	// Locked tells that requests need a key, unless their route is open.
-	Locked bool
+	// KeyRequired tells that requests need a key, unless their route is open.
+	KeyRequired bool
 
 	keys  map[string]*Account
 	hosts map[string]map[string]*Route // host, prefix
@@ -121,9 +123,9 @@
 	return &p
 }
 
-// Route returns the route of a host and a path without its query, nil when there
+// FindRoute returns the route of a host and a path without its query, nil when there
 // is none: the longest prefix wins.
-func (p *Plan) Route(host, path string) *Route {
+func (p *Plan) FindRoute(host, path string) *Route {
 	prefixes := p.hosts[hostName(host)]
 	if prefixes == nil {
 		return nil
@@ -141,8 +143,8 @@
 	return nil
 }
 
-// Key returns the account of a key, nil when no account has it.
-func (p *Plan) Key(key string) *Account { return p.keys[key] }
+// AccountByKey returns the account of a key, nil when no account has it.
+func (p *Plan) AccountByKey(key string) *Account { return p.keys[key] }
 
 // hostName is a Host field without port, in lower case.
 func hostName(host string) string {
@@ -152,18 +154,18 @@
 	return strings.ToLower(host)
 }
 
-// Pick returns the service of a route that a number in [0,1) draws.
-func (r *Route) Pick(draw float64) bbunit.ServiceID {
+// PickService returns the service of a route that a number in [0,1) draws.
+func (r *Route) PickService(draw float64) bbunit.ServiceID {
 	var sum float64
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		sum += s.Weight
 	}
 	draw *= sum
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		if draw < s.Weight {
 			return s.Service
 		}
 		draw -= s.Weight
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
--- a/shared/bbplan/target.go
+++ b/shared/bbplan/target.go
@@ -11,7 +11,7 @@
 	Slots   int
 	// Leaving targets get no new work.
 	Leaving bool
-	// Born is when the target started, in milliseconds since the epoch; 0 when
+	// StartedAtMillis is when the target started, in milliseconds since the epoch; 0 when
 	// it does not tell. A target may start again under its id.
-	Born int64
+	StartedAtMillis int64
 }
--- a/shared/bbserve/stop.go
+++ b/shared/bbserve/stop.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// App is a server that runs on a listener.
-type App interface {
+// Server is a server that runs on a listener.
+type Server interface {
 	ShutdownWithTimeout(timeout time.Duration) error
 }
 
 // Stop ends a server within the timeout, whether or not it has begun to serve: a
 // shutdown that comes before the server knows its listener does nothing, so the
 // listener is closed besides.
-func Stop(app App, ln net.Listener, timeout time.Duration) error {
+func Stop(app Server, ln net.Listener, timeout time.Duration) error {
 	err := app.ShutdownWithTimeout(timeout)
 	_ = ln.Close()
 	return err
--- a/shared/bbshare/book.go
+++ b/shared/bbshare/allocator.go
@@ -11,28 +11,28 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Rule sets how much an instance draws.
-type Rule struct {
+// Policy sets how much an instance draws.
+type Policy struct {
 	// Horizon is the demand that a share is to last for.
 	Horizon time.Duration
-	// Low is the part of that below which more is drawn.
-	Low float64
-	// Floor is the least share of an account without demand, in parts of what
+	// RefillBelow is the part of that below which more is drawn.
+	RefillBelow float64
+	// MinShare is the least share of an account without demand, in parts of what
 	// it has paid, so that a request that comes while the store is out of reach
 	// finds some.
-	Floor float64
-	// Part bounds the shares of all holders together, in parts of what is free;
+	MinShare float64
+	// MaxHeld bounds the shares of all holders together, in parts of what is free;
 	// each gets of it as much as its part of what was spent.
-	Part float64
-	// Waste is how much kills may waste, in parts of what the account has paid,
+	MaxHeld float64
+	// LossLimit is how much kills may waste, in parts of what the account has paid,
 	// before Part shrinks to its Least part: where instances keep dying, their
 	// shares are small.
-	Waste, Least float64
-	// Prior is what all holders together count as having spent before they have,
+	LossLimit, MinScale float64
+	// PriorSpent is what all holders together count as having spent before they have,
 	// in parts of what the account has paid.
-	Prior float64
-	// Rows is the most accounts in one write.
-	Rows int
+	PriorSpent float64
+	// MaxRows is the most accounts in one write.
+	MaxRows int
 }
 
 // HomeHorizon is the demand that the share of a home is to last for: its members
@@ -40,11 +40,11 @@
 const HomeHorizon = 8 * time.Second
 
 // SetHorizon changes how long shares are to last.
-func (b *Book) SetHorizon(d time.Duration) { b.rule.Horizon = d }
+func (b *Allocator) SetHorizon(d time.Duration) { b.rule.Horizon = d }
 
-// DefaultRule draws for a few seconds of demand.
-func DefaultRule() Rule {
-	return Rule{Horizon: 15 * time.Second, Low: 0.7, Floor: 0.005, Part: 0.25, Waste: 0.1, Least: 0.2, Prior: 0.016, Rows: 32}
+// DefaultPolicy draws for a few seconds of demand.
+func DefaultPolicy() Policy {
+	return Policy{Horizon: 15 * time.Second, RefillBelow: 0.7, MinShare: 0.005, MaxHeld: 0.25, LossLimit: 0.1, MinScale: 0.2, PriorSpent: 0.016, MaxRows: 32}
 }
 
 // unmetAhead is how many times what is asked for in vain is drawn ahead, while
@@ -54,28 +54,28 @@
 // rateWeight is how far one second of demand moves the mean.
 const rateWeight = 0.4
 
-// Book holds an instance's accounts. All its methods but those of the purses
+// Allocator holds an instance's accounts. All its methods but those of the purses
 // belong to one controller.
-type Book struct {
+type Allocator struct {
 	Holder bbunit.HolderID
-	rule   Rule
+	rule   Policy
 	prefix string
-	lines  map[bbunit.AccountID]*Line
+	lines  map[bbunit.AccountID]*AccountShare
 	// largest is the largest request of late, of any account.
 	largest int64
 	// leaving tells that nothing is drawn ahead any more.
 	leaving bool
 }
 
-// NewBook returns an empty book whose rows stand under prefix.
-func NewBook(holder bbunit.HolderID, prefix string, rule Rule) *Book {
-	return &Book{Holder: holder, rule: rule, prefix: prefix, lines: map[bbunit.AccountID]*Line{}}
+// NewAllocator returns an empty book whose rows stand under prefix.
+func NewAllocator(holder bbunit.HolderID, prefix string, rule Policy) *Allocator {
+	return &Allocator{Holder: holder, rule: rule, prefix: prefix, lines: map[bbunit.AccountID]*AccountShare{}}
 }
 
-// Line is one account in a book.
-type Line struct {
-	Account bbunit.AccountID
-	Purse   *Purse
+// AccountShare is one account in a book.
+type AccountShare struct {
+	ID      bbunit.AccountID
+	Balance *Balance
 	paid    bbunit.Tokens
 
 	row   Row
@@ -99,42 +99,44 @@
 	largest int64
 }
 
-// Line returns an account's line, which it makes when there is none.
-func (b *Book) Line(id bbunit.AccountID) *Line {
+// Account returns an account's line, which it makes when there is none.
+func (b *Allocator) Account(id bbunit.AccountID) *AccountShare {
 	l := b.lines[id]
 	if l == nil {
-		l = &Line{Account: id, Purse: &Purse{}}
+		l = &AccountShare{ID: id, Balance: &Balance{}}
 		b.lines[id] = l
 	}
 	return l
 }
 
-// Pay sets what an account has paid in all.
-func (b *Book) Pay(id bbunit.AccountID, paid bbunit.Tokens) { b.Line(id).paid = paid }
+// SetPaid sets what an account has paid in all.
+func (b *Allocator) SetPaid(id bbunit.AccountID, paid bbunit.Tokens) { b.Account(id).paid = paid }
 
 // Free returns what no holder has been granted, as far as the row is known.
-func (l *Line) Free() bbunit.Tokens { return l.paid - l.row.Out() }
+func (l *AccountShare) Free() bbunit.Tokens { return l.paid - l.row.TotalGranted() }
 
-// Known tells whether the row has been read.
-func (l *Line) Known() bool { return l.known }
+// RowLoaded tells whether the row has been read.
+func (l *AccountShare) RowLoaded() bool { return l.known }
 
 // Covers tells whether the account may still cover n: as far as known, what is
 // free and what other holders may give back reach it.
-func (l *Line) Covers(n bbunit.Tokens, holder bbunit.HolderID) bool {
-	return l.Free()+l.Purse.Available()+l.row.Unspent(holder) >= n
+func (l *AccountShare) Covers(n bbunit.Tokens, holder bbunit.HolderID) bool {
+	return l.Free()+l.Balance.Available()+l.row.UnspentByOthers(holder) >= n
 }
 
-// Others returns what other holders may still have, as far as known.
-func (l *Line) Others(holder bbunit.HolderID) bbunit.Tokens { return l.row.Unspent(holder) }
+// UnspentByOthers returns what other holders may still have, as far as known.
+func (l *AccountShare) UnspentByOthers(holder bbunit.HolderID) bbunit.Tokens {
+	return l.row.UnspentByOthers(holder)
+}
 
-// Read takes rows as they stand in the store. Rows that cannot be read are left
+// ApplyRows takes rows as they stand in the store. Rows that cannot be read are left
 // out and named in bad.
-func (b *Book) Read(entries []bbstore.Entry) (bad []error) {
+func (b *Allocator) ApplyRows(entries []bbstore.Entry) (bad []error) {
 	for _, e := range entries {
 		if len(e.Key) <= len(b.prefix) || e.Key[:len(b.prefix)] != b.prefix {
 			continue
 		}
-		l := b.Line(bbunit.AccountID(e.Key[len(b.prefix):]))
+		l := b.Account(bbunit.AccountID(e.Key[len(b.prefix):]))
 		if err := b.read(l, e); err != nil {
 			bad = append(bad, errors.Annotate(err, e.Key))
 		}
@@ -142,7 +144,7 @@
 	return bad
 }
 
-func (b *Book) read(l *Line, e bbstore.Entry) error {
+func (b *Allocator) read(l *AccountShare, e bbstore.Entry) error {
 	if l.known && e.Rev < l.rev {
 		return nil // older than what is known
 	}
@@ -165,13 +167,13 @@
 
 // settle makes what is granted here what the row says: no earlier write can
 // still take effect, since the row has moved on from what it expected.
-func (l *Line) settle(granted bbunit.Tokens) {
-	l.Purse.avail.Add(int64(granted - l.ours))
+func (l *AccountShare) settle(granted bbunit.Tokens) {
+	l.Balance.avail.Add(int64(granted - l.ours))
 	l.ours = granted
 }
 
 // Tick measures demand; it is called about once a second.
-func (b *Book) Tick(now time.Time) {
+func (b *Allocator) Tick(now time.Time) {
 	b.largest = b.largest * 95 / 100
 	for _, l := range b.lines {
 		l.tick(now)
@@ -179,36 +181,36 @@
 	}
 }
 
-func (l *Line) tick(now time.Time) {
-	asked := l.Purse.asked.Load()
+func (l *AccountShare) tick(now time.Time) {
+	asked := l.Balance.asked.Load()
 	if dt := now.Sub(l.lastAt).Seconds(); !l.lastAt.IsZero() && dt > 0 {
 		w := min(rateWeight*dt, 1)
 		l.rate += w * (float64(asked-l.asked)/dt - l.rate)
 	}
 	l.asked, l.lastAt = asked, now
-	l.largest = max(l.Purse.most.Swap(0), l.largest*9/10)
+	l.largest = max(l.Balance.most.Swap(0), l.largest*9/10)
 }
 
-// Draw is one write that a book asks for.
-type Draw struct {
+// RowWrite is one write that a book asks for.
+type RowWrite struct {
 	Rows  []bbstore.Entry
 	moves []move
 }
 
 // move is what a write changes for one line.
 type move struct {
-	line *Line
+	line *AccountShare
 	row  Row
 	to   bbunit.Tokens // granted
 }
 
-// Draw returns the write that is due, nil when none is. Holders is how many draw
+// NextWrite returns the write that is due, nil when none is. Holders is how many draw
 // from the accounts. Unless ahead, only a request that waits makes a write due;
 // it then serves the other accounts too. What the write gives back is set aside
 // at once.
-func (b *Book) Draw(holders int, ahead bool) *Draw {
+func (b *Allocator) NextWrite(holders int, ahead bool) *RowWrite {
 	type want struct {
-		l     *Line
+		l     *AccountShare
 		to    bbunit.Tokens
 		short int64
 	}
@@ -217,7 +219,7 @@
 		if l.away {
 			continue
 		}
-		unmet := l.Purse.unmet.Swap(0)
+		unmet := l.Balance.unmet.Swap(0)
 		if to, ok := b.target(l, unmet, holders); ok {
 			wants = append(wants, want{l, to, unmet})
 			ahead = ahead || unmet > 0
@@ -227,27 +229,27 @@
 		return nil
 	}
 	slices.SortFunc(wants, func(a, c want) int {
-		return cmp.Or(cmp.Compare(c.short, a.short), cmp.Compare(a.l.Account, c.l.Account))
+		return cmp.Or(cmp.Compare(c.short, a.short), cmp.Compare(a.l.ID, c.l.ID))
 	})
-	d := &Draw{}
-	for _, w := range wants[:min(len(wants), b.rule.Rows)] {
+	d := &RowWrite{}
+	for _, w := range wants[:min(len(wants), b.rule.MaxRows)] {
 		if back := w.l.ours - w.to; back > 0 {
-			w.l.ours -= bbunit.Tokens(w.l.Purse.takeUpTo(int64(back)))
+			w.l.ours -= bbunit.Tokens(w.l.Balance.takeUpTo(int64(back)))
 			w.to = w.l.ours
 		}
-		d.add(b, w.l, w.l.row.with(b.Holder, Grant{Granted: w.to, Spent: bbunit.Tokens(w.l.Purse.spent.Load())}), w.to)
+		d.add(b, w.l, w.l.row.with(b.Holder, Grant{Granted: w.to, Spent: bbunit.Tokens(w.l.Balance.spent.Load())}), w.to)
 	}
 	return d
 }
 
-func (d *Draw) add(b *Book, l *Line, row Row, to bbunit.Tokens) {
-	d.Rows = append(d.Rows, bbstore.Entry{Key: b.prefix + string(l.Account), Value: row.Encode(), Rev: l.rev})
+func (d *RowWrite) add(b *Allocator, l *AccountShare, row Row, to bbunit.Tokens) {
+	d.Rows = append(d.Rows, bbstore.Entry{Key: b.prefix + string(l.ID), Value: row.Encode(), Rev: l.rev})
 	d.moves = append(d.moves, move{line: l, row: row, to: to})
 }
 
 // target returns what the line's grant should become, and whether a write is
 // worth it.
-func (b *Book) target(l *Line, unmet int64, holders int) (bbunit.Tokens, bool) {
+func (b *Allocator) target(l *AccountShare, unmet int64, holders int) (bbunit.Tokens, bool) {
 	if l.fenced || l.away || l.paid <= 0 && l.ours == 0 {
 		return 0, false
 	}
@@ -256,8 +258,8 @@
 		free = 0 // a write with the unknown row's revision reads it
 	}
 	share := l.rate * b.rule.Horizon.Seconds()
-	share = max(share, float64(b.largest), float64(l.paid)*b.rule.Floor, unmetAhead*float64(unmet))
-	have := l.Purse.avail.Load()
+	share = max(share, float64(b.largest), float64(l.paid)*b.rule.MinShare, unmetAhead*float64(unmet))
+	have := l.Balance.avail.Load()
 	share = min(share, b.part(l)*float64(free+bbunit.Tokens(max(have, 0)))*b.weight(l, holders))
 	if b.leaving || l.guest {
 		share = 0
@@ -268,7 +270,7 @@
 	case unmet > 0:
 		return to, !l.known || to > l.ours
 	case to > l.ours:
-		return to, float64(have) < b.rule.Low*share
+		return to, float64(have) < b.rule.RefillBelow*share
 	case to < l.ours && l.guest:
 		return to, false
 	case to < l.ours:
@@ -279,33 +281,33 @@
 
 // part is how much of what is free all holders together may have: the less, the
 // more kills have wasted of the account already.
-func (b *Book) part(l *Line) float64 {
+func (b *Allocator) part(l *AccountShare) float64 {
 	if l.paid <= 0 {
-		return b.rule.Part
+		return b.rule.MaxHeld
 	}
-	wasted := float64(l.row.Lost) / (b.rule.Waste * float64(l.paid))
-	return b.rule.Part * max(1-wasted, b.rule.Least)
+	wasted := float64(l.row.Lost) / (b.rule.LossLimit * float64(l.paid))
+	return b.rule.MaxHeld * max(1-wasted, b.rule.MinScale)
 }
 
 // weight is this instance's part of what has been spent, as the row tells.
-func (b *Book) weight(l *Line, holders int) float64 {
-	sum := b.rule.Prior * float64(l.paid)
+func (b *Allocator) weight(l *AccountShare, holders int) float64 {
+	sum := b.rule.PriorSpent * float64(l.paid)
 	prior := sum / float64(max(holders, 1))
 	for id, g := range l.row.Holders {
 		if id != b.Holder {
 			sum += float64(g.Spent)
 		}
 	}
-	own := float64(l.Purse.spent.Load())
+	own := float64(l.Balance.spent.Load())
 	if sum+own <= 0 {
 		return 1 / float64(max(holders, 1))
 	}
 	return (own + prior) / (sum + own)
 }
 
-// Done takes the outcome of a write: its revision, or the error and the rows
+// FinishWrite takes the outcome of a write: its revision, or the error and the rows
 // that the store returned with a conflict.
-func (b *Book) Done(d *Draw, rev bbstore.Revision, now []bbstore.Entry, err error) (bad []error) {
+func (b *Allocator) FinishWrite(d *RowWrite, rev bbstore.Revision, now []bbstore.Entry, err error) (bad []error) {
 	switch {
 	case err == nil:
 		for _, m := range d.moves {
@@ -313,7 +315,7 @@
 			m.line.settle(m.to)
 		}
 	case errors.Is(err, bbstore.ErrConflict):
-		bad = b.Read(now)
+		bad = b.ApplyRows(now)
 	default:
 		for _, m := range d.moves {
 			m.line.unsure = true
@@ -322,20 +324,20 @@
 	return bad
 }
 
-// Leave makes the book give back what lies unused, and draw no more than
+// Drain makes the book give back what lies unused, and draw no more than
 // requests ask for.
-func (b *Book) Leave() { b.leaving = true }
+func (b *Allocator) Drain() { b.leaving = true }
 
 // Close returns the write that ends this holder and gives back what is unspent;
 // nil when there is nothing to end. Nothing may be reserved any more.
-func (b *Book) Close() *Draw {
-	d := &Draw{}
+func (b *Allocator) Close() *RowWrite {
+	d := &RowWrite{}
 	for _, l := range b.lines {
 		_, have := l.row.Holders[b.Holder]
-		if l.fenced || !have && l.Purse.Available() == 0 {
+		if l.fenced || !have && l.Balance.Available() == 0 {
 			continue
 		}
-		l.ours -= bbunit.Tokens(l.Purse.takeUpTo(1 << 62))
+		l.ours -= bbunit.Tokens(l.Balance.takeUpTo(1 << 62))
 		d.add(b, l, l.row.without(b.Holder, l.ours), 0)
 	}
 	if len(d.Rows) == 0 {
@@ -346,24 +348,24 @@
 
 // Status is what one line holds.
 type Status struct {
-	Account bbunit.AccountID `json:"account"`
-	Paid    bbunit.Tokens    `json:"paid"`
-	Free    bbunit.Tokens    `json:"free"`
-	Here    bbunit.Tokens    `json:"here"` // available to this instance
-	Spent   bbunit.Tokens    `json:"spent"`
-	Rate    bbunit.Tokens    `json:"rate"` // asked for here, a second
-	Lent    bbunit.Tokens    `json:"lent,omitempty"`
-	Granted bbunit.Tokens    `json:"granted"`
-	Closed  bbunit.Tokens    `json:"closed"` // of holders that are no more
+	Account   bbunit.AccountID `json:"account"`
+	Paid      bbunit.Tokens    `json:"paid"`
+	Free      bbunit.Tokens    `json:"free"`
+	Available bbunit.Tokens    `json:"here"` // available to this instance
+	Spent     bbunit.Tokens    `json:"spent"`
+	Rate      bbunit.Tokens    `json:"rate"` // asked for here, a second
+	Lent      bbunit.Tokens    `json:"lent,omitempty"`
+	Granted   bbunit.Tokens    `json:"granted"`
+	Closed    bbunit.Tokens    `json:"closed"` // of holders that are no more
 }
 
 // Status returns what each line holds, by account.
-func (b *Book) Status() []Status {
+func (b *Allocator) Status() []Status {
 	out := make([]Status, 0, len(b.lines))
 	for _, l := range b.lines {
 		out = append(out, Status{
-			Account: l.Account, Paid: l.paid, Free: l.Free(), Here: l.Purse.Available(),
-			Spent: bbunit.Tokens(l.Purse.spent.Load()), Rate: bbunit.Tokens(l.rate),
+			Account: l.ID, Paid: l.paid, Free: l.Free(), Available: l.Balance.Available(),
+			Spent: bbunit.Tokens(l.Balance.spent.Load()), Rate: bbunit.Tokens(l.rate),
 			Lent: l.lent, Granted: l.ours, Closed: l.row.Closed,
 		})
 	}
--- a/shared/bbshare/share_test.go
+++ b/shared/bbshare/allocator_test.go
@@ -20,10 +20,10 @@
 type table struct {
 	rows map[string]bbstore.Entry
 	rev  bbstore.Revision
-	late []*Draw
+	late []*RowWrite
 }
 
-func (t *table) swap(d *Draw) (bbstore.Revision, []bbstore.Entry, error) {
+func (t *table) swap(d *RowWrite) (bbstore.Revision, []bbstore.Entry, error) {
 	for _, r := range d.Rows {
 		if t.rows[r.Key].Rev != r.Rev {
 			return 0, t.now(d), errors.Trace(bbstore.ErrConflict)
@@ -36,7 +36,7 @@
 	return t.rev, nil, nil
 }
 
-func (t *table) now(d *Draw) []bbstore.Entry {
+func (t *table) now(d *RowWrite) []bbstore.Entry {
 	var out []bbstore.Entry
 	for _, r := range d.Rows {
 		e := t.rows[r.Key]
@@ -49,7 +49,7 @@
 // holder is one instance with the requests that it has under way. Spent is what
 // its targets truly ran, over all its lives.
 type holder struct {
-	book *Book
+	book *Allocator
 	open []bbunit.Tokens
 	life int
 }
@@ -68,8 +68,8 @@
 	h.life++
 	h.open = nil
 	name := bbunit.InstanceID(fmt.Sprint("i", i))
-	h.book = NewBook(NewHolder(name, name, fmt.Sprint(h.life)), "m/", DefaultRule())
-	h.book.Pay(account, w.paid)
+	h.book = NewAllocator(NewHolderID(name, name, fmt.Sprint(h.life)), "m/", DefaultPolicy())
+	h.book.SetPaid(account, w.paid)
 }
 
 func newWorld(n int, paid bbunit.Tokens) *world {
@@ -83,7 +83,7 @@
 
 // draw lets an instance write once; fate tells whether the answer is lost, and
 // whether the write takes effect at once, later or never.
-func (w *world) draw(i int, d *Draw, fate int) {
+func (w *world) draw(i int, d *RowWrite, fate int) {
 	b := w.holders[i].book
 	if d == nil {
 		return
@@ -91,15 +91,15 @@
 	switch fate {
 	case 1: // takes effect, answer lost
 		_, _, _ = w.table.swap(d)
-		b.Done(d, 0, nil, bbstore.ErrUnknown)
+		b.FinishWrite(d, 0, nil, bbstore.ErrUnknown)
 	case 2: // may take effect later
 		w.table.late = append(w.table.late, d)
-		b.Done(d, 0, nil, bbstore.ErrUnknown)
+		b.FinishWrite(d, 0, nil, bbstore.ErrUnknown)
 	case 3: // nothing was done
-		b.Done(d, 0, nil, bbstore.ErrDown)
+		b.FinishWrite(d, 0, nil, bbstore.ErrDown)
 	default:
 		rev, now, err := w.table.swap(d)
-		b.Done(d, rev, now, err)
+		b.FinishWrite(d, rev, now, err)
 	}
 }
 
@@ -127,13 +127,13 @@
 				h.open = h.open[1:]
 				used := bbunit.Tokens(rapid.IntRange(0, int(n)).Draw(t, "used"))
 				w.spent += used
-				h.book.Line(account).Purse.End(n, used)
+				h.book.Account(account).Balance.Settle(n, used)
 			},
 			"draw": func(t *rapid.T) {
 				i := pick(t)
 				w.clock = w.clock.Add(time.Second)
 				w.holders[i].book.Tick(w.clock)
-				w.draw(i, w.holders[i].book.Draw(len(w.holders), true), rapid.IntRange(0, 5).Draw(t, "fate"))
+				w.draw(i, w.holders[i].book.NextWrite(len(w.holders), true), rapid.IntRange(0, 5).Draw(t, "fate"))
 			},
 			"late": func(_ *rapid.T) {
 				if len(w.table.late) > 0 {
@@ -153,11 +153,11 @@
 				h := w.holders[i]
 				for _, n := range h.open {
 					w.spent += n
-					h.book.Line(account).Purse.End(n, n)
+					h.book.Account(account).Balance.Settle(n, n)
 				}
 				h.open = nil
-				h.book.Leave()
-				w.draw(i, h.book.Draw(1, true), rapid.IntRange(0, 5).Draw(t, "fate"))
+				h.book.Drain()
+				w.draw(i, h.book.NextWrite(1, true), rapid.IntRange(0, 5).Draw(t, "fate"))
 				w.draw(i, h.book.Close(), rapid.IntRange(0, 5).Draw(t, "fate"))
 				w.start(i)
 			},
@@ -166,16 +166,16 @@
 				if from == to {
 					return
 				}
-				n := w.holders[from].book.Line(account).Lend(bbunit.Tokens(rapid.IntRange(1, 500).Draw(t, "ask")))
+				n := w.holders[from].book.Account(account).LendUpTo(bbunit.Tokens(rapid.IntRange(1, 500).Draw(t, "ask")))
 				if rapid.Bool().Draw(t, "arrives") {
-					w.holders[to].book.Line(account).Borrow(n)
+					w.holders[to].book.Account(account).AddLoan(n)
 				}
 			},
 			"topup": func(t *rapid.T) {
 				w.paid += bbunit.Tokens(rapid.IntRange(0, 500).Draw(t, "more"))
 				for _, h := range w.holders {
 					if rapid.Bool().Draw(t, "heard") {
-						h.book.Pay(account, w.paid)
+						h.book.SetPaid(account, w.paid)
 					}
 				}
 			},
@@ -199,10 +199,10 @@
 func (w *world) obtain(i int, n bbunit.Tokens) bool {
 	b := w.holders[i].book
 	for range 4 {
-		if b.Line(account).Purse.Reserve(n) {
+		if b.Account(account).Balance.Reserve(n) {
 			return true
 		}
-		w.draw(i, b.Draw(len(w.holders), true), 0)
+		w.draw(i, b.NextWrite(len(w.holders), true), 0)
 	}
 	return false
 }
@@ -213,7 +213,7 @@
 	w := newWorld(2, 1000)
 	first := w.holders[0].book
 	is.True(w.obtain(0, 600))
-	first.Line(account).Purse.End(600, 200)
+	first.Account(account).Balance.Settle(600, 200)
 	w.draw(0, first.Close(), 0)
 	is.True(w.obtain(1, 800))
 }
@@ -225,12 +225,12 @@
 	w := newWorld(1, 1000)
 	b := w.holders[0].book
 	is.True(w.obtain(0, 600))
-	granted := 600 + b.Line(account).Purse.Available()
+	granted := 600 + b.Account(account).Balance.Available()
 	w.start(0)
 	b = w.holders[0].book
 	is.True(!w.obtain(0, 1000-granted+1))
-	is.Equal(b.Line(account).Free()+b.Line(account).Purse.Available(), 1000-granted)
-	is.True(!b.Line(account).Covers(1000-granted+1, b.Holder)) // a truthful 402
+	is.Equal(b.Account(account).Free()+b.Account(account).Balance.Available(), 1000-granted)
+	is.True(!b.Account(account).Covers(1000-granted+1, b.Holder)) // a truthful 402
 }
 
 // After a lost answer only what is certain is spent, until the row tells.
@@ -239,13 +239,13 @@
 	w := newWorld(1, 1000)
 	b := w.holders[0].book
 	is.True(w.obtain(0, 1)) // the row is known
-	p := b.Line(account).Purse
+	p := b.Account(account).Balance
 	before := p.Available()
 	p.Reserve(400)
-	w.draw(0, b.Draw(1, true), 1)
+	w.draw(0, b.NextWrite(1, true), 1)
 	is.Equal(p.Available(), before)
 	p.Reserve(400)
-	w.draw(0, b.Draw(1, true), 0) // a conflict, which shows the row
+	w.draw(0, b.NextWrite(1, true), 0) // a conflict, which shows the row
 	is.True(p.Reserve(400))
 }
 
@@ -256,11 +256,11 @@
 	w := newWorld(8, 1_000_000)
 	busy := w.holders[0].book
 	spend := func(n bbunit.Tokens) {
-		p := busy.Line(account).Purse
+		p := busy.Account(account).Balance
 		for !p.Reserve(n) {
-			w.draw(0, busy.Draw(8, true), 0)
+			w.draw(0, busy.NextWrite(8, true), 0)
 		}
-		p.End(n, n)
+		p.Settle(n, n)
 	}
 	for range 10 {
 		for range 10 {
@@ -268,30 +268,30 @@
 		}
 		w.clock = w.clock.Add(time.Second)
 		busy.Tick(w.clock)
-		w.draw(0, busy.Draw(8, true), 0)
+		w.draw(0, busy.NextWrite(8, true), 0)
 	}
-	is.True(busy.Line(account).Purse.Available() >= 80_000) // 8 s of its demand
+	is.True(busy.Account(account).Balance.Available() >= 80_000) // 8 s of its demand
 }
 
 // Nothing is drawn from a row that cannot be read.
 func TestBadRow(t *testing.T) {
 	is := is.New(t)
-	b := NewBook("i@i/1", "m/", DefaultRule())
-	b.Pay(account, 1000)
-	bad := b.Read([]bbstore.Entry{{Key: "m/a", Value: []byte("{"), Rev: 3}})
+	b := NewAllocator("i@i/1", "m/", DefaultPolicy())
+	b.SetPaid(account, 1000)
+	bad := b.ApplyRows([]bbstore.Entry{{Key: "m/a", Value: []byte("{"), Rev: 3}})
 	is.Equal(len(bad), 1)
-	is.True(errors.Is(bad[0], ErrRow))
-	is.True(!b.Line(account).Known())
+	is.True(errors.Is(bad[0], ErrMalformedRow))
+	is.True(!b.Account(account).RowLoaded())
 }
 
 func BenchmarkReserve(b *testing.B) {
-	p := &Purse{}
+	p := &Balance{}
 	p.avail.Store(1 << 60)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if p.Reserve(1000) {
-				p.End(1000, 10)
+				p.Settle(1000, 10)
 			}
 		}
 	})
@@ -302,7 +302,7 @@
 // is handed out; where nothing was wasted, as much as ever.
 func TestSharesShrinkWhereInstancesDie(t *testing.T) {
 	is := is.New(t)
-	first, second := NewHolder("i1", "i1:1", "a"), NewHolder("i1", "i1:1", "b")
+	first, second := NewHolderID("i1", "i1:1", "a"), NewHolderID("i1", "i1:1", "b")
 	row := Row{}.with(first, Grant{Granted: 300, Spent: 100}).with(second, Grant{Granted: 50})
 	is.Equal(row.Closed, bbunit.Tokens(300))
 	is.Equal(row.Lost, bbunit.Tokens(200))
@@ -311,12 +311,12 @@
 	is.NoErr(err)
 	is.Equal(again.Lost, row.Lost)
 
-	b := NewBook(second, "m/", DefaultRule())
-	b.Pay("a", 1000)
-	l := b.Line("a")
-	is.Equal(b.part(l), b.rule.Part)
+	b := NewAllocator(second, "m/", DefaultPolicy())
+	b.SetPaid("a", 1000)
+	l := b.Account("a")
+	is.Equal(b.part(l), b.rule.MaxHeld)
 	l.row.Lost = 50
-	is.True(b.part(l) < b.rule.Part && b.part(l) > b.rule.Part*b.rule.Least)
+	is.True(b.part(l) < b.rule.MaxHeld && b.part(l) > b.rule.MaxHeld*b.rule.MinScale)
 	l.row.Lost = 900
-	is.Equal(b.part(l), b.rule.Part*b.rule.Least)
+	is.Equal(b.part(l), b.rule.MaxHeld*b.rule.MinScale)
 }
--- a/shared/bbshare/purse.go
+++ b/shared/bbshare/balance.go
@@ -11,9 +11,9 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Purse is what one instance may spend of one account. Reserve and End take no
+// Balance is what one instance may spend of one account. Reserve and End take no
 // lock and may be called at once. The zero value is empty.
-type Purse struct {
+type Balance struct {
 	avail atomic.Int64 // granted here, neither spent nor set aside
 	spent atomic.Int64 // of requests that ended
 	asked atomic.Int64 // all that requests asked for
@@ -22,7 +22,7 @@
 }
 
 // Reserve sets n aside, or notes that it could not.
-func (p *Purse) Reserve(n bbunit.Tokens) bool {
+func (p *Balance) Reserve(n bbunit.Tokens) bool {
 	if int64(n) > p.most.Load() {
 		p.most.Store(int64(n))
 	}
@@ -34,18 +34,18 @@
 	return false
 }
 
-// End ends a reservation of n of which used was spent.
-func (p *Purse) End(n, used bbunit.Tokens) {
+// Settle ends a reservation of n of which used was spent.
+func (p *Balance) Settle(n, used bbunit.Tokens) {
 	used = min(max(used, 0), n)
 	p.spent.Add(int64(used))
 	p.avail.Add(int64(n - used))
 }
 
 // Available returns what may be set aside now.
-func (p *Purse) Available() bbunit.Tokens { return bbunit.Tokens(p.avail.Load()) }
+func (p *Balance) Available() bbunit.Tokens { return bbunit.Tokens(p.avail.Load()) }
 
 // take removes n from what is available if there is that much.
-func (p *Purse) take(n int64) bool {
+func (p *Balance) take(n int64) bool {
 	for {
 		have := p.avail.Load()
 		if have < n {
@@ -58,7 +58,7 @@
 }
 
 // takeUpTo removes at most n and returns how much.
-func (p *Purse) takeUpTo(n int64) int64 {
+func (p *Balance) takeUpTo(n int64) int64 {
 	for {
 		have := p.avail.Load()
 		part := max(min(have, n), 0)
--- a/shared/bbshare/loan.go
+++ b/shared/bbshare/loan.go
@@ -12,22 +12,22 @@
 // borrower gives back in the store what it does not need. A loan that gets lost
 // on its way stays counted as spent.
 
-// Lend takes up to n out of what is available here, and returns how much.
-func (l *Line) Lend(n bbunit.Tokens) bbunit.Tokens {
-	part := l.Purse.takeUpTo(int64(n))
-	l.Purse.spent.Add(part)
+// LendUpTo takes up to n out of what is available here, and returns how much.
+func (l *AccountShare) LendUpTo(n bbunit.Tokens) bbunit.Tokens {
+	part := l.Balance.takeUpTo(int64(n))
+	l.Balance.spent.Add(part)
 	l.lent += bbunit.Tokens(part)
 	return bbunit.Tokens(part)
 }
 
-// Borrow adds what another holder has lent. It must be called once for a loan.
-func (l *Line) Borrow(n bbunit.Tokens) {
-	l.Purse.avail.Add(int64(n))
+// AddLoan adds what another holder has lent. It must be called once for a loan.
+func (l *AccountShare) AddLoan(n bbunit.Tokens) {
+	l.Balance.avail.Add(int64(n))
 }
 
 // Lenders returns the addresses of other holders that may have something left,
 // those with most first.
-func (l *Line) Lenders(holder bbunit.HolderID) []bbunit.InstanceID {
+func (l *AccountShare) Lenders(holder bbunit.HolderID) []bbunit.InstanceID {
 	type left struct {
 		at bbunit.InstanceID
 		n  bbunit.Tokens
--- a/shared/bbshare/row.go
+++ b/shared/bbshare/row.go
@@ -10,8 +10,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ErrRow marks a row that cannot be read. Nothing is drawn from it.
-const ErrRow = errors.ConstError("bad money row")
+// ErrMalformedRow marks a row that cannot be read. Nothing is drawn from it.
+const ErrMalformedRow = errors.ConstError("bad money row")
 
 // Grant is what one holder has of an account. Both only concern its life: a
 // holder's id is never used twice.
@@ -41,7 +41,7 @@
 		return r, nil
 	}
 	if err := json.Unmarshal(value, &r); err != nil {
-		return r, errors.WithType(err, ErrRow)
+		return r, errors.WithType(err, ErrMalformedRow)
 	}
 	return r, nil
 }
@@ -55,8 +55,8 @@
 	return b
 }
 
-// Out returns what the row grants in all.
-func (r Row) Out() bbunit.Tokens {
+// TotalGranted returns what the row grants in all.
+func (r Row) TotalGranted() bbunit.Tokens {
 	sum := r.Closed
 	for _, g := range r.Holders {
 		sum += g.Granted
@@ -64,8 +64,8 @@
 	return sum
 }
 
-// Unspent returns what holders other than id may still have.
-func (r Row) Unspent(id bbunit.HolderID) bbunit.Tokens {
+// UnspentByOthers returns what holders other than id may still have.
+func (r Row) UnspentByOthers(id bbunit.HolderID) bbunit.Tokens {
 	var sum bbunit.Tokens
 	for other, g := range r.Holders {
 		if other != id {
@@ -101,9 +101,9 @@
 	return next
 }
 
-// NewHolder returns the id of one life of an instance, which its peers reach at
+// NewHolderID returns the id of one life of an instance, which its peers reach at
 // an address.
-func NewHolder(instance, address bbunit.InstanceID, life string) bbunit.HolderID {
+func NewHolderID(instance, address bbunit.InstanceID, life string) bbunit.HolderID {
 	return bbunit.HolderID(string(instance) + "@" + string(address) + "/" + life)
 }
 
