--- a/bluebellctl/src/budget.go
+++ b/bluebellctl/src/budget.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	list, err := bbledger.Show(ctx, e.store)
+	list, err := bbledger.ListBudgets(ctx, e.store)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -49,14 +49,14 @@
 		b := &list[i]
 		seen[b.Budget] = true
 		// A page learns of a ticket at its next draw.
-		if f := s.Budgets.Get(b.Budget); f.Number > b.Number {
-			b.Rest += f.Object.Paid - b.Paid
-			b.Paid, b.Number = f.Object.Paid, f.Number
+		if f := s.Budgets.Get(b.Budget); f.Number > b.TicketNumber {
+			b.Remaining += f.Object.Paid - b.Paid
+			b.Paid, b.TicketNumber = f.Object.Paid, f.Number
 		}
 	}
 	for id, b := range s.Budgets.All() {
 		if !seen[id] && !b.Object.Gone {
-			list = append(list, bbledger.BudgetStatus{Budget: id, Paid: b.Object.Paid, Number: b.Number, Rest: b.Object.Paid})
+			list = append(list, bbledger.BudgetStatus{Budget: id, Paid: b.Object.Paid, TicketNumber: b.Number, Remaining: b.Object.Paid})
 		}
 	}
 	if only != "" {
@@ -79,7 +79,7 @@
 	}
 	var cells [][]any
 	for _, b := range list {
-		cells = append(cells, []any{b.Budget, b.Paid, b.Drawn, b.Spent, b.Stuck, b.Rest, len(b.Holders)})
+		cells = append(cells, []any{b.Budget, b.Paid, b.Drawn, b.Spent, b.Stuck, b.Remaining, len(b.Holders)})
 	}
 	return e.show(list, []string{"BUDGET", "PAID", "DRAWN", "SPENT", "STUCK", "REST", "HOLDERS"}, cells)
 }
@@ -91,8 +91,8 @@
 		for _, h := range b.Holders {
 			cells = append(cells, []any{b.Budget, h.Holder, h.Domain, h.Drawn, h.Spent, "", h.Witness})
 		}
-		for _, x := range b.Stucks {
-			cells = append(cells, []any{b.Budget, x.Holder, "", "", "", x.Amount, x.Why})
+		for _, x := range b.StuckGrants {
+			cells = append(cells, []any{b.Budget, x.Holder, "", "", "", x.Amount, x.Reason})
 		}
 	}
 	return cells
--- a/bluebellctl/src/core_test.go
+++ b/bluebellctl/src/core_test.go
@@ -127,17 +127,17 @@
 	is.True(strings.Contains(errs, "600 tokens"))
 	code, _, _ = d.run("ticket", "apply", d.file("3.yaml", "number: 7\nbudgets: [{id: b, account: a, paid: 700}]\n"))
 	is.Equal(code, bbcli.ExitFailed) // another number
-	list, err := bbledger.Show(context.Background(), d.mem)
+	list, err := bbledger.ListBudgets(context.Background(), d.mem)
 	is.NoErr(err)
 	is.Equal(list[0].Capped, false)
-	is.Equal(list[0].Rest, list[0].Paid-600)
+	is.Equal(list[0].Remaining, list[0].Paid-600)
 
 	code, _, errs = d.run("ticket", "apply", d.file("4.yaml", "number: 2\nbudgets: [{id: b, account: a, paid: 700}]\n"))
 	is.Equal(errs, "ticket 2 is accepted\n")
 	is.Equal(code, bbcli.ExitOK)
-	list, err = bbledger.Show(context.Background(), d.mem)
+	list, err = bbledger.ListBudgets(context.Background(), d.mem)
 	is.NoErr(err)
-	is.Equal(int64(list[0].Rest), int64(100))
+	is.Equal(int64(list[0].Remaining), int64(100))
 }
 
 // TestStoreDown: commands end with a message and exit code 1.
@@ -152,7 +152,7 @@
 // drawAll writes a page as if a holder had drawn from the budget.
 func drawAll(t *testing.T, mem *bbstore.Mem, b bbunit.BudgetID, paid, drawn int64) {
 	t.Helper()
-	v, err := bbledger.Encode(&bbwire.Page{Entries: []*bbwire.Entry{{
+	v, err := bbledger.EncodePage(&bbwire.Page{Entries: []*bbwire.Entry{{
 		Budget: string(b), Paid: paid, Number: 1,
 		Holders: []*bbwire.Holder{{Holder: "i1/1/1", Instance: "i1", Domain: "d", Drawn: drawn, Seq: 1}},
 	}}})
--- a/bluebellport/src/money_options.go
+++ b/bluebellport/src/money_options.go
@@ -27,11 +27,11 @@
 
 var moneyPresets = map[string]moneyPreset{
 	"fjarrgrav": {
-		policy: bbledger.Policy{Horizon: 10 * time.Second, Solo: 2 * time.Second, Grant: 2 * time.Second, Borrow: true},
+		policy: bbledger.Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true},
 		wait:   400 * time.Millisecond,
 	},
 	"hraunberg": {
-		policy: bbledger.Policy{Horizon: 2 * time.Second, Solo: 500 * time.Millisecond, Grant: 500 * time.Millisecond},
+		policy: bbledger.Policy{DrawHorizon: 2 * time.Second, UnwitnessedHorizon: 500 * time.Millisecond, GrantHorizon: 500 * time.Millisecond},
 		wait:   400 * time.Millisecond,
 	},
 }
@@ -65,8 +65,8 @@
 	default:
 		bad = append(bad, fmt.Sprintf("--borrow: must be yes, no or preset, is %q", o.Borrow))
 	}
-	if p := o.policy(); p.Grant > p.Horizon {
-		bad = append(bad, fmt.Sprintf("--grant-horizon: must not be above the horizon %s, is %s", p.Horizon, p.Grant))
+	if p := o.policy(); p.GrantHorizon > p.DrawHorizon {
+		bad = append(bad, fmt.Sprintf("--grant-horizon: must not be above the horizon %s, is %s", p.DrawHorizon, p.GrantHorizon))
 	}
 	return bad
 }
@@ -82,11 +82,11 @@
 func (o *MoneyOptions) policy() bbledger.Policy {
 	p := o.preset().policy
 	if o.Horizon > 0 {
-		p.Horizon = o.Horizon
-		p.Solo = min(p.Solo, o.Horizon)
+		p.DrawHorizon = o.Horizon
+		p.UnwitnessedHorizon = min(p.UnwitnessedHorizon, o.Horizon)
 	}
 	if o.Grant > 0 {
-		p.Grant = o.Grant
+		p.GrantHorizon = o.Grant
 	}
 	if o.Borrow == "yes" || o.Borrow == "no" {
 		p.Borrow = o.Borrow == "yes"
--- a/bluebellport/src/money_options_test.go
+++ b/bluebellport/src/money_options_test.go
@@ -32,11 +32,11 @@
 	is := is.New(t)
 	o := MoneyOptions{Preset: "hraunberg", Horizon: time.Second, Grant: 100 * time.Millisecond, Wait: time.Second, Borrow: "yes"}
 	p := o.policy()
-	is.Equal(p.Horizon, time.Second)
-	is.Equal(p.Grant, 100*time.Millisecond)
+	is.Equal(p.DrawHorizon, time.Second)
+	is.Equal(p.GrantHorizon, 100*time.Millisecond)
 	is.True(p.Borrow)
 	is.Equal(o.wait(), time.Second)
 	o = MoneyOptions{Preset: "fjarrgrav", Borrow: "no"}
 	is.True(!o.policy().Borrow)
-	is.Equal(o.policy().Horizon, 10*time.Second)
+	is.Equal(o.policy().DrawHorizon, 10*time.Second)
 }
--- a/bluebellport/src/treasury.go
+++ b/bluebellport/src/treasury.go
@@ -23,7 +23,7 @@
 	self    bbmember.Member
 	policy  bbledger.Policy
 	wait    time.Duration
-	purse   *bbledger.Purse
+	purse   *bbledger.Wallet
 	box     mailbox
 	ctx     context.Context
 	wg      conc.WaitGroup
@@ -32,7 +32,7 @@
 
 	// The rest belongs to the goroutine of run.
 	witness bbledger.Witness
-	keepers map[int]*bbledger.Keeper
+	keepers map[int]*bbledger.Allocator
 	holders uint64
 	waiters []*shareWaiter
 	view    *bbmember.View
@@ -49,10 +49,10 @@
 	v := p.Board.View.Load()
 	t := &Treasury{
 		p: p, self: v.Self, policy: p.Opts.Money.policy(), wait: p.Opts.Money.wait(),
-		box: newMailbox(), ctx: ctx, keepers: map[int]*bbledger.Keeper{}, view: v,
+		box: newMailbox(), ctx: ctx, keepers: map[int]*bbledger.Allocator{}, view: v,
 		visits: visits{seen: map[int]time.Time{}},
 	}
-	t.purse = bbledger.NewPurse(t.self, t.policy)
+	t.purse = bbledger.NewWallet(t.self, t.policy)
 	t.count()
 	t.handle()
 	t.wg.Go(t.run)
@@ -73,17 +73,17 @@
 // hold is a Hold with what ends it.
 type hold struct {
 	Hold
-	pot   *bbledger.Pot
+	pot   *bbledger.Balance
 	ended atomic.Bool
 }
 
 func (h *hold) end(used bbunit.Tokens) {
 	if !h.ended.Swap(true) {
-		h.pot.End(h.Most, used)
+		h.pot.Commit(h.Most, used)
 	}
 }
 
-func newHold(pot *bbledger.Pot, most bbunit.Tokens) *Hold {
+func newHold(pot *bbledger.Balance, most bbunit.Tokens) *Hold {
 	h := &hold{Hold: Hold{Budget: pot.Budget, Holder: pot.Holder(), Most: most}, pot: pot}
 	h.Hold.End, h.Hold.Refund = h.end, pot.Refund
 	return &h.Hold
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	for _, b := range budgets {
-		pot := t.purse.Pot(b)
+		pot := t.purse.Balance(b)
 		if pot.Reserve(most) {
 			if pot.Low() {
 				t.box.nudge()
--- a/bluebellport/src/treasury_fault_test.go
+++ b/bluebellport/src/treasury_fault_test.go
@@ -107,7 +107,7 @@
 	is := is.New(t)
 	f := newFakeFleet(t, member("a1", "a"), member("a2", "a"), member("a3", "a"))
 	f.pay("b", 10_000)
-	home, _ := f.board["a1"].View.Load().Home(bbledger.HomeKey(bbledger.PageOf("b")), "a")
+	home, _ := f.board["a1"].View.Load().Home(bbledger.PageHomeKey(bbledger.PageOf("b")), "a")
 	other := bbunit.InstanceID("a1")
 	if home.ID == other {
 		other = "a2"
@@ -143,7 +143,7 @@
 	s := f.status("b")
 	is.True(s.Settled <= spent)
 	is.True(s.Settled+s.Stuck >= spent)
-	for _, x := range s.Stucks {
+	for _, x := range s.StuckGrants {
 		is.Equal(bbledger.ParsePeer(x.Grantee).ID, home.ID) // only the dead one's
 	}
 	is.True(s.Stuck < 2000)
@@ -172,9 +172,9 @@
 	f := newFakeFleet(t, member("a1", "a"))
 	f.pay("b", 100)
 	m := f.money["a1"]
-	for _, n := range []bbunit.Tokens{-1, bbledger.MostPaid + 1} {
+	for _, n := range []bbunit.Tokens{-1, bbledger.MaxPaid + 1} {
 		_, err := m.Reserve(context.Background(), []bbunit.BudgetID{"b"}, n)
-		is.True(errors.Is(err, bbledger.ErrAmount))
+		is.True(errors.Is(err, bbledger.ErrAmountRange))
 	}
 	_, err := m.Reserve(context.Background(), nil, 1)
 	is.True(errors.Is(err, ErrBudget))
@@ -187,9 +187,9 @@
 
 func BenchmarkTreasuryReserve(b *testing.B) {
 	f := newFakeFleet(b, member("a1", "a"))
-	f.pay("b", bbledger.MostPaid)
+	f.pay("b", bbledger.MaxPaid)
 	ids := []bbunit.BudgetID{"b"}
-	big, err := f.money["a1"].Reserve(context.Background(), ids, bbledger.MostPaid/2)
+	big, err := f.money["a1"].Reserve(context.Background(), ids, bbledger.MaxPaid/2)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -246,7 +246,7 @@
 	f.pay("b", 100)
 	f.pay("c", 10)
 	f.money["a1"].wait = 5 * time.Second
-	time.Sleep(4 * bbledger.TickEvery) // both see each other
+	time.Sleep(4 * bbledger.TickInterval) // both see each other
 	open, err := f.money["a2"].Reserve(context.Background(), []bbunit.BudgetID{"b"}, 100)
 	is.NoErr(err)
 	time.AfterFunc(time.Second, func() { open.End(0) })
--- a/bluebellport/src/treasury_loop.go
+++ b/bluebellport/src/treasury_loop.go
@@ -16,7 +16,7 @@
 
 // run is the one goroutine of all budget decisions.
 func (t *Treasury) run() {
-	tick := time.NewTicker(bbledger.TickEvery)
+	tick := time.NewTicker(bbledger.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -30,7 +30,7 @@
 			fn()
 		}
 		t.serveWaiters()
-		t.sendAll(t.purse.Asks(t.p.Now(), t.view))
+		t.sendAll(t.purse.DueMessages(t.p.Now(), t.view))
 		t.serveWaiters()
 	}
 }
@@ -45,7 +45,7 @@
 	}
 	if !t.closing.Load() {
 		for _, page := range t.visits.due(now, v) {
-			t.step(t.keeper(page), bbledger.Visit{})
+			t.step(t.keeper(page), bbledger.Refresh{})
 		}
 	}
 	for _, k := range t.sorted() {
@@ -56,10 +56,10 @@
 }
 
 // keeper returns the keeper of a page, a new one when there is none.
-func (t *Treasury) keeper(page int) *bbledger.Keeper {
+func (t *Treasury) keeper(page int) *bbledger.Allocator {
 	k := t.keepers[page]
 	if k == nil {
-		k = bbledger.NewKeeper(page, t.self, t.policy, t.nextHolder)
+		k = bbledger.NewAllocator(page, t.self, t.policy, t.nextHolder)
 		t.keepers[page] = k
 		if t.closing.Load() {
 			t.step(k, bbledger.Retire{})
@@ -73,8 +73,8 @@
 	return t.holders
 }
 
-func (t *Treasury) sorted() []*bbledger.Keeper {
-	out := make([]*bbledger.Keeper, 0, len(t.keepers))
+func (t *Treasury) sorted() []*bbledger.Allocator {
+	out := make([]*bbledger.Allocator, 0, len(t.keepers))
 	for _, k := range t.keepers {
 		out = append(out, k)
 	}
@@ -83,14 +83,14 @@
 }
 
 // wakeKeeper gives a keeper that had nothing to do the present time and state.
-func (t *Treasury) wakeKeeper(k *bbledger.Keeper) {
+func (t *Treasury) wakeKeeper(k *bbledger.Allocator) {
 	if k.Idle() {
 		t.step(k, bbledger.Tick{View: t.p.Board.View.Load(), State: t.p.Board.State.Load()})
 	}
 }
 
 // step gives a keeper an event and carries out what it answers.
-func (t *Treasury) step(k *bbledger.Keeper, ev any) {
+func (t *Treasury) step(k *bbledger.Allocator, ev any) {
 	for _, a := range k.Step(t.p.Now(), ev) {
 		switch a := a.(type) {
 		case bbledger.Send:
@@ -104,7 +104,7 @@
 }
 
 // load reads a keeper's page.
-func (t *Treasury) load(k *bbledger.Keeper) {
+func (t *Treasury) load(k *bbledger.Allocator) {
 	ctx, cancel := context.WithTimeout(t.ctx, pageTimeout)
 	defer cancel()
 	t.reads.Inc(1)
@@ -112,7 +112,7 @@
 	x, err := t.p.Store.Get(ctx, bbledger.PageKey(k.Page()))
 	if err == nil {
 		ev.Rev = x.Rev
-		ev.Page, err = bbledger.Decode(x.Value)
+		ev.Page, err = bbledger.DecodePage(x.Value)
 	}
 	t.noteStore(err, "read", k.Page())
 	ev.Err = err
@@ -134,12 +134,12 @@
 }
 
 // save writes a keeper's page.
-func (t *Treasury) save(k *bbledger.Keeper, a bbledger.Save) {
+func (t *Treasury) save(k *bbledger.Allocator, a bbledger.Save) {
 	ctx, cancel := context.WithTimeout(t.ctx, pageTimeout)
 	defer cancel()
 	t.writes.Inc(1)
 	ev := bbledger.Saved{}
-	value, err := bbledger.Encode(a.Page)
+	value, err := bbledger.EncodePage(a.Page)
 	if err == nil {
 		ev.Rev, err = t.p.Store.CAS(ctx, bbledger.PageKey(k.Page()), value, a.Prev, 0)
 	}
@@ -223,12 +223,12 @@
 		t.receiveAsk(peer, b.Grantask)
 	case *bbwire.Envelope_Granttell:
 		if m, ok := t.view.Find(from); ok {
-			t.sendAll(t.purse.Told(t.p.Now(), m.Domain, b.Granttell))
+			t.sendAll(t.purse.HandleGrant(t.p.Now(), m.Domain, b.Granttell))
 		}
 	case *bbwire.Envelope_Mark:
 		t.send(bbledger.Send{To: from, Body: t.witness.Mark(b.Mark)})
 	case *bbwire.Envelope_Markack:
-		t.toHolder(b.Markack.Holder, bbledger.Acked{From: peer, Msg: b.Markack})
+		t.toHolder(b.Markack.Holder, bbledger.MarkAcked{From: peer, Msg: b.Markack})
 	case *bbwire.Envelope_Freeze:
 		t.send(bbledger.Send{To: from, Body: t.witness.Freeze(b.Freeze)})
 	case *bbwire.Envelope_Freezetell:
@@ -250,9 +250,9 @@
 
 // receiveAsk deals an ask out to the keepers of its pages.
 func (t *Treasury) receiveAsk(from bbledger.Peer, m *bbwire.GrantAsk) {
-	for _, x := range bbledger.SplitAsk(m) {
+	for _, x := range bbledger.SplitByPage(m) {
 		k := t.keeper(x.Page)
 		t.wakeKeeper(k)
-		t.step(k, bbledger.Ask{From: from, Msg: x.Ask})
+		t.step(k, bbledger.GrantRequested{From: from, Msg: x.Request})
 	}
 }
--- a/bluebellport/src/treasury_status.go
+++ b/bluebellport/src/treasury_status.go
@@ -11,9 +11,9 @@
 
 // TreasuryStatus is what an operator sees of an instance's money.
 type TreasuryStatus struct {
-	Instance bbunit.InstanceID       `json:"instance"`
-	Slices   []SliceStatus           `json:"slices"`
-	Keepers  []bbledger.KeeperStatus `json:"keepers"`
+	Instance bbunit.InstanceID          `json:"instance"`
+	Slices   []SliceStatus              `json:"slices"`
+	Keepers  []bbledger.AllocatorStatus `json:"keepers"`
 }
 
 // SliceStatus is what a holder granted this instance, in tokens.
--- a/bluebellport/src/treasury_test.go
+++ b/bluebellport/src/treasury_test.go
@@ -152,7 +152,7 @@
 }
 
 func (f *fakeFleet) status(b bbunit.BudgetID) bbledger.BudgetStatus {
-	all, err := bbledger.Show(context.Background(), f.mem)
+	all, err := bbledger.ListBudgets(context.Background(), f.mem)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/bluebellport/src/visits.go
+++ b/bluebellport/src/visits.go
@@ -38,13 +38,13 @@
 // due lists the pages to read now.
 func (s *visits) due(now time.Time, v *bbmember.View) []int {
 	var out []int
-	for page := range bbledger.Pages {
+	for page := range bbledger.PageCount {
 		last, ok := s.seen[page]
 		fresh := ok && now.Sub(last) < visitEvery && (now.Before(s.after) || !last.Before(s.after))
 		if fresh {
 			continue
 		}
-		m, found := v.Home(bbledger.HomeKey(page), v.Self.Domain)
+		m, found := v.Home(bbledger.PageHomeKey(page), v.Self.Domain)
 		if !found || m.ID != v.Self.ID {
 			s.seen[page] = now
 			continue
--- a/bluebellport/src/waiter.go
+++ b/bluebellport/src/waiter.go
@@ -18,16 +18,16 @@
 	done    chan struct{}
 
 	over atomic.Bool // settled or given up
-	pot  *bbledger.Pot
+	pot  *bbledger.Balance
 	err  error
 
 	at     int // which budget is waited for; owned by the loop
 	hope   int // the first budget of which money may come back; -1 for none
-	joined *bbledger.Pot
+	joined *bbledger.Balance
 }
 
 // take ends the wait and returns what the loop found: ErrShare if nothing.
-func (w *shareWaiter) take() (*bbledger.Pot, error) {
+func (w *shareWaiter) take() (*bbledger.Balance, error) {
 	if !w.over.Swap(true) {
 		return nil, errors.Annotate(ErrShare, "no share in time")
 	}
@@ -36,7 +36,7 @@
 }
 
 // settle gives the request its pot or error; false when it has given up.
-func (w *shareWaiter) settle(pot *bbledger.Pot, err error) bool {
+func (w *shareWaiter) settle(pot *bbledger.Balance, err error) bool {
 	if w.over.Swap(true) {
 		return false
 	}
@@ -57,13 +57,13 @@
 // attend makes the shareWaiter wait for its budget of that place.
 func (t *Treasury) attend(w *shareWaiter, at int) {
 	t.unattend(w)
-	w.at, w.joined = at, t.purse.Pot(w.budgets[at])
-	t.purse.Wait(w.joined, w.most)
+	w.at, w.joined = at, t.purse.Balance(w.budgets[at])
+	t.purse.AddWaiter(w.joined, w.most)
 }
 
 func (t *Treasury) unattend(w *shareWaiter) {
 	if w.joined != nil {
-		t.purse.Done(w.joined, w.most)
+		t.purse.RemoveWaiter(w.joined, w.most)
 		w.joined = nil
 	}
 }
@@ -100,7 +100,7 @@
 // moveOn makes the shareWaiter wait for its next budget when the present one can
 // grant nothing; after the last for the first of which money may come back.
 func (t *Treasury) moveOn(now time.Time, w *shareWaiter) {
-	if !t.purse.Dry(now, t.view, w.joined) {
+	if !t.purse.AllAllocatorsEmpty(now, t.view, w.joined) {
 		return
 	}
 	if w.at+1 < len(w.budgets) {
@@ -120,10 +120,10 @@
 // serveWaiter reports whether the shareWaiter is settled.
 func (t *Treasury) serveWaiter(w *shareWaiter) bool {
 	for _, b := range w.budgets {
-		pot := t.purse.Pot(b)
+		pot := t.purse.Balance(b)
 		if pot.Reserve(w.most) {
 			if !w.settle(pot, nil) {
-				pot.End(w.most, 0)
+				pot.Commit(w.most, 0)
 			}
 			return true
 		}
--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -324,12 +324,12 @@
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	list, err := bbledger.Show(ctx, f.client)
+	list, err := bbledger.ListBudgets(ctx, f.client)
 	if err != nil {
 		f.t.Errorf("budgets: %s", err)
 	}
 	for _, b := range list {
-		f.t.Logf("%s: paid %d, drawn %d, spent %d, stuck %d, rest %d", b.Budget, b.Paid, b.Drawn, b.Spent, b.Stuck, b.Rest)
+		f.t.Logf("%s: paid %d, drawn %d, spent %d, stuck %d, rest %d", b.Budget, b.Paid, b.Drawn, b.Spent, b.Stuck, b.Remaining)
 		for _, c := range f.customers {
 			if c.budget == b.Budget {
 				f.t.Logf("%s: billed %d", b.Budget, a.billed(c))
--- a/shared/bbledger/keeper.go
+++ b/shared/bbledger/allocator.go
@@ -14,8 +14,8 @@
 
 // Events of a Keeper.
 type (
-	// Ask is a grantee's report and wants.
-	Ask struct {
+	// GrantRequested is a grantee's report and wants.
+	GrantRequested struct {
 		From Peer
 		Msg  *bbwire.GrantAsk
 	}
@@ -30,8 +30,8 @@
 		Rev bbstore.Revision
 		Err error
 	}
-	// Acked is a witness's answer to a mark.
-	Acked struct {
+	// MarkAcked is a witness's answer to a mark.
+	MarkAcked struct {
 		From Peer
 		Msg  *bbwire.MarkAck
 	}
@@ -50,8 +50,8 @@
 		View  *bbmember.View
 		State *bbticket.State
 	}
-	// Visit makes the keeper read its page again.
-	Visit struct{}
+	// Refresh makes the keeper read its page again.
+	Refresh struct{}
 	// Retire makes the keeper close its holder and draw no more.
 	Retire struct{}
 )
@@ -67,10 +67,10 @@
 	}
 )
 
-// Keeper draws from one page for its failure domain and grants slices to
+// Allocator draws from one page for its failure domain and grants slices to
 // instances. Several keepers of a page, also of one failure domain, are safe
 // together: each hands out only what the page says that it has drawn.
-type Keeper struct {
+type Allocator struct {
 	page   int
 	self   bbmember.Member
 	peer   Peer
@@ -130,10 +130,10 @@
 	scraped  bool      // lowered to the last that there is
 }
 
-// NewKeeper returns a keeper of a page. next numbers holders: it must not give
+// NewAllocator returns a keeper of a page. next numbers holders: it must not give
 // a number twice in the life of the instance.
-func NewKeeper(page int, self bbmember.Member, policy Policy, next func() uint64) *Keeper {
-	k := &Keeper{
+func NewAllocator(page int, self bbmember.Member, policy Policy, next func() uint64) *Allocator {
+	k := &Allocator{
 		page: page, self: self, peer: PeerOf(self), policy: policy, next: next,
 		view:     &bbmember.View{Self: self, Members: []bbmember.Member{self}},
 		state:    &bbticket.State{},
@@ -149,24 +149,24 @@
 
 // Step takes one event and returns what to do: Load, Save and Send values. At
 // most one Load or Save is out at a time.
-func (k *Keeper) Step(now time.Time, ev any) []any {
+func (k *Allocator) Step(now time.Time, ev any) []any {
 	k.now = now
 	switch e := ev.(type) {
 	case Tick:
 		k.tick(e)
-	case Ask:
+	case GrantRequested:
 		k.ask(e)
 	case Loaded:
 		k.loaded(e)
 	case Saved:
 		k.saved(e)
-	case Acked:
+	case MarkAcked:
 		k.acked(e)
 	case Frozen:
 		k.frozen(e)
 	case Surrendered:
 		k.surrendered(e)
-	case Visit:
+	case Refresh:
 		k.stale = true
 	case Retire:
 		k.retiring = true
@@ -181,14 +181,14 @@
 }
 
 // Page returns the number of the keeper's page.
-func (k *Keeper) Page() int { return k.page }
+func (k *Allocator) Page() int { return k.page }
 
 // Holder returns the id that the keeper holds under now.
-func (k *Keeper) Holder() bbunit.HolderID { return k.holder }
+func (k *Allocator) Holder() bbunit.HolderID { return k.holder }
 
 // Closed tells whether a retired keeper has nothing left on the page. Holders of
 // other instances that it was closing are left to the next keeper.
-func (k *Keeper) Closed() bool {
+func (k *Allocator) Closed() bool {
 	for _, j := range k.jobs {
 		if j.own {
 			return false
@@ -198,15 +198,15 @@
 }
 
 // Idle tells whether a tick would change nothing.
-func (k *Keeper) Idle() bool {
+func (k *Allocator) Idle() bool {
 	return !k.opened && !k.maybe && !k.busy && !k.limbo && !k.stale && len(k.jobs) == 0 && len(k.wants) == 0 && !k.hasStuck() && !k.hasDead()
 }
 
-func (k *Keeper) send(to bbunit.InstanceID, body any) {
+func (k *Allocator) send(to bbunit.InstanceID, body any) {
 	k.out = append(k.out, Send{To: to, Body: body})
 }
 
-func (k *Keeper) tick(t Tick) {
+func (k *Allocator) tick(t Tick) {
 	if t.View != nil {
 		k.view = t.View
 	}
@@ -226,7 +226,7 @@
 
 // watchHome retires a keeper that has not been home for a while, once the
 // service can be reached.
-func (k *Keeper) watchHome() {
+func (k *Allocator) watchHome() {
 	if k.where().home {
 		k.away = time.Time{}
 		return
@@ -240,7 +240,7 @@
 }
 
 // ask merges a grantee's report and queues its wants.
-func (k *Keeper) ask(e Ask) {
+func (k *Allocator) ask(e GrantRequested) {
 	seen := map[bbunit.BudgetID]bbunit.Tokens{}
 	for _, s := range e.Msg.Slices {
 		if s.Grantee != e.From.String() {
@@ -278,7 +278,7 @@
 }
 
 // queue replaces the grantee's older want of the budget.
-func (k *Keeper) queue(w *want) {
+func (k *Allocator) queue(w *want) {
 	for i, x := range k.wants {
 		if x.peer == w.peer && x.budget == w.budget {
 			w.at, w.recalled = x.at, x.recalled
@@ -290,7 +290,7 @@
 }
 
 // expire drops wants that could not be met in time.
-func (k *Keeper) expire() {
+func (k *Allocator) expire() {
 	kept := k.wants[:0]
 	for _, w := range k.wants {
 		if k.now.Sub(w.at) < askFor {
@@ -300,7 +300,7 @@
 	k.wants = kept
 }
 
-func (k *Keeper) account(b bbunit.BudgetID) *account {
+func (k *Allocator) account(b bbunit.BudgetID) *account {
 	a := k.accounts[b]
 	if a == nil {
 		a = &account{budget: b, shares: map[Peer]*share{}}
@@ -312,4 +312,4 @@
 }
 
 // ordered returns the accounts in the order of their budgets.
-func (k *Keeper) ordered() []*account { return k.order }
+func (k *Allocator) ordered() []*account { return k.order }
--- a/shared/bbledger/keeper_store.go
+++ b/shared/bbledger/allocator_store.go
@@ -9,16 +9,16 @@
 )
 
 // down tells whether calls of the service failed in a row.
-func (k *Keeper) down() bool { return k.pause > backoffLeast }
+func (k *Allocator) down() bool { return k.pause > backoffLeast }
 
 // backoff pauses the use of the service after a failed call.
-func (k *Keeper) backoff() {
+func (k *Allocator) backoff() {
 	k.pause = min(max(2*k.pause, backoffLeast), backoffMost)
 	k.retry = k.now.Add(k.pause)
 }
 
 // store starts the next call of the service, if one is needed.
-func (k *Keeper) store() {
+func (k *Allocator) store() {
 	if k.busy || k.now.Before(k.retry) {
 		return
 	}
@@ -45,7 +45,7 @@
 }
 
 // loaded takes the page as it stands.
-func (k *Keeper) loaded(e Loaded) {
+func (k *Allocator) loaded(e Loaded) {
 	k.busy = false
 	if e.Err != nil {
 		k.stale = true
@@ -63,7 +63,7 @@
 }
 
 // saved takes the outcome of a write.
-func (k *Keeper) saved(e Saved) {
+func (k *Allocator) saved(e Saved) {
 	next := k.save
 	k.busy, k.save = false, nil
 	switch {
@@ -98,7 +98,7 @@
 
 // adopt takes over what the page says of the own holder. It is called only when
 // no write of this keeper can land any more.
-func (k *Keeper) adopt() {
+func (k *Allocator) adopt() {
 	found, lost := false, false
 	var witness Peer
 	for _, a := range k.ordered() {
--- a/shared/bbledger/keeper_test.go
+++ b/shared/bbledger/allocator_test.go
@@ -16,7 +16,7 @@
 // rig is one keeper whose every message and store call the test answers.
 type rig struct {
 	is   *is.I
-	k    *Keeper
+	k    *Allocator
 	now  time.Time
 	view *bbmember.View
 	out  []any
@@ -41,7 +41,7 @@
 	var n uint64
 	r := &rig{is: is.New(t), now: time.Unix(1000, 0), page: &bbwire.Page{}}
 	r.view = &bbmember.View{Self: self, Members: []bbmember.Member{self, rigMember(rigW1, "d"), rigMember(rigG, "e")}}
-	r.k = NewKeeper(PageOf("b"), self, simPolicy, func() uint64 { n++; return n })
+	r.k = NewAllocator(PageOf("b"), self, simPolicy, func() uint64 { n++; return n })
 	r.tick(0)
 	return r
 }
@@ -59,7 +59,7 @@
 	if granted > 0 {
 		ask.Slices = []*bbwire.Slice{{Budget: "b", Holder: string(r.k.Holder()), Grantee: rigG.String(), Granted: granted}}
 	}
-	r.step(Ask{From: rigG, Msg: ask})
+	r.step(GrantRequested{From: rigG, Msg: ask})
 }
 
 // take returns the last action of type T, and forgets it with all before it.
@@ -107,7 +107,7 @@
 }
 
 func (r *rig) ack(from Peer, m *bbwire.Mark) {
-	r.step(Acked{From: from, Msg: &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq}})
+	r.step(MarkAcked{From: from, Msg: &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq}})
 }
 
 // opened returns a rig whose grantee has been granted 10 under witness w1.
@@ -142,7 +142,7 @@
 		{"another mark", rigW1, &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq + 1}},
 		{"another holder", rigW1, &bbwire.MarkAck{Holder: "x", Seq: m.Seq}},
 	} {
-		r.step(Acked{From: c.from, Msg: c.ack})
+		r.step(MarkAcked{From: c.from, Msg: c.ack})
 		_, ok := take[*bbwire.GrantTell](r)
 		if ok {
 			t.Errorf("granted on the word of %s", c.name)
@@ -158,7 +158,7 @@
 	r.want(10, 10)
 	r.save()
 	m := need[*bbwire.Mark](r)
-	r.step(Acked{From: rigW1, Msg: &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq, Frozen: true}})
+	r.step(MarkAcked{From: rigW1, Msg: &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq, Frozen: true}})
 	r.is.True(r.k.Holder() != old)
 	_, ok := take[*bbwire.GrantTell](r)
 	r.none(ok)
@@ -170,7 +170,7 @@
 	r.save()
 	before := need[*bbwire.Mark](r)
 	r.view = &bbmember.View{Self: r.view.Self, Members: append(r.view.Members[:1:1], rigMember(rigW2, "d"), rigMember(rigG, "e"))}
-	r.tick(TickEvery)
+	r.tick(TickInterval)
 	carried := need[*bbwire.Mark](r)
 	r.is.True(carried.Slices[0].Granted >= 20) // all that the old one may have acknowledged
 	r.ack(rigW1, before)
@@ -213,11 +213,11 @@
 func TestKeeperGiveBackCountsAtOnceAndMayLandLate(t *testing.T) {
 	r := opened(t)
 	// The grantee returns all, the witness learns it, and nothing is wanted.
-	r.step(Ask{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{{Budget: "b", Holder: string(r.k.Holder()), Grantee: rigG.String(), Granted: 10, Returned: 10}}}})
+	r.step(GrantRequested{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{{Budget: "b", Holder: string(r.k.Holder()), Grantee: rigG.String(), Granted: 10, Returned: 10}}}})
 	r.ack(rigW1, need[*bbwire.Mark](r))
 	var lower Save
 	for lower.Page == nil {
-		r.tick(TickEvery)
+		r.tick(TickInterval)
 		a, ok := take[Save](r)
 		if !ok {
 			continue
@@ -241,7 +241,7 @@
 func TestKeeperReturnsAreFreeOnceTheWitnessKnows(t *testing.T) {
 	r := opened(t)
 	drawn := r.holder().Drawn
-	r.step(Ask{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{{Budget: "b", Holder: string(r.k.Holder()), Grantee: rigG.String(), Granted: 10, Returned: 10}}}})
+	r.step(GrantRequested{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{{Budget: "b", Holder: string(r.k.Holder()), Grantee: rigG.String(), Granted: 10, Returned: 10}}}})
 	m := need[*bbwire.Mark](r)
 	r.is.Equal(m.Slices[0].Returned, int64(10))
 	a := r.k.accounts["b"]
@@ -291,7 +291,7 @@
 	} {
 		r := opened(t)
 		s.Budget, s.Holder, s.Grantee = "b", string(r.k.Holder()), rigG.String()
-		r.step(Ask{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{s}}})
+		r.step(GrantRequested{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{s}}})
 		x := r.k.accounts["b"].share(rigG)
 		r.is.Equal(x.spent+x.returned, bbunit.Tokens(0))
 	}
@@ -305,9 +305,9 @@
 		{Holder: "x/7/0-1", Instance: "x", Domain: "d", Drawn: 50, Seq: 1, Witness: rigW1.String()},
 	}}}}
 	r.rev = 1
-	r.step(Visit{})
+	r.step(Refresh{})
 	r.load()
-	r.tick(TickEvery)
+	r.tick(TickInterval)
 	r.tick(closeAfter)
 	need[*bbwire.Freeze](r)
 	return r, &bbwire.SurrenderTell{Holder: "x/7/0-1", Slices: []*bbwire.Slice{
@@ -333,7 +333,7 @@
 	r.save()
 	e := findEntry(r.page, "b")
 	r.is.Equal(e.Settled, int64(15))
-	r.is.Equal(Taken(e), bbunit.Tokens(15))
+	r.is.Equal(Charged(e), bbunit.Tokens(15))
 }
 
 func TestCloserCountsASilentGranteeAsStuckUntilItAnswers(t *testing.T) {
@@ -370,7 +370,7 @@
 	_, ok := take[Save](r)
 	r.none(ok) // the marks that count are with another witness
 	r.view = &bbmember.View{Self: r.view.Self, Members: append(r.view.Members[:len(r.view.Members):len(r.view.Members)], rigMember(rigW2, "d"))}
-	r.tick(TickEvery)
+	r.tick(TickInterval)
 	r.tick(resendAfter)
 	need[*bbwire.Freeze](r)
 }
@@ -389,22 +389,22 @@
 func TestKeeperListsWhatAGoneGranteeHasAsStuck(t *testing.T) {
 	r := opened(t)
 	h := r.k.Holder()
-	r.step(Ask{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{{Budget: "b", Holder: string(h), Grantee: rigG.String(), Granted: 10, Spent: 4, Returned: 1}}}})
+	r.step(GrantRequested{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{{Budget: "b", Holder: string(h), Grantee: rigG.String(), Granted: 10, Spent: 4, Returned: 1}}}})
 	r.ack(rigW1, need[*bbwire.Mark](r))
-	taken := Taken(findEntry(r.page, "b"))
+	taken := Charged(findEntry(r.page, "b"))
 	all := r.view
 	r.view = &bbmember.View{Self: all.Self, Members: all.Members[:2]}
-	r.tick(TickEvery)
+	r.tick(TickInterval)
 	if r.k.busy {
 		r.save()
 	}
 	r.tick(strandAfter)
 	r.save()
 	e := findEntry(r.page, "b")
-	r.is.True(Taken(e) >= taken) // nothing comes back by time
+	r.is.True(Charged(e) >= taken) // nothing comes back by time
 	r.is.Equal(StatusOf(e).Stuck, bbunit.Tokens(5))
 	r.is.Equal(StatusOf(e).Spent, bbunit.Tokens(4))
-	r.tick(TickEvery)
+	r.tick(TickInterval)
 
 	// It was only cut off: it accounts for the slice, and gets a new one.
 	r.view = all
@@ -434,14 +434,14 @@
 	e.Holders[0].Drawn -= 30
 	addStuck(e, "x/7/0-1", rigG, 20, 10)
 	r.rev++
-	r.step(Visit{})
+	r.step(Refresh{})
 	r.load()
-	before := Taken(e)
+	before := Charged(e)
 	r.frozen(rigW1)
 	r.tick(surrenderFor)
 	r.save()
 	e = findEntry(r.page, "b")
-	r.is.Equal(Taken(e), before-20) // the holder's own 20, which nobody had
+	r.is.Equal(Charged(e), before-20) // the holder's own 20, which nobody had
 	r.is.Equal(StatusOf(e).Stuck, bbunit.Tokens(20))
 }
 
@@ -451,7 +451,7 @@
 	e.Holders[0].Drawn -= 30
 	addStuck(e, "x/7/0-1", rigG, 20, 10)
 	r.rev++
-	r.step(Visit{})
+	r.step(Refresh{})
 	r.load()
 	// The grantee accounts for its slice while its holder is still on the page.
 	r.step(Surrendered{From: rigG, Msg: &bbwire.SurrenderTell{Holder: "x/7/0-1", Slices: []*bbwire.Slice{
@@ -466,7 +466,7 @@
 	r.save()
 	e = findEntry(r.page, "b")
 	r.is.Equal(e.Settled, int64(25))
-	r.is.Equal(Taken(e), bbunit.Tokens(25))
+	r.is.Equal(Charged(e), bbunit.Tokens(25))
 	r.is.Equal(len(e.Stuck), 0) // what stood for the grantee goes with the holder
 }
 
@@ -477,11 +477,11 @@
 		r, _ := closing(t)
 		r.frozen(rigW1)
 		s.Budget, s.Holder, s.Grantee = "b", "x/7/0-1", rigG.String()
-		r.step(Ask{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{s}}})
+		r.step(GrantRequested{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{s}}})
 		r.tick(surrenderFor)
 		r.save()
 		e := findEntry(r.page, "b")
-		r.is.Equal(Taken(e), bbunit.Tokens(30)) // the mark, whatever was reported
+		r.is.Equal(Charged(e), bbunit.Tokens(30)) // the mark, whatever was reported
 	}
 }
 
--- a/shared/bbledger/pot.go
+++ b/shared/bbledger/balance.go
@@ -10,12 +10,12 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Pot is an instance's money of one budget. Reserve and End may be called by
+// Balance is an instance's money of one budget. Reserve and End may be called by
 // any goroutine at once and take no lock; all else belongs to the Purse.
 //
 // At every moment the rest of the slices equals free + used + what open
 // requests have reserved.
-type Pot struct {
+type Balance struct {
 	Budget bbunit.BudgetID
 
 	free  atomic.Int64 // may be reserved
@@ -45,7 +45,7 @@
 
 // Reserve sets n tokens aside. False when the pot has too little, or n is
 // negative. It does not block.
-func (p *Pot) Reserve(n bbunit.Tokens) bool {
+func (p *Balance) Reserve(n bbunit.Tokens) bool {
 	if n < 0 {
 		return false
 	}
@@ -62,9 +62,9 @@
 	}
 }
 
-// End spends used of the most tokens that Reserve set aside and returns the
+// Commit spends used of the most tokens that Reserve set aside and returns the
 // rest. It must be called once a reservation; used is held within 0 and most.
-func (p *Pot) End(most, used bbunit.Tokens) {
+func (p *Balance) Commit(most, used bbunit.Tokens) {
 	used = min(max(used, 0), most)
 	p.used.Add(int64(used))
 	p.free.Add(int64(most - used))
@@ -73,19 +73,19 @@
 // Refund takes back n tokens of what End spent, when the request turned out to
 // have been billed elsewhere. It must not be more than End spent. Where the
 // spending was put on slices already, it is set off against what comes next.
-func (p *Pot) Refund(n bbunit.Tokens) {
+func (p *Balance) Refund(n bbunit.Tokens) {
 	p.used.Add(-int64(n))
 	p.free.Add(int64(n))
 }
 
 // Low tells whether more should be asked for.
-func (p *Pot) Low() bool { return p.free.Load() < p.low.Load() }
+func (p *Balance) Low() bool { return p.free.Load() < p.low.Load() }
 
 // Free is what may be reserved now.
-func (p *Pot) Free() bbunit.Tokens { return bbunit.Tokens(p.free.Load()) }
+func (p *Balance) Free() bbunit.Tokens { return bbunit.Tokens(p.free.Load()) }
 
 // Holder names the holder that funds the next request; "" for none.
-func (p *Pot) Holder() bbunit.HolderID {
+func (p *Balance) Holder() bbunit.HolderID {
 	if h := p.head.Load(); h != nil {
 		return *h
 	}
@@ -93,7 +93,7 @@
 }
 
 // grab takes up to n of what is free.
-func (p *Pot) grab(n bbunit.Tokens) bbunit.Tokens {
+func (p *Balance) grab(n bbunit.Tokens) bbunit.Tokens {
 	for {
 		free := p.free.Load()
 		t := min(free, int64(n))
@@ -107,7 +107,7 @@
 }
 
 // flush puts what ended requests used on the slices, oldest first.
-func (p *Pot) flush() {
+func (p *Balance) flush() {
 	u := bbunit.Tokens(p.used.Swap(0))
 	for _, s := range p.slices {
 		n := min(u, s.rest())
@@ -126,7 +126,7 @@
 }
 
 // sweep returns what closed slices still have, as far as it is free.
-func (p *Pot) sweep() {
+func (p *Balance) sweep() {
 	for _, s := range p.slices {
 		if s.closed && s.rest() > 0 {
 			p.giveback(s, s.rest())
@@ -135,7 +135,7 @@
 }
 
 // giveback returns up to n of the slice to its holder.
-func (p *Pot) giveback(s *slice, n bbunit.Tokens) {
+func (p *Balance) giveback(s *slice, n bbunit.Tokens) {
 	n = p.grab(min(n, s.rest()))
 	if n > 0 {
 		s.returned += n
@@ -144,7 +144,7 @@
 }
 
 // point sets the holder that funds the next request.
-func (p *Pot) point() {
+func (p *Balance) point() {
 	for _, s := range p.slices {
 		if s.rest() > 0 && !s.closed {
 			if p.Holder() != s.holder {
@@ -157,7 +157,7 @@
 }
 
 // find returns the slice of the holder, or nil.
-func (p *Pot) find(h bbunit.HolderID) *slice {
+func (p *Balance) find(h bbunit.HolderID) *slice {
 	for _, s := range p.slices {
 		if s.holder == h {
 			return s
@@ -168,7 +168,7 @@
 
 // grant raises the slice of the holder to granted. It reports whether more
 // became free.
-func (p *Pot) grant(h bbunit.HolderID, granted bbunit.Tokens) bool {
+func (p *Balance) grant(h bbunit.HolderID, granted bbunit.Tokens) bool {
 	s := p.find(h)
 	if s == nil {
 		s = &slice{holder: h}
@@ -185,7 +185,7 @@
 }
 
 // tick measures demand and sets the mark below which more is asked for.
-func (p *Pot) tick(now time.Time, horizon time.Duration) {
+func (p *Balance) tick(now time.Time, horizon time.Duration) {
 	t := p.taken.Load()
 	p.rate.add(bbunit.Tokens(max(0, t-p.counted)))
 	p.counted = t
@@ -206,7 +206,7 @@
 }
 
 // surrenderSurplus returns up to n, newest slices first.
-func (p *Pot) surrenderSurplus(n bbunit.Tokens) {
+func (p *Balance) surrenderSurplus(n bbunit.Tokens) {
 	for i := len(p.slices) - 1; i >= 0 && n > 0; i-- {
 		s := p.slices[i]
 		was := s.returned
@@ -216,7 +216,7 @@
 }
 
 // wire returns the slice as a message.
-func (p *Pot) wire(s *slice, self Peer) *bbwire.Slice {
+func (p *Balance) wire(s *slice, self Peer) *bbwire.Slice {
 	return &bbwire.Slice{
 		Budget: string(p.Budget), Holder: string(s.holder), Grantee: self.String(),
 		Granted: int64(s.granted), Spent: int64(s.spent), Returned: int64(s.returned),
--- a/shared/bbledger/bench_test.go
+++ b/shared/bbledger/bench_test.go
@@ -12,17 +12,17 @@
 
 // BenchmarkReserve is the budget decision of a request: reserve and end.
 func BenchmarkReserve(b *testing.B) {
-	p := NewPurse(bbmember.Member{ID: "g", Inc: 1, Domain: "e"}, simPolicy)
-	p.Told(time.Unix(1000, 0), "d", grantOf("k/1/0-1", int64(MostPaid)))
+	p := NewWallet(bbmember.Member{ID: "g", Inc: 1, Domain: "e"}, simPolicy)
+	p.HandleGrant(time.Unix(1000, 0), "d", grantOf("k/1/0-1", int64(MaxPaid)))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			pot := p.Pot("b")
+			pot := p.Balance("b")
 			if !pot.Reserve(10) {
 				b.Error("no share")
 				return
 			}
-			pot.End(10, 0)
+			pot.Commit(10, 0)
 		}
 	})
 }
@@ -210,8 +210,8 @@
 		name   string
 		policy Policy
 	}{
-		{"fjarrgrav", Policy{Horizon: 10 * time.Second, Solo: 2 * time.Second, Grant: 2 * time.Second, Borrow: true}},
-		{"hraunberg", Policy{Horizon: 2 * time.Second, Solo: 500 * time.Millisecond, Grant: 500 * time.Millisecond}},
+		{"fjarrgrav", Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}},
+		{"hraunberg", Policy{DrawHorizon: 2 * time.Second, UnwitnessedHorizon: 500 * time.Millisecond, GrantHorizon: 500 * time.Millisecond}},
 	} {
 		tell(t, round, "%-10s %-8s %14s %14s %12s %12s", p.name, "killed", "drawn at kill", "a horizon's", "stuck after", "back after")
 		for i := range 3 {
@@ -226,14 +226,14 @@
 					held = h.Drawn - h.Spent
 				}
 			}
-			rate := 6 * float64(l.most) / TickEvery.Seconds() / 2 // of the failure domain
+			rate := 6 * float64(l.most) / TickInterval.Seconds() / 2 // of the failure domain
 			s.crash(n)
 			s.showAll()
 			back, at := time.Duration(-1), s.now
 			for range 200 {
-				l.each(TickEvery, 6, func(time.Duration) {
+				l.each(TickInterval, 6, func(time.Duration) {
 					for _, x := range s.live() {
-						s.do(x, x.keeper.Step(s.now, Visit{}))
+						s.do(x, x.keeper.Step(s.now, Refresh{}))
 					}
 				})
 				if back < 0 && !names(s.page, NewHolder(PeerOf(n.member), PageOf(b), 1)) {
@@ -243,7 +243,7 @@
 			s.heal()
 			s.settle(10*time.Second, nil)
 			stuck := StatusOf(entryOrNew(s.page, b)).Stuck
-			limit := bbunit.Tokens(math.Ceil(rate * p.policy.Horizon.Seconds()))
+			limit := bbunit.Tokens(math.Ceil(rate * p.policy.DrawHorizon.Seconds()))
 			tell(t, round, "%-10s %-8s %14d %14d %12d %12s", "", n.member.ID, held, limit, stuck, back)
 			if stuck > limit {
 				t.Errorf("%d stuck, a horizon is worth %d", stuck, limit)
@@ -330,7 +330,7 @@
 func compareSchemes(t testing.TB, round int) {
 	const perTick = 6
 	const serviceWrites = 300 // a second
-	policy := Policy{Horizon: 10 * time.Second, Solo: 2 * time.Second, Grant: 2 * time.Second, Borrow: true}
+	policy := Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}
 	s := benchSim(t, 2, 3, 1, policy)
 	b := s.budgets[0]
 	s.pay(b, 40_000)
@@ -349,7 +349,7 @@
 		if at == resumesAt {
 			resumed = 40
 		}
-		counter.budget = min(counter.budget+serviceWrites*TickEvery.Seconds(), serviceWrites)
+		counter.budget = min(counter.budget+serviceWrites*TickInterval.Seconds(), serviceWrites)
 		leases.reclaim(s.now)
 		for range perTick {
 			n := s.nodes[i%len(s.nodes)]
@@ -414,17 +414,17 @@
 	for i := range 1500 {
 		v.Members = append(v.Members, bbmember.Member{ID: bbunit.InstanceID(fmt.Sprintf("i%d", i)), Inc: 1, Domain: bbunit.DomainID(fmt.Sprintf("d%d", i%35))})
 	}
-	p := NewPurse(v.Members[0], simPolicy)
+	p := NewWallet(v.Members[0], simPolicy)
 	for i := range 2000 {
-		p.Pot(bbunit.BudgetID(fmt.Sprintf("b%d", i)))
+		p.Balance(bbunit.BudgetID(fmt.Sprintf("b%d", i)))
 	}
 	now := time.Unix(1000, 0)
-	p.Asks(now, v)
-	pot := p.Pot("b7")
-	p.Wait(pot, 10)
+	p.DueMessages(now, v)
+	pot := p.Balance("b7")
+	p.AddWaiter(pot, 10)
 	for b.Loop() {
 		pot.asking.sent = time.Time{}
-		if len(p.Asks(now, v)) != 1 {
+		if len(p.DueMessages(now, v)) != 1 {
 			b.Fatal("no ask")
 		}
 	}
--- a/shared/bbledger/capacity_test.go
+++ b/shared/bbledger/capacity_test.go
@@ -32,17 +32,17 @@
 func BenchmarkCapacityPage(b *testing.B) {
 	for _, holders := range []int{1, 4, 8, 16, 35} {
 		b.Run(fmt.Sprintf("budgets=391/holders=%d", holders), func(b *testing.B) {
-			v, err := Encode(fullPage(391, holders))
+			v, err := EncodePage(fullPage(391, holders))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for range b.N {
-				p, err := Decode(v)
+				p, err := DecodePage(v)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := Encode(clonePage(p)); err != nil {
+				if _, err := EncodePage(clonePage(p)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -53,18 +53,18 @@
 
 // fullKeeper is a keeper that holds every budget of a full page, of which so
 // many instances have slices.
-func fullKeeper(b *testing.B, budgets, holders, grantees int) (*Keeper, time.Time) {
+func fullKeeper(b *testing.B, budgets, holders, grantees int) (*Allocator, time.Time) {
 	now := time.Unix(1000, 0)
 	view := &bbmember.View{}
 	for i := range 1500 {
 		view.Members = append(view.Members, bbmember.Member{ID: bbunit.InstanceID(fmt.Sprintf("instance-%04d", i)), Inc: 0x123456789abcdef, Domain: bbunit.DomainID(fmt.Sprintf("domain-%02d", i%35))})
 	}
-	self, _ := view.Home(HomeKey(7), "domain-00")
+	self, _ := view.Home(PageHomeKey(7), "domain-00")
 	view.Self = self
 	n := uint64(0)
-	k := NewKeeper(7, self, Policy{Horizon: 10 * time.Second, Solo: 10 * time.Second, Grant: time.Second}, func() uint64 { n++; return n })
+	k := NewAllocator(7, self, Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 10 * time.Second, GrantHorizon: time.Second}, func() uint64 { n++; return n })
 	k.Step(now, Tick{View: view, State: &bbticket.State{Number: 1}})
-	k.Step(now, Visit{})
+	k.Step(now, Refresh{})
 	p := fullPage(budgets, holders)
 	for _, e := range p.Entries {
 		e.Holders[0].Holder = string(k.Holder())
@@ -93,7 +93,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				now = now.Add(TickEvery)
+				now = now.Add(TickInterval)
 				for _, a := range k.accounts {
 					a.calm = now // surplus is not given back here
 				}
--- a/shared/bbledger/close.go
+++ b/shared/bbledger/close.go
@@ -29,7 +29,7 @@
 
 // retire gives the present holder id up for good. What it granted is closed by
 // a job; new draws use a new id.
-func (k *Keeper) retire() {
+func (k *Allocator) retire() {
 	old := k.holder
 	if k.opened || k.maybe {
 		k.retired[old] = k.granted()
@@ -46,7 +46,7 @@
 }
 
 // granted lists what the present holder has handed out.
-func (k *Keeper) granted() []*bbwire.Slice {
+func (k *Allocator) granted() []*bbwire.Slice {
 	var out []*bbwire.Slice
 	for _, a := range k.ordered() {
 		for _, p := range a.peers() {
@@ -60,7 +60,7 @@
 
 // dead tells whether a holder on the page must be closed by this keeper: an old
 // one of its own, or one of its failure domain whose instance is gone.
-func (k *Keeper) dead(h *bbwire.Holder) bool {
+func (k *Allocator) dead(h *bbwire.Holder) bool {
 	id := bbunit.HolderID(h.Holder)
 	if id == k.holder {
 		return false
@@ -72,16 +72,16 @@
 	return h.Domain == string(k.self.Domain) && !alive(k.view, p) && k.where().home
 }
 
-func (k *Keeper) hasDead() bool {
+func (k *Allocator) hasDead() bool {
 	return k.cache != nil && len(k.scanned().dead) > 0
 }
 
-func (k *Keeper) hasStuck() bool {
+func (k *Allocator) hasStuck() bool {
 	return k.cache != nil && k.scanned().stuck
 }
 
 // watchHolders starts and drives the jobs that close dead holders.
-func (k *Keeper) watchHolders() {
+func (k *Allocator) watchHolders() {
 	if k.cache != nil && !k.limbo {
 		for _, h := range k.scanned().dead {
 			k.needJob(h)
@@ -92,7 +92,7 @@
 	}
 }
 
-func (k *Keeper) needJob(h *bbwire.Holder) {
+func (k *Allocator) needJob(h *bbwire.Holder) {
 	id := bbunit.HolderID(h.Holder)
 	w := ParsePeer(h.Witness)
 	j := k.jobs[id]
@@ -110,7 +110,7 @@
 	}
 }
 
-func (k *Keeper) orderedJobs() []*job {
+func (k *Allocator) orderedJobs() []*job {
 	out := make([]*job, 0, len(k.jobs))
 	for _, j := range k.jobs {
 		out = append(out, j)
@@ -120,7 +120,7 @@
 }
 
 // drive sends a job's next messages, again when they are not answered.
-func (k *Keeper) drive(j *job) {
+func (k *Allocator) drive(j *job) {
 	if !j.own && alive(k.view, HolderPeer(j.holder)) {
 		delete(k.jobs, j.holder) // it came back before it was closed
 		return
@@ -158,7 +158,7 @@
 }
 
 // frozen takes the promise of a witness, if it is the one that the page names.
-func (k *Keeper) frozen(e Frozen) {
+func (k *Allocator) frozen(e Frozen) {
 	j := k.jobs[bbunit.HolderID(e.Msg.Holder)]
 	if j == nil || j.own || j.frozen || e.From != j.witness {
 		return
@@ -168,7 +168,7 @@
 }
 
 // surrendered takes a grantee's account of a closed holder.
-func (k *Keeper) surrendered(e Surrendered) {
+func (k *Allocator) surrendered(e Surrendered) {
 	h := bbunit.HolderID(e.Msg.Holder)
 	slices := []*bbwire.Slice{}
 	for _, s := range e.Msg.Slices {
@@ -187,7 +187,7 @@
 
 // reportClosing merges a grantee's report into the job that closes its holder,
 // for a grantee that leaves before it is asked to surrender.
-func (k *Keeper) reportClosing(s *bbwire.Slice) {
+func (k *Allocator) reportClosing(s *bbwire.Slice) {
 	j := k.jobs[bbunit.HolderID(s.Holder)]
 	if j == nil {
 		return
@@ -201,7 +201,7 @@
 
 // ready tells whether the job's write may be made: every grantee answered, or
 // those that can be reached had their time.
-func (k *Keeper) ready(j *job) bool {
+func (k *Allocator) ready(j *job) bool {
 	if !j.frozen {
 		return false
 	}
@@ -217,7 +217,7 @@
 }
 
 // editJobs settles the holders whose jobs are ready.
-func (k *Keeper) editJobs(p *bbwire.Page) bool {
+func (k *Allocator) editJobs(p *bbwire.Page) bool {
 	changed := false
 	for _, j := range k.orderedJobs() {
 		if !k.ready(j) {
@@ -266,7 +266,7 @@
 
 // pruneJobs drops the jobs whose holder the page names no more, and accounts
 // that nothing waits for.
-func (k *Keeper) pruneJobs() {
+func (k *Allocator) pruneJobs() {
 	for id := range k.jobs {
 		if !names(k.cache, id) {
 			delete(k.jobs, id)
@@ -286,7 +286,7 @@
 }
 
 // watchStuck asks grantees of closed holders again for their final account.
-func (k *Keeper) watchStuck() {
+func (k *Allocator) watchStuck() {
 	if k.cache == nil || k.now.Sub(k.asked) < stuckEvery || !k.scanned().stuck || !k.where().home && !k.retiring {
 		return
 	}
@@ -305,7 +305,7 @@
 // editStuck settles stuck amounts whose grantee has given its final account, and
 // lowers those that shrank. While the holder is on the entry an amount of 0
 // stays, so that closing the holder does not count the grantee again.
-func (k *Keeper) editStuck(p *bbwire.Page) bool {
+func (k *Allocator) editStuck(p *bbwire.Page) bool {
 	changed := false
 	for _, e := range p.Entries {
 		for _, key := range stuckPeers(e) {
@@ -315,7 +315,7 @@
 	return changed
 }
 
-func (k *Keeper) editStuckOf(e *bbwire.Entry, key finalKey) bool {
+func (k *Allocator) editStuckOf(e *bbwire.Entry, key finalKey) bool {
 	x, held := findStuck(e, key.holder, key.grantee), findHolder(e, key.holder) != nil
 	if x.Amount == 0 {
 		if !held {
--- a/shared/bbledger/draw.go
+++ b/shared/bbledger/draw.go
@@ -9,7 +9,7 @@
 
 // serve answers wants out of acknowledged marks and drops those that cannot be
 // met.
-func (k *Keeper) serve() {
+func (k *Allocator) serve() {
 	if len(k.wants) == 0 {
 		return
 	}
@@ -23,7 +23,7 @@
 }
 
 // serveOne reports whether the want is done with.
-func (k *Keeper) serveOne(w *want) bool {
+func (k *Allocator) serveOne(w *want) bool {
 	a := k.account(w.budget)
 	s := a.share(w.peer)
 	if free := s.acked - s.granted; free >= w.least {
@@ -51,13 +51,13 @@
 }
 
 // tell sends a grantee its slice of an account.
-func (k *Keeper) tell(p Peer, a *account) {
+func (k *Allocator) tell(p Peer, a *account) {
 	k.send(p.ID, &bbwire.GrantTell{Slices: []*bbwire.Slice{a.slice(k.holder, p)}})
 }
 
 // empty tells whether the budget has too little left for a want, by a page that
 // is fresh. An old page is read again.
-func (k *Keeper) empty(a *account, w *want) bool {
+func (k *Allocator) empty(a *account, w *want) bool {
 	if k.cache == nil || k.limbo || k.busy {
 		return false
 	}
@@ -79,16 +79,16 @@
 }
 
 // horizon is how long a draw should last.
-func (k *Keeper) horizon() time.Duration {
+func (k *Allocator) horizon() time.Duration {
 	if k.opened && k.witness == (Peer{}) {
-		return k.policy.Solo
+		return k.policy.UnwitnessedHorizon
 	}
-	return k.policy.Horizon
+	return k.policy.DrawHorizon
 }
 
 // edit changes a copy of the page to what the keeper needs now and reports
 // whether anything is worth a write.
-func (k *Keeper) edit(p *bbwire.Page) bool {
+func (k *Allocator) edit(p *bbwire.Page) bool {
 	changed := false
 	for _, e := range p.Entries {
 		changed = advance(e, k.state) || changed
@@ -105,7 +105,7 @@
 
 // editDraws raises and lowers what the holder has drawn. Accounts that could
 // wait are taken along when something is written anyway.
-func (k *Keeper) editDraws(p *bbwire.Page, along bool) bool {
+func (k *Allocator) editDraws(p *bbwire.Page, along bool) bool {
 	type plan struct {
 		a     *account
 		delta bbunit.Tokens
@@ -132,7 +132,7 @@
 }
 
 // editDraw changes the holder's place on one entry.
-func (k *Keeper) editDraw(e *bbwire.Entry, a *account, delta bbunit.Tokens) {
+func (k *Allocator) editDraw(e *bbwire.Entry, a *account, delta bbunit.Tokens) {
 	advance(e, k.state)
 	h := findHolder(e, k.holder)
 	if h == nil {
@@ -152,7 +152,7 @@
 
 // delta is by how much the account's draw should change, and whether that is
 // worth a write of its own.
-func (k *Keeper) delta(a *account, e *bbwire.Entry) (bbunit.Tokens, bool) {
+func (k *Allocator) delta(a *account, e *bbwire.Entry) (bbunit.Tokens, bool) {
 	var amount, least bbunit.Tokens
 	for _, w := range k.wants {
 		if w.budget == a.budget {
@@ -171,14 +171,14 @@
 
 // raiseBy is how much to draw: what is lacking, less when the budget runs out,
 // but what is wanted at least while the rest has it.
-func (k *Keeper) raiseBy(e *bbwire.Entry, lack, least bbunit.Tokens) bbunit.Tokens {
-	rest := Rest(e)
+func (k *Allocator) raiseBy(e *bbwire.Entry, lack, least bbunit.Tokens) bbunit.Tokens {
+	rest := Remaining(e)
 	fair := rest / bbunit.Tokens(2*k.where().domains)
 	return max(0, min(rest, lack, max(fair, least)))
 }
 
 // lowerBy gives surplus back after it has stood for a while.
-func (k *Keeper) lowerBy(a *account, head, goal, least bbunit.Tokens) (bbunit.Tokens, bool) {
+func (k *Allocator) lowerBy(a *account, head, goal, least bbunit.Tokens) (bbunit.Tokens, bool) {
 	surplus := head > 2*goal+least && a.open && !k.limbo
 	if calm := a.calmFor(k.now, surplus); !surplus || calm < k.horizon() {
 		return 0, false
@@ -193,13 +193,13 @@
 // tickEvery is how often a keeper is told the time.
 const tickEvery = 50 * time.Millisecond
 
-// TickEvery is how often the owner of keepers, purse and witness should tell
+// TickInterval is how often the owner of keepers, purse and witness should tell
 // them the time.
-const TickEvery = tickEvery
+const TickInterval = tickEvery
 
 // firstWitness picks the witness of a holder that is being opened, or keeps the
 // one that it has.
-func (k *Keeper) firstWitness() Peer {
+func (k *Allocator) firstWitness() Peer {
 	switch {
 	case k.move != nil && k.move.ready:
 		return k.move.to
@@ -211,8 +211,8 @@
 
 // candidate is the peer of the failure domain that may be the next witness; the
 // zero peer when there is none.
-func (k *Keeper) candidate() Peer {
-	for _, m := range k.view.Rank(HomeKey(k.page), k.self.Domain, candidates) {
+func (k *Allocator) candidate() Peer {
+	for _, m := range k.view.Rank(PageHomeKey(k.page), k.self.Domain, candidates) {
 		p := PeerOf(m)
 		if m.ID == k.self.ID || p == k.witness || k.now.Sub(k.suspect[p]) < suspectFor {
 			continue
--- a/shared/bbledger/ending_test.go
+++ b/shared/bbledger/exhaustion_test.go
@@ -25,16 +25,16 @@
 
 type endingReq struct {
 	n      *node
-	pot    *Pot
+	pot    *Balance
 	until  time.Time
 	lasts  time.Duration
 	served bool
 }
 
 func (l *ending) offer(n *node, b bbunit.BudgetID, lasts time.Duration) {
-	r := &endingReq{n: n, pot: n.purse.Pot(b), until: l.s.now.Add(l.wait), lasts: lasts}
+	r := &endingReq{n: n, pot: n.purse.Balance(b), until: l.s.now.Add(l.wait), lasts: lasts}
 	if !l.reserve(r) {
-		n.purse.Wait(r.pot, l.most)
+		n.purse.AddWaiter(r.pot, l.most)
 	}
 	l.open = append(l.open, r)
 }
@@ -70,7 +70,7 @@
 		return true
 	}
 	if l.reserve(r) {
-		r.n.purse.Done(r.pot, l.most)
+		r.n.purse.RemoveWaiter(r.pot, l.most)
 		return false
 	}
 	switch {
@@ -85,7 +85,7 @@
 	default:
 		return false
 	}
-	r.n.purse.Done(r.pot, l.most)
+	r.n.purse.RemoveWaiter(r.pot, l.most)
 	return true
 }
 
@@ -105,7 +105,7 @@
 			s.calm()
 			l.step()
 			for _, n := range s.live() {
-				s.posts(n, n.purse.Asks(s.now, n.view))
+				s.posts(n, n.purse.DueMessages(s.now, n.view))
 			}
 		}
 	})
@@ -124,7 +124,7 @@
 		{time.Second, 80}, // the stream ends before the budget
 	} {
 		for _, shape := range [][2]int{{1, 2}, {1, 4}, {2, 2}, {3, 2}} {
-			l := runEnding(t, shape[0], shape[1], Policy{Horizon: 10 * time.Second, Solo: 2 * time.Second, Grant: 2 * time.Second, Borrow: true}, c.lasts)
+			l := runEnding(t, shape[0], shape[1], Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}, c.lasts)
 			if l.falsely > 0 || l.done < c.done {
 				t.Errorf("%v of %v: %d done, want %d; %d refused falsely", shape, c.lasts, l.done, c.done, l.falsely)
 			}
--- a/shared/bbledger/mark.go
+++ b/shared/bbledger/mark.go
@@ -25,7 +25,7 @@
 }
 
 // raise sends the next batch of marks, ahead of need.
-func (k *Keeper) raise() {
+func (k *Allocator) raise() {
 	if !k.opened || k.mark != nil || k.move != nil {
 		return
 	}
@@ -59,7 +59,7 @@
 
 // raiseWant raises the mark of one grantee to twice what it wants, less when
 // there is little.
-func (k *Keeper) raiseWant(a *account, s *share, w *want) {
+func (k *Allocator) raiseWant(a *account, s *share, w *want) {
 	ahead := s.sent - s.granted
 	head := a.headroom()
 	if ahead >= w.least || head < w.least-ahead {
@@ -78,7 +78,7 @@
 	return m
 }
 
-func (k *Keeper) newMark(to Peer, batch []*bbwire.Slice) *pendingMark {
+func (k *Allocator) newMark(to Peer, batch []*bbwire.Slice) *pendingMark {
 	k.seq++
 	m := &pendingMark{msg: &bbwire.Mark{Holder: string(k.holder), Seq: k.seq, Slices: batch}, since: k.now, sent: k.now}
 	k.send(to.ID, m.msg)
@@ -87,7 +87,7 @@
 
 // acked takes a witness's acknowledgement, from the witness that counts and of
 // the mark that is out.
-func (k *Keeper) acked(e Acked) {
+func (k *Allocator) acked(e MarkAcked) {
 	if e.Msg.Holder != string(k.holder) {
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 // applyMarks notes what the witness remembers now.
-func (k *Keeper) applyMarks(batch []*bbwire.Slice) {
+func (k *Allocator) applyMarks(batch []*bbwire.Slice) {
 	for _, m := range batch {
 		s := k.account(bbunit.BudgetID(m.Budget)).share(ParsePeer(m.Grantee))
 		s.acked = max(s.acked, bbunit.Tokens(m.Granted))
@@ -120,7 +120,7 @@
 
 // watchWitness sends marks again and moves away from a witness that is gone or
 // silent.
-func (k *Keeper) watchWitness() {
+func (k *Allocator) watchWitness() {
 	if !k.opened {
 		return
 	}
@@ -146,7 +146,7 @@
 	k.startMove(to)
 }
 
-func (k *Keeper) startMove(to Peer) {
+func (k *Allocator) startMove(to Peer) {
 	k.mark = nil
 	k.move = &move{to: to, ready: to == (Peer{})}
 	var all []*bbwire.Slice
@@ -165,7 +165,7 @@
 
 // watchMove sends the carried marks again and gives up on a new witness that is
 // silent, unless a write that names it is out.
-func (k *Keeper) watchMove() {
+func (k *Allocator) watchMove() {
 	mv := k.move
 	if mv.ready || mv.placed {
 		return
@@ -182,7 +182,7 @@
 }
 
 // editMove names the new witness on every entry of the holder.
-func (k *Keeper) editMove(p *bbwire.Page) bool {
+func (k *Allocator) editMove(p *bbwire.Page) bool {
 	if k.move == nil || !k.move.ready {
 		return false
 	}
@@ -200,7 +200,7 @@
 
 // settleMove takes the witness that the page names, after no write can land any
 // more.
-func (k *Keeper) settleMove(named Peer) {
+func (k *Allocator) settleMove(named Peer) {
 	mv := k.move
 	if mv == nil || !mv.placed {
 		k.witness = named
--- a/shared/bbledger/ops.go
+++ b/shared/bbledger/operator.go
@@ -29,18 +29,18 @@
 
 // BudgetStatus is what a page says of one budget, in tokens.
 type BudgetStatus struct {
-	Budget  bbunit.BudgetID     `json:"budget"`
-	Paid    bbunit.Tokens       `json:"paid"`
-	Number  bbunit.TicketNumber `json:"number"`
-	Capped  bool                `json:"capped,omitempty"`
-	Cap     bbunit.Tokens       `json:"cap,omitempty"`
-	Settled bbunit.Tokens       `json:"settled"`
-	Drawn   bbunit.Tokens       `json:"drawn"`
-	Spent   bbunit.Tokens       `json:"spent"` // settled and reported by holders
-	Stuck   bbunit.Tokens       `json:"stuck"`
-	Rest    bbunit.Tokens       `json:"rest"`
-	Holders []HolderStatus      `json:"holders,omitempty"`
-	Stucks  []StuckStatus       `json:"stucks,omitempty"`
+	Budget       bbunit.BudgetID     `json:"budget"`
+	Paid         bbunit.Tokens       `json:"paid"`
+	TicketNumber bbunit.TicketNumber `json:"number"`
+	Capped       bool                `json:"capped,omitempty"`
+	Cap          bbunit.Tokens       `json:"cap,omitempty"`
+	Settled      bbunit.Tokens       `json:"settled"`
+	Drawn        bbunit.Tokens       `json:"drawn"`
+	Spent        bbunit.Tokens       `json:"spent"` // settled and reported by holders
+	Stuck        bbunit.Tokens       `json:"stuck"`
+	Remaining    bbunit.Tokens       `json:"rest"`
+	Holders      []HolderStatus      `json:"holders,omitempty"`
+	StuckGrants  []StuckStatus       `json:"stucks,omitempty"`
 }
 
 // HolderStatus is one holder's place on a budget.
@@ -58,14 +58,14 @@
 	Holder  bbunit.HolderID `json:"holder"`
 	Grantee string          `json:"grantee"`
 	Amount  bbunit.Tokens   `json:"amount"`
-	Why     string          `json:"why"`
+	Reason  string          `json:"why"`
 }
 
 // StatusOf returns what an entry says.
 func StatusOf(e *bbwire.Entry) BudgetStatus {
 	s := BudgetStatus{
-		Budget: bbunit.BudgetID(e.Budget), Paid: bbunit.Tokens(e.Paid), Number: bbunit.TicketNumber(e.Number),
-		Settled: bbunit.Tokens(e.Settled), Spent: bbunit.Tokens(e.Settled), Rest: Rest(e),
+		Budget: bbunit.BudgetID(e.Budget), Paid: bbunit.Tokens(e.Paid), TicketNumber: bbunit.TicketNumber(e.Number),
+		Settled: bbunit.Tokens(e.Settled), Spent: bbunit.Tokens(e.Settled), Remaining: Remaining(e),
 	}
 	if e.Capnumber > e.Number {
 		s.Capped, s.Cap = true, bbunit.Tokens(e.Cap)
@@ -84,23 +84,23 @@
 			continue
 		}
 		s.Stuck += bbunit.Tokens(x.Amount)
-		s.Stucks = append(s.Stucks, StuckStatus{
+		s.StuckGrants = append(s.StuckGrants, StuckStatus{
 			Holder: bbunit.HolderID(x.Holder), Grantee: x.Grantee, Amount: bbunit.Tokens(x.Amount),
-			Why: "granted to " + x.Grantee + ", which has not given its final account",
+			Reason: "granted to " + x.Grantee + ", which has not given its final account",
 		})
 	}
 	return s
 }
 
-// Show reads all budgets of all pages. It blocks on the key-value service.
-func Show(ctx context.Context, store bbstore.Store) ([]BudgetStatus, error) {
-	list, _, err := store.List(ctx, Prefix)
+// ListBudgets reads all budgets of all pages. It blocks on the key-value service.
+func ListBudgets(ctx context.Context, store bbstore.Store) ([]BudgetStatus, error) {
+	list, _, err := store.List(ctx, PagePrefix)
 	if err != nil {
 		return nil, errors.Annotate(err, "list budget pages")
 	}
 	var out []BudgetStatus
 	for _, x := range list {
-		p, err := Decode(x.Value)
+		p, err := DecodePage(x.Value)
 		if err != nil {
 			return nil, errors.Annotate(err, x.Key)
 		}
@@ -124,7 +124,7 @@
 		if e.Capnumber >= uint64(number) && e.Capnonce != nonce && e.Capnumber > e.Number {
 			return errors.Annotatef(ErrCapped, "budget %s, ticket %d, nonce %s", b, e.Capnumber, e.Capnonce)
 		}
-		if t := Taken(e); t > paid {
+		if t := Charged(e); t > paid {
 			return errors.Annotatef(ErrBelowDrawn, "budget %s: %d tokens are drawn, settled or stuck, %d asked for", b, t, paid)
 		}
 		if e.Capnumber > e.Number {
@@ -184,7 +184,7 @@
 
 // ReleaseEntry is Release on an entry.
 func ReleaseEntry(e *bbwire.Entry, h bbunit.HolderID) (bbunit.Tokens, error) {
-	before := Taken(e)
+	before := Charged(e)
 	stuck, x := stuckOf(e, h), findHolder(e, h)
 	switch {
 	case len(stuck) > 0:
@@ -197,7 +197,7 @@
 	default:
 		return 0, errors.Annotatef(ErrNoHolder, "budget %s, holder %s", e.Budget, h)
 	}
-	return before - Taken(e), nil
+	return before - Charged(e), nil
 }
 
 // editEntry changes one entry by compare-and-swap until it stands. A lost
@@ -210,7 +210,7 @@
 		if err != nil {
 			return errors.Annotate(err, key)
 		}
-		p, err := Decode(x.Value)
+		p, err := DecodePage(x.Value)
 		if err != nil {
 			return errors.Annotate(err, key)
 		}
@@ -221,7 +221,7 @@
 		if proto.Equal(before, p) {
 			return nil
 		}
-		value, err := Encode(p)
+		value, err := EncodePage(p)
 		if err != nil {
 			return errors.Trace(err)
 		}
--- a/shared/bbledger/ops_test.go
+++ b/shared/bbledger/operator_test.go
@@ -22,7 +22,7 @@
 		Holders: []*bbwire.Holder{{Holder: "k/1/0-1", Domain: "d", Drawn: 30, Spent: 10}},
 		Stuck:   []*bbwire.Stuck{{Holder: "k/1/0-1", Grantee: "g/1", Amount: 5}},
 	}}}
-	value, err := Encode(p)
+	value, err := EncodePage(p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 }
 
 func showB(t *testing.T, m bbstore.Store) BudgetStatus {
-	all, err := Show(context.Background(), m)
+	all, err := ListBudgets(context.Background(), m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,8 +52,8 @@
 		{"lowers", 60, 4, "n", nil},
 		{"to what is taken", 55, 4, "n", nil},
 		{"below what is taken", 54, 4, "n", ErrBelowDrawn},
-		{"negative", -1, 4, "n", ErrAmount},
-		{"too large", MostPaid + 1, 4, "n", ErrAmount},
+		{"negative", -1, 4, "n", ErrAmountRange},
+		{"too large", MaxPaid + 1, 4, "n", ErrAmountRange},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -64,9 +64,9 @@
 			s := showB(t, m)
 			is.Equal(s.Capped, c.err == nil)
 			if c.err == nil {
-				is.Equal(s.Rest, c.paid-55)
+				is.Equal(s.Remaining, c.paid-55)
 			} else {
-				is.Equal(s.Rest, bbunit.Tokens(45))
+				is.Equal(s.Remaining, bbunit.Tokens(45))
 			}
 		})
 	}
@@ -102,7 +102,7 @@
 		is.Equal(n, c.back)
 		s := showB(t, m)
 		is.Equal(s.Settled, c.settled)
-		is.Equal(s.Rest, c.rest)
+		is.Equal(s.Remaining, c.rest)
 	}
 	_, err = Release(ctx, m, "b", "k/1/0-1")
 	is.True(errors.Is(err, ErrNoHolder))
@@ -142,7 +142,7 @@
 			st := &bbticket.State{Number: c.state}
 			st.Budgets = st.Budgets.Set("b", c.ticket)
 			is.Equal(advance(e, st), c.changed)
-			is.Equal(Effective(e), c.limit)
+			is.Equal(EffectiveLimit(e), c.limit)
 		})
 	}
 }
@@ -153,9 +153,9 @@
 
 func TestDecodeRefusesGarbage(t *testing.T) {
 	is := is.New(t)
-	_, err := Decode([]byte{0xff, 0xff})
-	is.True(errors.Is(err, ErrPage))
-	p, err := Decode(nil)
+	_, err := DecodePage([]byte{0xff, 0xff})
+	is.True(errors.Is(err, ErrMalformedPage))
+	p, err := DecodePage(nil)
 	is.NoErr(err)
 	is.Equal(len(p.Entries), 0)
 }
@@ -166,10 +166,10 @@
 	e := &bbwire.Entry{Budget: "b", Paid: 100}
 	addStuck(e, "k/1/0-1", rigG, 5, 12)
 	addStuck(e, "k/1/0-1", odd, 7, 3)
-	is.Equal(Taken(e), bbunit.Tokens(27))
+	is.Equal(Charged(e), bbunit.Tokens(27))
 	is.Equal(StatusOf(e).Stuck, bbunit.Tokens(12))
 	is.Equal(StatusOf(e).Spent, bbunit.Tokens(15))
 	is.Equal(dropStuck(e, "k/1/0-1", rigG), int64(12))
 	is.Equal(stuckPeers(e), []finalKey{{"k/1/0-1", odd}}) // it is still waited for
-	is.Equal(Taken(e), bbunit.Tokens(10))
+	is.Equal(Charged(e), bbunit.Tokens(10))
 }
--- a/shared/bbledger/page.go
+++ b/shared/bbledger/page.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	// Pages is how many pages the budgets are spread over. It never changes
+	// PageCount is how many pages the budgets are spread over. It never changes
 	// for the life of a fleet.
-	Pages = 256
-	// Prefix is the key prefix of all pages.
-	Prefix = "/bb/page/"
-	// MostPaid is the largest amount that a budget may hold, in tokens. Sums
+	PageCount = 256
+	// PagePrefix is the key prefix of all pages.
+	PagePrefix = "/bb/page/"
+	// MaxPaid is the largest amount that a budget may hold, in tokens. Sums
 	// over a page stay far from overflow.
-	MostPaid = bbunit.Tokens(1) << 50
+	MaxPaid = bbunit.Tokens(1) << 50
 )
 
 // Sentinel errors of pages, tested with errors.Is.
 const (
-	// ErrPage means that a page's value could not be read.
-	ErrPage = errors.ConstError("budget page malformed")
-	// ErrAmount means that an amount is negative or above MostPaid.
-	ErrAmount = errors.ConstError("amount out of range")
+	// ErrMalformedPage means that a page's value could not be read.
+	ErrMalformedPage = errors.ConstError("budget page malformed")
+	// ErrAmountRange means that an amount is negative or above MostPaid.
+	ErrAmountRange = errors.ConstError("amount out of range")
 )
 
 // PageOf returns the page that the budget is on.
 func PageOf(b bbunit.BudgetID) int {
-	return int(xxhash.Sum64String(string(b)) % Pages)
+	return int(xxhash.Sum64String(string(b)) % PageCount)
 }
 
 // PageKey returns the key of a page in the key-value service.
-func PageKey(n int) string { return fmt.Sprintf("%s%04d", Prefix, n) }
+func PageKey(n int) string { return fmt.Sprintf("%s%04d", PagePrefix, n) }
 
-// HomeKey returns the name under which keepers of a page are ranked.
-func HomeKey(n int) string { return fmt.Sprintf("page/%04d", n) }
+// PageHomeKey returns the name under which keepers of a page are ranked.
+func PageHomeKey(n int) string { return fmt.Sprintf("page/%04d", n) }
 
-// Decode reads a page's value; nil gives an empty page. ErrPage.
-func Decode(value []byte) (*bbwire.Page, error) {
+// DecodePage reads a page's value; nil gives an empty page. ErrPage.
+func DecodePage(value []byte) (*bbwire.Page, error) {
 	p := &bbwire.Page{}
 	if err := proto.Unmarshal(value, p); err != nil {
-		return nil, errors.WithType(err, ErrPage)
+		return nil, errors.WithType(err, ErrMalformedPage)
 	}
 	for _, e := range p.Entries {
 		for _, h := range e.Holders {
@@ -55,7 +55,7 @@
 				continue
 			}
 			if int(h.Name) > len(p.Names) {
-				return nil, errors.Annotatef(ErrPage, "budget %s: name %d of %d", e.Budget, h.Name, len(p.Names))
+				return nil, errors.Annotatef(ErrMalformedPage, "budget %s: name %d of %d", e.Budget, h.Name, len(p.Names))
 			}
 			n := p.Names[h.Name-1]
 			h.Holder, h.Instance, h.Domain, h.Witness, h.Name = n.Holder, n.Instance, n.Domain, n.Witness, 0
@@ -65,9 +65,9 @@
 	return p, nil
 }
 
-// Encode returns the value of a page. A keeper holds many budgets of a page
+// EncodePage returns the value of a page. A keeper holds many budgets of a page
 // under one name, which is stored once.
-func Encode(p *bbwire.Page) ([]byte, error) {
+func EncodePage(p *bbwire.Page) ([]byte, error) {
 	type name struct{ holder, instance, domain, witness string }
 	places := map[name]uint32{}
 	out := &bbwire.Page{}
@@ -91,23 +91,23 @@
 
 // CheckAmount returns ErrAmount unless 0 <= n <= MostPaid.
 func CheckAmount(n bbunit.Tokens) error {
-	if n < 0 || n > MostPaid {
-		return errors.Annotatef(ErrAmount, "%d tokens", n)
+	if n < 0 || n > MaxPaid {
+		return errors.Annotatef(ErrAmountRange, "%d tokens", n)
 	}
 	return nil
 }
 
-// Effective is how much of the budget may be taken: paid, or the cap of a
+// EffectiveLimit is how much of the budget may be taken: paid, or the cap of a
 // ticket that is about to lower it.
-func Effective(e *bbwire.Entry) bbunit.Tokens {
+func EffectiveLimit(e *bbwire.Entry) bbunit.Tokens {
 	if e.Capnumber > e.Number && e.Cap < e.Paid {
 		return bbunit.Tokens(e.Cap)
 	}
 	return bbunit.Tokens(e.Paid)
 }
 
-// Taken is all that counts against the budget: settled, stuck and drawn.
-func Taken(e *bbwire.Entry) bbunit.Tokens {
+// Charged is all that counts against the budget: settled, stuck and drawn.
+func Charged(e *bbwire.Entry) bbunit.Tokens {
 	n := e.Settled
 	for _, s := range e.Stuck {
 		n += s.Amount + s.Spent
@@ -118,9 +118,9 @@
 	return bbunit.Tokens(n)
 }
 
-// Rest is what may still be drawn of the budget, never below 0.
-func Rest(e *bbwire.Entry) bbunit.Tokens {
-	return max(0, Effective(e)-Taken(e))
+// Remaining is what may still be drawn of the budget, never below 0.
+func Remaining(e *bbwire.Entry) bbunit.Tokens {
+	return max(0, EffectiveLimit(e)-Charged(e))
 }
 
 // findEntry returns the budget's entry, or nil.
--- a/shared/bbledger/page_test.go
+++ b/shared/bbledger/page_test.go
@@ -19,17 +19,17 @@
 	p.Entries[3].Stuck = []*bbwire.Stuck{{Holder: "h", Grantee: "g", Amount: 7}}
 	p.Entries[4].Cap, p.Entries[4].Capnumber, p.Entries[4].Capnonce = 9, 10, "n"
 	was := clonePage(p)
-	v, err := Encode(p)
+	v, err := EncodePage(p)
 	is.NoErr(err)
 	is.True(proto.Equal(p, was)) // encoding leaves the page alone
-	got, err := Decode(v)
+	got, err := DecodePage(v)
 	is.NoErr(err)
 	is.True(proto.Equal(got, was))
 
 	bad, err := proto.Marshal(&bbwire.Page{Entries: []*bbwire.Entry{{Budget: "b", Holders: []*bbwire.Holder{{Name: 2}}}}})
 	is.NoErr(err)
-	_, err = Decode(bad)
-	is.True(errors.Is(err, ErrPage))
-	_, err = Decode([]byte("not a page"))
-	is.True(errors.Is(err, ErrPage))
+	_, err = DecodePage(bad)
+	is.True(errors.Is(err, ErrMalformedPage))
+	_, err = DecodePage([]byte("not a page"))
+	is.True(errors.Is(err, ErrMalformedPage))
 }
--- a/shared/bbledger/policy.go
+++ b/shared/bbledger/policy.go
@@ -10,12 +10,12 @@
 // Policy moves between fewer false refusals and smaller stuck shares. Overspend
 // is impossible under any policy.
 type Policy struct {
-	// Horizon is how long a keeper's draw should last.
-	Horizon time.Duration
-	// Solo is the horizon of a keeper that has no witness.
-	Solo time.Duration
-	// Grant is how long an instance's slice should last.
-	Grant time.Duration
+	// DrawHorizon is how long a keeper's draw should last.
+	DrawHorizon time.Duration
+	// UnwitnessedHorizon is the horizon of a keeper that has no witness.
+	UnwitnessedHorizon time.Duration
+	// GrantHorizon is how long an instance's slice should last.
+	GrantHorizon time.Duration
 	// Borrow lets an instance ask keepers of other failure domains before it
 	// refuses a request.
 	Borrow bool
@@ -103,5 +103,5 @@
 
 // over returns the demand of a period.
 func (r *rate) over(d time.Duration) bbunit.Tokens {
-	return bbunit.Tokens(min(r.perSec*d.Seconds(), float64(MostPaid)))
+	return bbunit.Tokens(min(r.perSec*d.Seconds(), float64(MaxPaid)))
 }
--- a/shared/bbledger/recall.go
+++ b/shared/bbledger/recall.go
@@ -11,7 +11,7 @@
 
 // recall asks grantees of a budget for what they have free, when a want cannot
 // be met otherwise. It reports whether the want should wait for their answers.
-func (k *Keeper) recall(a *account, w *want) bool {
+func (k *Allocator) recall(a *account, w *want) bool {
 	if !w.recalled.IsZero() {
 		return k.now.Sub(w.recalled) < recallFor
 	}
@@ -49,7 +49,7 @@
 }
 
 // lenders lists who else may have something of the account left.
-func (k *Keeper) lenders(a *account, but Peer) []Peer {
+func (k *Allocator) lenders(a *account, but Peer) []Peer {
 	var out []Peer
 	for _, p := range a.peers() {
 		if p != but && a.share(p).lent() > 0 && k.where().alive[p] {
@@ -70,7 +70,7 @@
 
 // scrape lowers a want that cannot be met to what there is, so that the grantee
 // can get the rest in another failure domain. It reports whether there is any.
-func (k *Keeper) scrape(a *account, w *want) bool {
+func (k *Allocator) scrape(a *account, w *want) bool {
 	n := k.atHand(a, w)
 	if !w.urgent || !k.policy.Borrow || k.where().domains < 2 || n <= 0 {
 		return false
@@ -80,7 +80,7 @@
 }
 
 // grant tells a grantee what it was granted, and whether that was the last.
-func (k *Keeper) grant(w *want, a *account) {
+func (k *Allocator) grant(w *want, a *account) {
 	t := &bbwire.GrantTell{Slices: []*bbwire.Slice{a.slice(k.holder, w.peer)}}
 	if w.scraped {
 		k.emptyTell(a, t)
@@ -90,12 +90,12 @@
 
 // emptyTell adds to an answer that nothing of the account can be granted, and
 // what may come back.
-func (k *Keeper) emptyTell(a *account, t *bbwire.GrantTell) *bbwire.GrantTell {
+func (k *Allocator) emptyTell(a *account, t *bbwire.GrantTell) *bbwire.GrantTell {
 	t.Empty = append(t.Empty, string(a.budget))
 	left := &bbwire.Left{Budget: string(a.budget), Lent: int64(k.unspent(a))}
 	if k.cache != nil {
 		e := k.entry(a)
-		left.Rest = int64(Rest(e))
+		left.Rest = int64(Remaining(e))
 		for _, h := range e.Holders {
 			switch {
 			case k.closing(h):
@@ -111,7 +111,7 @@
 
 // closing tells whether a holder of the own failure domain is about to be
 // closed, so that what it has left comes back to the page.
-func (k *Keeper) closing(h *bbwire.Holder) bool {
+func (k *Allocator) closing(h *bbwire.Holder) bool {
 	p := HolderPeer(bbunit.HolderID(h.Holder))
 	if h.Domain != string(k.self.Domain) || h.Holder == string(k.holder) {
 		return false
@@ -121,7 +121,7 @@
 
 // unspent is what of the account's draw is not known to be spent, without what
 // grantees have that are gone.
-func (k *Keeper) unspent(a *account) bbunit.Tokens {
+func (k *Allocator) unspent(a *account) bbunit.Tokens {
 	n := a.drawn
 	for p, s := range a.shares {
 		switch {
@@ -136,23 +136,23 @@
 }
 
 // entry is the account's entry of the page as it stands with what is in force.
-func (k *Keeper) entry(a *account) *bbwire.Entry {
+func (k *Allocator) entry(a *account) *bbwire.Entry {
 	e := clonePage(&bbwire.Page{Entries: []*bbwire.Entry{entryOrNew(k.cache, a.budget)}}).Entries[0]
 	advance(e, k.state)
 	return e
 }
 
 // atHand is what a want can be given without a recall; the page must not be nil.
-func (k *Keeper) atHand(a *account, w *want) bbunit.Tokens {
+func (k *Allocator) atHand(a *account, w *want) bbunit.Tokens {
 	s := a.share(w.peer)
-	return Rest(k.entry(a)) + a.headroom() + s.sent - s.granted
+	return Remaining(k.entry(a)) + a.headroom() + s.sent - s.granted
 }
 
 // recall returns what is free of a budget for another grantee. While requests
 // wait here, only what is too little for any of them is returned, and only to
 // a grantee that comes before this one: two that are short do not take turns.
-func (p *Purse) recall(now time.Time, r *bbwire.Recall) []Send {
-	pot := p.Pot(bbunit.BudgetID(r.Budget))
+func (p *Wallet) recall(now time.Time, r *bbwire.Recall) []Send {
+	pot := p.Balance(bbunit.BudgetID(r.Budget))
 	a := &pot.asking
 	a.recalled = now
 	pot.flush()
@@ -171,23 +171,23 @@
 	rest bbunit.Tokens
 }
 
-// Dry tells whether every keeper that the policy lets the pot ask has said, not
+// AllAllocatorsEmpty tells whether every keeper that the policy lets the pot ask has said, not
 // long ago, that it can grant nothing.
-func (p *Purse) Dry(now time.Time, v *bbmember.View, pot *Pot) bool {
+func (p *Wallet) AllAllocatorsEmpty(now time.Time, v *bbmember.View, pot *Balance) bool {
 	_, ok := p.left(now, v, pot)
 	return ok
 }
 
 // Exhausted tells whether the pot is dry and what may still come back, when open
 // requests end, is less than n tokens.
-func (p *Purse) Exhausted(now time.Time, v *bbmember.View, pot *Pot, n bbunit.Tokens) bool {
+func (p *Wallet) Exhausted(now time.Time, v *bbmember.View, pot *Balance, n bbunit.Tokens) bool {
 	left, ok := p.left(now, v, pot)
 	return ok && left < n
 }
 
 // left sums what the keepers know to be unspent; false when not all of them said
 // not long ago that they can grant nothing.
-func (p *Purse) left(now time.Time, v *bbmember.View, pot *Pot) (bbunit.Tokens, bool) {
+func (p *Wallet) left(now time.Time, v *bbmember.View, pot *Balance) (bbunit.Tokens, bool) {
 	var lent, rest bbunit.Tokens
 	turns := p.turns(v, PageOf(pot.Budget))
 	for _, m := range turns {
--- a/shared/bbledger/recall_test.go
+++ b/shared/bbledger/recall_test.go
@@ -28,7 +28,7 @@
 }
 
 func (r *rig) hungryAs(p Peer, urgent bool, least int64) {
-	r.step(Ask{From: p, Msg: &bbwire.GrantAsk{Wants: []*bbwire.Want{{Budget: "b", Amount: least, Least: least, Urgent: urgent}}}})
+	r.step(GrantRequested{From: p, Msg: &bbwire.GrantAsk{Wants: []*bbwire.Want{{Budget: "b", Amount: least, Least: least, Urgent: urgent}}}})
 	if _, ok := take[Load](r); ok {
 		r.step(Loaded{Page: clonePage(r.page), Rev: r.rev})
 	}
@@ -36,7 +36,7 @@
 
 // said is what the rig's grantee reports.
 func (r *rig) said(spent, returned int64) {
-	r.step(Ask{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{
+	r.step(GrantRequested{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{
 		{Budget: "b", Holder: string(r.k.Holder()), Grantee: rigG.String(), Granted: 100, Spent: spent, Returned: returned},
 	}}})
 }
@@ -45,7 +45,7 @@
 // does not.
 func (r *rig) emptied() *bbwire.GrantTell {
 	for range 10 {
-		r.tick(TickEvery)
+		r.tick(TickInterval)
 		out := r.out
 		r.out = nil
 		for _, a := range out {
@@ -191,13 +191,13 @@
 		is := is.New(t)
 		p, v := newTestPurse(true)
 		now := time.Unix(1000, 0)
-		p.Told(now, "d", grantOf("k/1/0-1", 20))
-		pot := p.Pot("b")
+		p.HandleGrant(now, "d", grantOf("k/1/0-1", 20))
+		pot := p.Balance("b")
 		is.True(pot.Reserve(5))
 		if c.waits > 0 {
-			p.Wait(pot, c.waits)
+			p.AddWaiter(pot, c.waits)
 		}
-		out := p.Told(now, "d", &bbwire.GrantTell{Recalls: []*bbwire.Recall{{Budget: "b", Grantee: c.grantee}}})
+		out := p.HandleGrant(now, "d", &bbwire.GrantTell{Recalls: []*bbwire.Recall{{Budget: "b", Grantee: c.grantee}}})
 		is.Equal(len(out), 1)
 		is.Equal(out[0].To, bbunit.InstanceID("k"))
 		s := out[0].Body.(*bbwire.GrantAsk).Slices[0]
@@ -207,8 +207,8 @@
 		is.Equal(pot.Free(), bbunit.Tokens(15-c.returned))
 		if c.waits == 0 {
 			pot.rate.perSec = 1000
-			is.Equal(len(p.Asks(now.Add(askEvery), v)), 0) // it does not ask back what it returned
-			is.Equal(len(p.Asks(now.Add(recallCalm), v)), 1)
+			is.Equal(len(p.DueMessages(now.Add(askEvery), v)), 0) // it does not ask back what it returned
+			is.Equal(len(p.DueMessages(now.Add(recallCalm), v)), 1)
 		}
 	}
 }
@@ -230,13 +230,13 @@
 		is := is.New(t)
 		p, v := newTestPurse(true)
 		now := time.Unix(1000, 0)
-		pot := p.Pot("b")
-		p.Wait(pot, 10)
+		pot := p.Balance("b")
+		p.AddWaiter(pot, 10)
 		for d, l := range map[bbunit.DomainID]*bbwire.Left{"e": c.own, "d": c.other} {
 			l.Budget = "b"
-			p.Told(now, d, &bbwire.GrantTell{Empty: []string{"b"}, Lefts: []*bbwire.Left{l}})
+			p.HandleGrant(now, d, &bbwire.GrantTell{Empty: []string{"b"}, Lefts: []*bbwire.Left{l}})
 		}
-		is.True(p.Dry(now, v, pot))
+		is.True(p.AllAllocatorsEmpty(now, v, pot))
 		if p.Exhausted(now, v, pot, 10) != c.exhausted {
 			t.Errorf("%s: exhausted is not %v", c.name, c.exhausted)
 		}
@@ -247,15 +247,15 @@
 	is := is.New(t)
 	p, v := newTestPurse(true)
 	now := time.Unix(1000, 0)
-	pot := p.Pot("b")
-	p.Wait(pot, 10)
+	pot := p.Balance("b")
+	p.AddWaiter(pot, 10)
 	asked := 0
 	for range 100 {
-		for range p.Asks(now, v) {
+		for range p.DueMessages(now, v) {
 			asked++
 		}
 		for _, d := range []bbunit.DomainID{"d", "e"} {
-			p.Told(now, d, &bbwire.GrantTell{Empty: []string{"b"}, Lefts: []*bbwire.Left{{Budget: "b", Lent: 50}}})
+			p.HandleGrant(now, d, &bbwire.GrantTell{Empty: []string{"b"}, Lefts: []*bbwire.Left{{Budget: "b", Lent: 50}}})
 		}
 	}
 	is.True(asked <= 2)
@@ -303,9 +303,9 @@
 	is := is.New(t)
 	p, v := newTestPurse(true)
 	now := time.Unix(1000, 0)
-	pot := p.Pot("b")
+	pot := p.Balance("b")
 	pot.rate.perSec = 1000
-	is.Equal(p.Asks(now, v)[0].To, rigG.ID)
-	p.Told(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
-	is.Equal(len(p.Asks(now.Add(askEvery), v)), 0)
+	is.Equal(p.DueMessages(now, v)[0].To, rigG.ID)
+	p.HandleGrant(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
+	is.Equal(len(p.DueMessages(now.Add(askEvery), v)), 0)
 }
--- a/shared/bbledger/sim_test.go
+++ b/shared/bbledger/sim_test.go
@@ -39,9 +39,9 @@
 	member  bbmember.Member
 	policy  Policy
 	view    *bbmember.View
-	purse   *Purse
+	purse   *Wallet
 	witness *Witness
-	keeper  *Keeper
+	keeper  *Allocator
 	holders uint64
 	op      any // the Load or Save that is out
 	holds   []simHold
@@ -51,7 +51,7 @@
 }
 
 type simHold struct {
-	pot  *Pot
+	pot  *Balance
 	most bbunit.Tokens
 }
 
@@ -62,7 +62,7 @@
 	body any
 }
 
-var simPolicy = Policy{Horizon: 4 * time.Second, Solo: time.Second, Grant: time.Second, Borrow: true}
+var simPolicy = Policy{DrawHorizon: 4 * time.Second, UnwitnessedHorizon: time.Second, GrantHorizon: time.Second, Borrow: true}
 
 // samePage returns n budgets that are on one page.
 func samePage(n int) []bbunit.BudgetID {
@@ -91,9 +91,9 @@
 }
 
 func (s *sim) add(m bbmember.Member, policy Policy) *node {
-	n := &node{member: m, policy: policy, purse: NewPurse(m, policy), witness: &Witness{}}
+	n := &node{member: m, policy: policy, purse: NewWallet(m, policy), witness: &Witness{}}
 	n.view = &bbmember.View{Self: m, Members: []bbmember.Member{m}}
-	n.keeper = NewKeeper(PageOf(s.budgets[0]), m, policy, func() uint64 { n.holders++; return n.holders })
+	n.keeper = NewAllocator(PageOf(s.budgets[0]), m, policy, func() uint64 { n.holders++; return n.holders })
 	s.nodes = append(s.nodes, n)
 	return n
 }
@@ -174,7 +174,7 @@
 		return
 	}
 	s.do(n, n.keeper.Step(s.now, Tick{View: n.view, State: s.state}))
-	s.posts(n, n.purse.Asks(s.now, n.view))
+	s.posts(n, n.purse.DueMessages(s.now, n.view))
 }
 
 // deliver hands over message i and keeps it when twice.
@@ -193,13 +193,13 @@
 func (s *sim) receive(n *node, m mail) {
 	switch b := m.body.(type) {
 	case *bbwire.GrantAsk:
-		s.do(n, n.keeper.Step(s.now, Ask{From: m.from, Msg: b}))
+		s.do(n, n.keeper.Step(s.now, GrantRequested{From: m.from, Msg: b}))
 	case *bbwire.GrantTell:
-		s.posts(n, n.purse.Told(s.now, m.dom[0], b))
+		s.posts(n, n.purse.HandleGrant(s.now, m.dom[0], b))
 	case *bbwire.Mark:
 		s.post(n, Send{To: m.from.ID, Body: n.witness.Mark(b)})
 	case *bbwire.MarkAck:
-		s.do(n, n.keeper.Step(s.now, Acked{From: m.from, Msg: b}))
+		s.do(n, n.keeper.Step(s.now, MarkAcked{From: m.from, Msg: b}))
 	case *bbwire.Freeze:
 		s.post(n, Send{To: m.from.ID, Body: n.witness.Freeze(b)})
 	case *bbwire.FreezeTell:
@@ -286,14 +286,14 @@
 	if n.dead || n.paused || n.drained {
 		return false
 	}
-	pot := n.purse.Pot(b)
+	pot := n.purse.Balance(b)
 	if pot.Reserve(most) {
 		n.holds = append(n.holds, simHold{pot, most})
 		return true
 	}
-	n.purse.Wait(pot, most)
-	s.posts(n, n.purse.Asks(s.now, n.view))
-	n.purse.Done(pot, most)
+	n.purse.AddWaiter(pot, most)
+	s.posts(n, n.purse.DueMessages(s.now, n.view))
+	n.purse.RemoveWaiter(pot, most)
 	pot.asking.sent = s.now
 	return false
 }
@@ -301,7 +301,7 @@
 func (s *sim) end(n *node, i int, used bbunit.Tokens) {
 	h := n.holds[i]
 	n.holds = append(n.holds[:i:i], n.holds[i+1:]...)
-	h.pot.End(h.most, used)
+	h.pot.Commit(h.most, used)
 	s.spent[h.pot.Budget] += min(used, h.most)
 }
 
@@ -331,11 +331,11 @@
 			s.fail("budget %s: %d spent and reserved of %d paid; page %v", b, open, s.paid(b), s.page)
 		}
 		e := entryOrNew(s.page, b)
-		if Taken(e) > s.paid(b) {
-			s.fail("budget %s: %d taken of %d paid", b, Taken(e), s.paid(b))
+		if Charged(e) > s.paid(b) {
+			s.fail("budget %s: %d taken of %d paid", b, Charged(e), s.paid(b))
 		}
-		if open > Taken(e) {
-			s.fail("budget %s: %d spent and reserved, the page counts %d: %v", b, open, Taken(e), e)
+		if open > Charged(e) {
+			s.fail("budget %s: %d spent and reserved, the page counts %d: %v", b, open, Charged(e), e)
 		}
 	}
 }
@@ -343,7 +343,7 @@
 // settle runs without faults for d, in steps of the tick.
 func (s *sim) settle(d time.Duration, each func()) {
 	for end := s.now.Add(d); s.now.Before(end); {
-		s.now = s.now.Add(TickEvery)
+		s.now = s.now.Add(TickInterval)
 		for _, n := range s.live() {
 			s.tick(n)
 		}
@@ -387,7 +387,7 @@
 	}
 	s.showAll()
 	for _, n := range s.live() {
-		s.do(n, n.keeper.Step(s.now, Visit{}))
+		s.do(n, n.keeper.Step(s.now, Refresh{}))
 	}
 }
 
@@ -535,7 +535,7 @@
 		return
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "between") {
-		s.now = s.now.Add(TickEvery)
+		s.now = s.now.Add(TickInterval)
 		for _, n := range s.live() {
 			s.tick(n)
 		}
@@ -557,12 +557,12 @@
 }
 
 func (x simStore) Get(_ context.Context, key string) (bbstore.Entry, error) {
-	value, err := Encode(x.s.page)
+	value, err := EncodePage(x.s.page)
 	return bbstore.Entry{Key: key, Value: value, Rev: x.s.rev}, err
 }
 
 func (x simStore) CAS(_ context.Context, _ string, value []byte, prev bbstore.Revision, _ bbstore.LeaseID) (bbstore.Revision, error) {
-	p, err := Decode(value)
+	p, err := DecodePage(value)
 	if err != nil {
 		return 0, err
 	}
@@ -585,7 +585,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		policy := simPolicy
 		policy.Borrow = rapid.Bool().Draw(t, "borrow")
-		policy.Horizon = rapid.SampledFrom([]time.Duration{simPolicy.Horizon, simPolicy.Grant}).Draw(t, "horizon")
+		policy.DrawHorizon = rapid.SampledFrom([]time.Duration{simPolicy.DrawHorizon, simPolicy.GrantHorizon}).Draw(t, "horizon")
 		s := newSim(2, rapid.IntRange(1, 3).Draw(t, "each"), policy, t.Fatalf)
 		for _, b := range s.budgets {
 			s.pay(b, 200)
--- a/shared/bbledger/status.go
+++ b/shared/bbledger/status.go
@@ -7,8 +7,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// KeeperStatus is what a keeper holds, for operators.
-type KeeperStatus struct {
+// AllocatorStatus is what a keeper holds, for operators.
+type AllocatorStatus struct {
 	Page    int               `json:"page"`
 	Holder  bbunit.HolderID   `json:"holder"`
 	Witness string            `json:"witness"` // "" without one
@@ -20,8 +20,8 @@
 }
 
 // Status returns what the keeper holds.
-func (k *Keeper) Status() KeeperStatus {
-	s := KeeperStatus{Page: k.page, Holder: k.holder, Witness: k.witness.String()}
+func (k *Allocator) Status() AllocatorStatus {
+	s := AllocatorStatus{Page: k.page, Holder: k.holder, Witness: k.witness.String()}
 	if k.cache != nil {
 		for _, e := range k.cache.Entries {
 			s.Budgets = append(s.Budgets, StatusOf(e))
@@ -37,14 +37,14 @@
 	return s
 }
 
-// PageAsk is the part of an ask that concerns one page.
-type PageAsk struct {
-	Page int
-	Ask  *bbwire.GrantAsk
+// PageRequest is the part of an ask that concerns one page.
+type PageRequest struct {
+	Page    int
+	Request *bbwire.GrantAsk
 }
 
-// SplitAsk deals an ask out by pages, in their order.
-func SplitAsk(m *bbwire.GrantAsk) []PageAsk {
+// SplitByPage deals an ask out by pages, in their order.
+func SplitByPage(m *bbwire.GrantAsk) []PageRequest {
 	byPage := map[int]*bbwire.GrantAsk{}
 	need := func(budget string) *bbwire.GrantAsk {
 		n := PageOf(bbunit.BudgetID(budget))
@@ -61,9 +61,9 @@
 		a := need(w.Budget)
 		a.Wants = append(a.Wants, w)
 	}
-	out := make([]PageAsk, 0, len(byPage))
+	out := make([]PageRequest, 0, len(byPage))
 	for n, a := range byPage {
-		out = append(out, PageAsk{Page: n, Ask: a})
+		out = append(out, PageRequest{Page: n, Request: a})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Page < out[j].Page })
 	return out
--- a/shared/bbledger/strand.go
+++ b/shared/bbledger/stuck.go
@@ -10,7 +10,7 @@
 // watchGrantees notes which grantees are gone. What they had is not taken back:
 // it moves from the holder to the budget's stuck amounts, where operators see
 // it and where a grantee that was only cut off can still account for it.
-func (k *Keeper) watchGrantees() {
+func (k *Allocator) watchGrantees() {
 	if k.watched == k.view && !k.missing {
 		return
 	}
@@ -30,7 +30,7 @@
 }
 
 // strandable tells whether a share is to be moved to the stuck amounts.
-func (k *Keeper) strandable(s *share) bool {
+func (k *Allocator) strandable(s *share) bool {
 	return s.outstanding() > 0 && !s.gone.IsZero() && k.now.Sub(s.gone) >= strandAfter
 }
 
@@ -44,10 +44,10 @@
 }
 
 // canStrand tells whether the page may take the stuck amounts now.
-func (k *Keeper) canStrand() bool { return k.strands && k.opened && !k.limbo && k.move == nil }
+func (k *Allocator) canStrand() bool { return k.strands && k.opened && !k.limbo && k.move == nil }
 
 // editStrand moves what gone grantees have to the stuck amounts.
-func (k *Keeper) editStrand(p *bbwire.Page) bool {
+func (k *Allocator) editStrand(p *bbwire.Page) bool {
 	if !k.canStrand() {
 		return false
 	}
@@ -72,7 +72,7 @@
 }
 
 // adoptStrands takes over which shares the page counts as stuck.
-func (k *Keeper) adoptStrands(a *account) {
+func (k *Allocator) adoptStrands(a *account) {
 	e := findEntry(k.cache, a.budget)
 	for g, s := range a.shares {
 		s.stranded = s.stranded || e != nil && findStuck(e, k.holder, g) != nil
--- a/shared/bbledger/scan.go
+++ b/shared/bbledger/summary.go
@@ -33,9 +33,9 @@
 }
 
 // where returns what the present view means.
-func (k *Keeper) where() *place {
+func (k *Allocator) where() *place {
 	if k.place.view != k.view {
-		m, ok := k.view.Home(HomeKey(k.page), k.self.Domain)
+		m, ok := k.view.Home(PageHomeKey(k.page), k.self.Domain)
 		k.place = place{view: k.view, home: ok && m.ID == k.self.ID, domains: max(1, len(domains(k.view))), alive: make(map[Peer]bool, len(k.view.Members))}
 		for _, m := range k.view.Members {
 			k.place.alive[PeerOf(m)] = true
@@ -45,7 +45,7 @@
 }
 
 // scanned returns what the cached page means; the page must not be nil.
-func (k *Keeper) scanned() *scan {
+func (k *Allocator) scanned() *scan {
 	s := k.scan
 	if s != nil && s.page == k.cache && s.view == k.view && s.state == k.state && s.holder == k.holder {
 		return s
@@ -71,7 +71,7 @@
 }
 
 // needsWrite tells, without a copy of the page, whether edit may change it.
-func (k *Keeper) needsWrite() bool {
+func (k *Allocator) needsWrite() bool {
 	s := k.scanned()
 	if s.behind || s.spare || k.canStrand() || s.stuck && len(k.finals) > 0 || k.move != nil && k.move.ready {
 		return true
@@ -85,7 +85,7 @@
 }
 
 // needsDraw tells whether an account's draw should change by a write of its own.
-func (k *Keeper) needsDraw(s *scan) bool {
+func (k *Allocator) needsDraw(s *scan) bool {
 	for _, a := range k.ordered() {
 		e := s.entries[a.budget]
 		if e == nil {
--- a/shared/bbledger/purse.go
+++ b/shared/bbledger/wallet.go
@@ -11,18 +11,18 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Purse is all the money of one instance. Pot may be called by any goroutine;
+// Wallet is all the money of one instance. Pot may be called by any goroutine;
 // the other methods belong to one goroutine.
-type Purse struct {
+type Wallet struct {
 	self   Peer
 	domain bbunit.DomainID
 	policy Policy
 
 	mu   sync.Mutex // writers of pots
-	pots atomic.Pointer[map[bbunit.BudgetID]*Pot]
+	pots atomic.Pointer[map[bbunit.BudgetID]*Balance]
 
-	list   []*Pot // of listed, in order
-	listed *map[bbunit.BudgetID]*Pot
+	list   []*Balance // of listed, in order
+	listed *map[bbunit.BudgetID]*Balance
 	view   *bbmember.View // of byPage
 	byPage map[int][]bbmember.Member
 	passed time.Time // when all pots were last gone through
@@ -38,15 +38,15 @@
 	Body any // one of the messages of bbwire
 }
 
-// NewPurse returns an empty purse.
-func NewPurse(self bbmember.Member, policy Policy) *Purse {
-	p := &Purse{self: PeerOf(self), domain: self.Domain, policy: policy, closed: map[bbunit.HolderID]bool{}}
-	p.pots.Store(&map[bbunit.BudgetID]*Pot{})
+// NewWallet returns an empty purse.
+func NewWallet(self bbmember.Member, policy Policy) *Wallet {
+	p := &Wallet{self: PeerOf(self), domain: self.Domain, policy: policy, closed: map[bbunit.HolderID]bool{}}
+	p.pots.Store(&map[bbunit.BudgetID]*Balance{})
 	return p
 }
 
-// Pot returns the pot of a budget; it takes a lock only the first time.
-func (p *Purse) Pot(b bbunit.BudgetID) *Pot {
+// Balance returns the pot of a budget; it takes a lock only the first time.
+func (p *Wallet) Balance(b bbunit.BudgetID) *Balance {
 	if pot, ok := (*p.pots.Load())[b]; ok {
 		return pot
 	}
@@ -56,24 +56,24 @@
 	if pot, ok := old[b]; ok {
 		return pot
 	}
-	next := make(map[bbunit.BudgetID]*Pot, len(old)+1)
+	next := make(map[bbunit.BudgetID]*Balance, len(old)+1)
 	for k, v := range old {
 		next[k] = v
 	}
-	pot := &Pot{Budget: b}
+	pot := &Balance{Budget: b}
 	next[b] = pot
 	p.pots.Store(&next)
 	return pot
 }
 
-// Pots returns all pots in the order of their budgets. The list must not be
+// Balances returns all pots in the order of their budgets. The list must not be
 // changed.
-func (p *Purse) Pots() []*Pot {
+func (p *Wallet) Balances() []*Balance {
 	m := p.pots.Load()
 	if p.listed == m {
 		return p.list
 	}
-	out := make([]*Pot, 0, len(*m))
+	out := make([]*Balance, 0, len(*m))
 	for _, pot := range *m {
 		out = append(out, pot)
 	}
@@ -82,16 +82,16 @@
 	return out
 }
 
-// Wait counts in a request that waits for n tokens of the pot, Done counts it
+// AddWaiter counts in a request that waits for n tokens of the pot, Done counts it
 // out.
-func (p *Purse) Wait(pot *Pot, n bbunit.Tokens) { pot.asking.join(n) }
+func (p *Wallet) AddWaiter(pot *Balance, n bbunit.Tokens) { pot.asking.join(n) }
 
-// Done counts out a request that Wait counted in.
-func (p *Purse) Done(pot *Pot, n bbunit.Tokens) { pot.asking.leave(n) }
+// RemoveWaiter counts out a request that Wait counted in.
+func (p *Wallet) RemoveWaiter(pot *Balance, n bbunit.Tokens) { pot.asking.leave(n) }
 
 // turns lists the keepers that may be asked, the own failure domain's first. It
 // is worked out once for each view.
-func (p *Purse) turns(v *bbmember.View, page int) []bbmember.Member {
+func (p *Wallet) turns(v *bbmember.View, page int) []bbmember.Member {
 	if p.view != v {
 		p.view, p.byPage = v, map[int][]bbmember.Member{}
 	}
@@ -103,16 +103,16 @@
 	return out
 }
 
-func (p *Purse) rank(v *bbmember.View, page int) []bbmember.Member {
+func (p *Wallet) rank(v *bbmember.View, page int) []bbmember.Member {
 	var out []bbmember.Member
-	if m, ok := v.Home(HomeKey(page), p.domain); ok {
+	if m, ok := v.Home(PageHomeKey(page), p.domain); ok {
 		out = append(out, m)
 	}
 	if !p.policy.Borrow {
 		return out
 	}
 	for _, d := range domains(v) {
-		if m, ok := v.Home(HomeKey(page), d); ok && d != p.domain {
+		if m, ok := v.Home(PageHomeKey(page), d); ok && d != p.domain {
 			out = append(out, m)
 		}
 	}
@@ -133,24 +133,24 @@
 	return out
 }
 
-// Asks returns what to send now: wants of pots that run short, and every so
+// DueMessages returns what to send now: wants of pots that run short, and every so
 // often what was spent. Between ticks it looks only at pots that run short.
-func (p *Purse) Asks(now time.Time, v *bbmember.View) []Send {
+func (p *Wallet) DueMessages(now time.Time, v *bbmember.View) []Send {
 	b := asks{self: p.self, to: map[bbunit.InstanceID]*bbwire.GrantAsk{}}
 	report := now.Sub(p.reported) >= reportEvery || p.draining
 	if report {
 		p.reported = now
 	}
-	all := report || now.Sub(p.passed) >= TickEvery
+	all := report || now.Sub(p.passed) >= TickInterval
 	if all {
 		p.passed = now
 	}
-	for _, pot := range p.Pots() {
+	for _, pot := range p.Balances() {
 		if !all && pot.asking.waiting == 0 && !pot.Low() {
 			continue
 		}
 		pot.flush()
-		pot.tick(now, p.policy.Grant)
+		pot.tick(now, p.policy.GrantHorizon)
 		if p.draining {
 			pot.surrenderSurplus(pot.Free())
 		}
@@ -165,7 +165,7 @@
 }
 
 // want adds what the pot needs of the keeper whose turn it is.
-func (p *Purse) want(now time.Time, v *bbmember.View, pot *Pot, b *asks) {
+func (p *Wallet) want(now time.Time, v *bbmember.View, pot *Balance, b *asks) {
 	a := &pot.asking
 	short := a.waiting > 0 && pot.Free() < a.least
 	if !short && (!pot.Low() || now.Sub(a.recalled) < recallCalm) || now.Sub(a.sent) < askEvery {
@@ -182,7 +182,7 @@
 	if !short && (dry || a.turn > 0) || dry && now.Sub(a.last) < askEvery {
 		return
 	}
-	goal := pot.rate.over(p.policy.Grant)
+	goal := pot.rate.over(p.policy.GrantHorizon)
 	amount := saturate(2*a.waiting) + goal - pot.Free()
 	least := bbunit.Tokens(1)
 	if short {
@@ -193,9 +193,9 @@
 	a.turn++
 }
 
-// Told takes the answer of a keeper of that failure domain. It returns what
+// HandleGrant takes the answer of a keeper of that failure domain. It returns what
 // tells a keeper that goes on granting under a closed holder.
-func (p *Purse) Told(now time.Time, domain bbunit.DomainID, t *bbwire.GrantTell) []Send {
+func (p *Wallet) HandleGrant(now time.Time, domain bbunit.DomainID, t *bbwire.GrantTell) []Send {
 	var out []Send
 	for _, s := range t.Slices {
 		h := bbunit.HolderID(s.Holder)
@@ -206,14 +206,14 @@
 			out = append(out, Send{To: HolderPeer(h).ID, Body: p.Surrender(h)})
 			continue
 		}
-		pot := p.Pot(bbunit.BudgetID(s.Budget))
+		pot := p.Balance(bbunit.BudgetID(s.Budget))
 		if pot.grant(h, bbunit.Tokens(s.Granted)) {
 			pot.asking.reset()
 			delete(pot.asking.empty, domain)
 		}
 	}
 	for _, e := range t.Empty {
-		pot := p.Pot(bbunit.BudgetID(e))
+		pot := p.Balance(bbunit.BudgetID(e))
 		if pot.asking.empty == nil {
 			pot.asking.empty = map[bbunit.DomainID]answer{}
 		}
@@ -234,10 +234,10 @@
 
 // Surrender stops the use of what a holder granted, for good, and accounts for
 // it. What open requests still have reserved is neither spent nor returned.
-func (p *Purse) Surrender(h bbunit.HolderID) *bbwire.SurrenderTell {
+func (p *Wallet) Surrender(h bbunit.HolderID) *bbwire.SurrenderTell {
 	p.closed[h] = true
 	tell := &bbwire.SurrenderTell{Holder: string(h)}
-	for _, pot := range p.Pots() {
+	for _, pot := range p.Balances() {
 		s := pot.find(h)
 		if s == nil {
 			continue
@@ -250,11 +250,11 @@
 }
 
 // Drain makes the purse return all that is free from now on.
-func (p *Purse) Drain() { p.draining = true }
+func (p *Wallet) Drain() { p.draining = true }
 
 // Drained tells whether no slice has anything left.
-func (p *Purse) Drained() bool {
-	for _, pot := range p.Pots() {
+func (p *Wallet) Drained() bool {
+	for _, pot := range p.Balances() {
 		for _, s := range pot.slices {
 			if s.rest() > 0 {
 				return false
@@ -265,9 +265,9 @@
 }
 
 // Slices returns all slices of the purse, for operators.
-func (p *Purse) Slices() []*bbwire.Slice {
+func (p *Wallet) Slices() []*bbwire.Slice {
 	var out []*bbwire.Slice
-	for _, pot := range p.Pots() {
+	for _, pot := range p.Balances() {
 		for _, s := range pot.slices {
 			out = append(out, pot.wire(s, p.self))
 		}
@@ -290,7 +290,7 @@
 
 // report adds the slices that changed, or all of them, each to the instance
 // that holds it.
-func (b *asks) report(pot *Pot, all bool) {
+func (b *asks) report(pot *Balance, all bool) {
 	for _, s := range pot.slices {
 		if s.changed || all {
 			s.changed = false
@@ -301,7 +301,7 @@
 }
 
 // want adds a want, with all slices of that budget that the keeper holds.
-func (b *asks) want(to bbmember.Member, pot *Pot, w *bbwire.Want) {
+func (b *asks) want(to bbmember.Member, pot *Balance, w *bbwire.Want) {
 	m := b.need(to.ID)
 	for _, s := range pot.slices {
 		if HolderPeer(s.holder) == PeerOf(to) {
--- a/shared/bbledger/purse_test.go
+++ b/shared/bbledger/wallet_test.go
@@ -12,10 +12,10 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-func newTestPurse(borrow bool) (*Purse, *bbmember.View) {
+func newTestPurse(borrow bool) (*Wallet, *bbmember.View) {
 	self := rigMember(rigG, "e")
 	v := &bbmember.View{Self: self, Members: []bbmember.Member{self, rigMember(rigSelf, "d")}}
-	return NewPurse(self, Policy{Grant: time.Second, Borrow: borrow}), v
+	return NewWallet(self, Policy{GrantHorizon: time.Second, Borrow: borrow}), v
 }
 
 func grantOf(h bbunit.HolderID, n int64) *bbwire.GrantTell {
@@ -27,35 +27,35 @@
 	p, _ := newTestPurse(true)
 	now := time.Unix(1000, 0)
 	for _, n := range []int64{10, 10, 4, 25, 10} {
-		p.Told(now, "d", grantOf("k/1/0-1", n))
+		p.HandleGrant(now, "d", grantOf("k/1/0-1", n))
 	}
-	is.Equal(p.Pot("b").Free(), bbunit.Tokens(25))
+	is.Equal(p.Balance("b").Free(), bbunit.Tokens(25))
 	other := grantOf("k/1/0-1", 99)
 	other.Slices[0].Grantee = "g/2"
-	p.Told(now, "d", other)
-	is.Equal(p.Pot("b").Free(), bbunit.Tokens(25)) // meant for another life
+	p.HandleGrant(now, "d", other)
+	is.Equal(p.Balance("b").Free(), bbunit.Tokens(25)) // meant for another life
 }
 
 func TestPurseSurrenderIsForGood(t *testing.T) {
 	is := is.New(t)
 	p, v := newTestPurse(true)
 	now := time.Unix(1000, 0)
-	p.Told(now, "d", grantOf("k/1/0-1", 20))
-	pot := p.Pot("b")
+	p.HandleGrant(now, "d", grantOf("k/1/0-1", 20))
+	pot := p.Balance("b")
 	is.True(pot.Reserve(5))
 	s := p.Surrender("k/1/0-1").Slices[0]
 	is.Equal([]int64{s.Granted, s.Spent, s.Returned}, []int64{20, 0, 15}) // 5 are with an open request
-	back := p.Told(now, "d", grantOf("k/1/0-1", 50))
+	back := p.HandleGrant(now, "d", grantOf("k/1/0-1", 50))
 	is.Equal(pot.Free(), bbunit.Tokens(0)) // a late grant
 	is.Equal(len(back), 1)                 // its keeper is told
 	is.True(!pot.grant("k/1/0-1", 50))
-	pot.End(5, 3)
-	p.Asks(now, v)
+	pot.Commit(5, 3)
+	p.DueMessages(now, v)
 	s = p.Surrender("k/1/0-1").Slices[0]
 	is.Equal([]int64{s.Granted, s.Spent, s.Returned}, []int64{20, 3, 17})
 
 	p.Surrender("k/1/0-2") // not yet heard of
-	p.Told(now, "d", grantOf("k/1/0-2", 50))
+	p.HandleGrant(now, "d", grantOf("k/1/0-2", 50))
 	is.Equal(pot.Free(), bbunit.Tokens(0))
 }
 
@@ -69,10 +69,10 @@
 	} {
 		is := is.New(t)
 		p, _ := newTestPurse(true)
-		p.Told(time.Unix(1000, 0), "d", grantOf("k/1/0-1", 20))
-		pot := p.Pot("b")
+		p.HandleGrant(time.Unix(1000, 0), "d", grantOf("k/1/0-1", 20))
+		pot := p.Balance("b")
 		is.True(pot.Reserve(c.most))
-		pot.End(c.most, c.used)
+		pot.Commit(c.most, c.used)
 		pot.flush()
 		is.Equal(pot.slices[0].spent, c.spent)
 		is.Equal(pot.Free(), c.free)
@@ -84,15 +84,15 @@
 func TestPotReservesNoMoreThanItHasUnderRace(t *testing.T) {
 	is := is.New(t)
 	p, _ := newTestPurse(true)
-	p.Told(time.Unix(1000, 0), "d", grantOf("k/1/0-1", 1000))
-	pot := p.Pot("b")
+	p.HandleGrant(time.Unix(1000, 0), "d", grantOf("k/1/0-1", 1000))
+	pot := p.Balance("b")
 	var wg sync.WaitGroup
 	spent := make([]bbunit.Tokens, 8)
 	for i := range spent {
 		wg.Go(func() {
 			for n := range 500 {
 				if pot.Reserve(3) {
-					pot.End(3, bbunit.Tokens(n%4))
+					pot.Commit(3, bbunit.Tokens(n%4))
 					spent[i] += bbunit.Tokens(min(n%4, 3))
 				}
 			}
@@ -114,21 +114,21 @@
 	now := time.Unix(1000, 0)
 	for _, borrow := range []bool{true, false} {
 		p, v := newTestPurse(borrow)
-		pot := p.Pot("b")
-		p.Wait(pot, 10)
-		first := p.Asks(now, v)
+		pot := p.Balance("b")
+		p.AddWaiter(pot, 10)
+		first := p.DueMessages(now, v)
 		is.Equal(first[0].To, rigG.ID)
 		is.True(!first[0].Body.(*bbwire.GrantAsk).Wants[0].Borrow)
-		is.Equal(len(p.Asks(now, v)), 0) // not twice at once
-		p.Told(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
+		is.Equal(len(p.DueMessages(now, v)), 0) // not twice at once
+		p.HandleGrant(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
 		is.Equal(p.Exhausted(now, v, pot, 10), !borrow)
 		if !borrow {
 			continue
 		}
-		second := p.Asks(now, v)
+		second := p.DueMessages(now, v)
 		is.Equal(second[0].To, rigSelf.ID)
 		is.True(second[0].Body.(*bbwire.GrantAsk).Wants[0].Borrow)
-		p.Told(now, "d", &bbwire.GrantTell{Empty: []string{"b"}})
+		p.HandleGrant(now, "d", &bbwire.GrantTell{Empty: []string{"b"}})
 		is.True(p.Exhausted(now, v, pot, 10))
 		is.True(!p.Exhausted(now.Add(2*emptyFor), v, pot, 10)) // asked again later
 	}
