--- a/bluebellport/door/outcome.go
+++ b/bluebellport/door/outcome.go
@@ -15,7 +15,7 @@
 	now := d.now()
 	switch out.kind {
 	case endDone:
-		s.State.Circuit.Success()
+		s.State.Circuit.RecordSuccess()
 		s.State.RecordResult(!out.failed)
 		if !out.failed {
 			d.suspects.ran(x.print)
@@ -32,13 +32,13 @@
 		if d.board.Crowded.Load() {
 			break // the own link is as likely the cause
 		}
-		for range circuitRule.Fails {
-			s.State.Circuit.Failure(now, &circuitRule)
+		for range circuitRule.FailureThreshold {
+			s.State.Circuit.RecordFailure(now, &circuitRule)
 		}
 	case endBroken, endLate:
 		s.State.RecordResult(false)
 		if out.reset || out.silent {
-			s.State.Circuit.Failure(now, &circuitRule)
+			s.State.Circuit.RecordFailure(now, &circuitRule)
 		}
 		if out.reset {
 			go d.suspects.broke(x.print, s)
@@ -82,11 +82,11 @@
 }
 
 // retryRule is this instance's part of the repeats that all may make.
-func (d *Door) retryRule() *bbroute.RetryRule {
+func (d *Door) retryRule() *bbroute.RetryPolicy {
 	n := float64(max(d.board.Instances.Load(), 1))
-	return &bbroute.RetryRule{
-		Ratio: d.set.RetryRatio * retryPart,
-		Floor: d.set.RetryExtra * retryPart / n / max(d.set.RetryWindow.Seconds(), 1),
+	return &bbroute.RetryPolicy{
+		Ratio:        d.set.RetryRatio * retryPart,
+		MinPerSecond: d.set.RetryExtra * retryPart / n / max(d.set.RetryWindow.Seconds(), 1),
 	}
 }
 
@@ -101,4 +101,4 @@
 }
 
 // circuitRule sets when a target that fails is left alone.
-var circuitRule = bbroute.CircuitRule{Fails: 3, Open: time.Second, Longest: 4 * time.Second, Probe: time.Second}
+var circuitRule = bbroute.CircuitPolicy{FailureThreshold: 3, InitialOpen: time.Second, MaxOpen: 4 * time.Second, ProbeTimeout: time.Second}
--- a/bluebellport/door/suspect.go
+++ b/bluebellport/door/suspect.go
@@ -11,27 +11,27 @@
 )
 
 // poisonRule sets when a request counts as one that crashes its targets.
-var poisonRule = bbroute.PoisonRule{Crashes: 2, Suspect: 20 * time.Second, Most: 512}
+var poisonRule = bbroute.PoisonPolicy{CrashThreshold: 2, SuspectTTL: 20 * time.Second, MaxFingerprints: 512}
 
 // suspects knows requests that were under way when their target crashed. Such a
 // request comes again at any instance, so peers are told.
 type suspects struct {
 	fleet  Fleet
 	now    func() time.Time
-	table  atomic.Pointer[bbroute.Poisons]
-	proven bbroute.Proven
+	table  atomic.Pointer[bbroute.CrashTable]
+	proven bbroute.KnownGood
 }
 
 func newSuspects(fleet Fleet, now func() time.Time) *suspects {
 	s := &suspects{fleet: fleet, now: now}
-	s.table.Store(&bbroute.Poisons{})
+	s.table.Store(&bbroute.CrashTable{})
 	fleet.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Suspects{}}, s.heard)
 	return s
 }
 
 // poison tells that a request has crashed too many targets to be run again.
 func (s *suspects) poison(fingerprint uint64) bool {
-	return s.table.Load().Crashes(fingerprint) >= poisonRule.Crashes
+	return s.table.Load().CrashCount(fingerprint) >= poisonRule.CrashThreshold
 }
 
 // ran notes that a request ran whole: it crashes no target.
@@ -40,7 +40,7 @@
 // broke looks whether a target that broke a request off is down: then the request
 // may be what crashed it. It blocks up to dialTime.
 func (s *suspects) broke(fingerprint uint64, target *Server) {
-	if s.proven.Has(fingerprint) {
+	if s.proven.Contains(fingerprint) {
 		return
 	}
 	conn, err := net.DialTimeout("tcp4", target.Address, dialTime)
--- a/bluebellport/src/admit.go
+++ b/bluebellport/src/admit.go
@@ -58,34 +58,34 @@
 	switch {
 	case !ok:
 		return nil, &Refusal{Cause: ErrNoTarget}
-	case r.poison.poisoned(ask.Print):
+	case r.poison.poisoned(ask.Fingerprint):
 		return nil, &Refusal{Cause: ErrPoisoned}
 	case !ask.Deadline.IsZero() && !now.Before(ask.Deadline):
 		return nil, &Refusal{Cause: ErrDeadline}
 	}
-	account, service := r.current().Account(ask.Account), g.Limiter()
+	account, service := r.current().AccountLimiter(ask.Account), g.Limiter()
 	if account != nil {
-		if err := account.Enter(now); err != nil {
+		if err := account.Acquire(now); err != nil {
 			return nil, err
 		}
 	}
-	err := service.Enter(now)
+	err := service.Acquire(now)
 	if err == nil && place {
 		if err = r.enter(g, ask, now); err != nil {
-			service.Undo()
+			service.Cancel()
 		}
 	}
 	if err != nil {
 		if account != nil {
-			account.Undo()
+			account.Cancel()
 		}
 		return nil, err
 	}
-	return newPass(g.Gate(), account, service, place), nil
+	return newPass(g.Admission(), account, service, place), nil
 }
 
 // newPass returns what gives the place and the limits back, once.
-func newPass(gate *bbroute.Gate, account, service *bbroute.Limiter, placed bool) *Pass {
+func newPass(gate *bbroute.AdmissionController, account, service *bbroute.Limiter, placed bool) *Pass {
 	var ended atomic.Bool
 	p := &Pass{}
 	p.placed.Store(placed)
@@ -94,11 +94,11 @@
 			return
 		}
 		if p.placed.Load() {
-			gate.Exit()
+			gate.Release()
 		}
-		service.Leave()
+		service.Release()
 		if account != nil {
-			account.Leave()
+			account.Release()
 		}
 	}
 	return p
@@ -106,17 +106,17 @@
 
 // enter takes a place, or lines the request up for one.
 func (r *Router) enter(g *bbroute.Group, ask *Ask, now time.Time) error {
-	gate := g.Gate()
-	if gate.Enter() {
+	gate := g.Admission()
+	if gate.TryAcquire() {
 		return nil
 	}
 	w := &bbroute.Waiter{
-		Priority: ask.Priority,
-		Deadline: ask.Deadline,
-		Service:  gate.Expect(g.Work(ask)),
-		Ready:    make(chan error, 1),
+		Priority:         ask.Priority,
+		Deadline:         ask.Deadline,
+		ExpectedDuration: gate.ExpectedDuration(g.ExpectedWork(ask)),
+		Ready:            make(chan error, 1),
 	}
-	if err := gate.Join(w, now); err != nil {
+	if err := gate.Enqueue(w, now); err != nil {
 		return err
 	}
 	r.lined.Inc(1)
@@ -125,8 +125,8 @@
 		return err
 	case <-ask.Cancel:
 	}
-	if !gate.Leave(w) && <-w.Ready == nil {
-		gate.Exit() // the place came as the caller left
+	if !gate.CancelWait(w) && <-w.Ready == nil {
+		gate.Release() // the place came as the caller left
 	}
 	return &Refusal{Cause: ErrCancelled}
 }
@@ -138,14 +138,14 @@
 	if !ok {
 		return nil, &Refusal{Cause: ErrNoTarget}
 	}
-	crashes := r.poison.crashes(ask.Print)
-	if crashes >= r.poison.rule.Crashes {
+	crashes := r.poison.crashes(ask.Fingerprint)
+	if crashes >= r.poison.rule.CrashThreshold {
 		return nil, &Refusal{Cause: ErrPoisoned}
 	}
-	c := bbroute.Choice{Now: now, Rand: rand.Uint64(), Tried: tried, Suspect: crashes > 0}
+	c := bbroute.PickOptions{Now: now, Rand: rand.Uint64(), Exclude: tried, Suspect: crashes > 0}
 	place := g.Pick(&ask, &c, &r.rule)
 	if place == nil {
-		return nil, &Refusal{Cause: ErrNoTarget, RetryAfter: r.rule.Circuit.Open}
+		return nil, &Refusal{Cause: ErrNoTarget, RetryAfter: r.rule.Circuit.InitialOpen}
 	}
 	r.picks.Inc(1)
 	return r.attempt(g, place, &ask, c.Suspect), nil
@@ -159,8 +159,8 @@
 		return nil, &Refusal{Cause: ErrNoTarget}
 	}
 	place := g.Find(id)
-	if place == nil || !place.Enter(r.p.Now(), &r.rule) {
-		return nil, &Refusal{Cause: ErrNoTarget, RetryAfter: r.rule.Circuit.Open}
+	if place == nil || !place.Allow(r.p.Now(), &r.rule) {
+		return nil, &Refusal{Cause: ErrNoTarget, RetryAfter: r.rule.Circuit.InitialOpen}
 	}
-	return r.attempt(g, place, &ask, r.poison.crashes(ask.Print) > 0), nil
+	return r.attempt(g, place, &ask, r.poison.crashes(ask.Fingerprint) > 0), nil
 }
--- a/bluebellport/src/admit_test.go
+++ b/bluebellport/src/admit_test.go
@@ -24,7 +24,7 @@
 	}{
 		{name: "unknown service", ask: Ask{Service: "none"}, err: ErrNoTarget},
 		{name: "deadline over", ask: Ask{Service: "s1", Deadline: time.Unix(1000, 0)}, err: ErrDeadline},
-		{name: "poisoned", ask: Ask{Service: "s1", Print: 9}, err: ErrPoisoned, set: func(rig *routerRig) {
+		{name: "poisoned", ask: Ask{Service: "s1", Fingerprint: 9}, err: ErrPoisoned, set: func(rig *routerRig) {
 			rig.r.Take("i2", &bbwire.Gossip{Poisons: []*bbwire.Poison{{Print: 9, Targets: []string{"a", "b"}}}})
 		}},
 		{name: "account's rate", ask: Ask{Service: "s1", Account: "few"}, err: ErrLimit, back: true, set: func(rig *routerRig) {
@@ -70,7 +70,7 @@
 	_, err = rig.r.Admit(Ask{Service: "s1", Account: "one"})
 	is.NoErr(err)
 	g, _ := rig.r.current().Group("s1")
-	is.Equal(g.Gate().Open(), 1)
+	is.Equal(g.Admission().InFlight(), 1)
 }
 
 func TestWaitEndsWhenTheCallerLeaves(t *testing.T) {
@@ -85,9 +85,9 @@
 	is.True(errors.Is(err, ErrCancelled))
 	first.Done()
 	g, _ := rig.r.current().Group("s1")
-	is.Equal(g.Gate().Open(), 0)
-	is.Equal(g.Gate().Waiting(), 0)
-	is.Equal(g.Limiter().Tick(0).Open, 0)
+	is.Equal(g.Admission().InFlight(), 0)
+	is.Equal(g.Admission().Queued(), 0)
+	is.Equal(g.Limiter().UpdateUsage(0).InFlight, 0)
 }
 
 // TestPoisonAndInnocents crashes targets with a poison and an innocent request
@@ -97,7 +97,7 @@
 	is := is.New(t)
 	targets := []bbticket.Target{{ID: "a", Domain: "d1"}, {ID: "b", Domain: "d1"}, {ID: "c", Domain: "d1"}}
 	rig, other := newRouterRig(t, targets...), newRouterRig(t, targets...)
-	poison, innocent := Ask{Service: "s1", Print: 666, Repeat: true}, Ask{Service: "s1", Print: 7, Repeat: true}
+	poison, innocent := Ask{Service: "s1", Fingerprint: 666, Idempotent: true}, Ask{Service: "s1", Fingerprint: 7, Idempotent: true}
 	crash := AttemptEnd{Err: errors.New("broken"), Sent: true, Crashed: true}
 	tried := []bbunit.TargetID{"b", "c"}
 	p1, err := rig.r.Pick(poison, tried)
@@ -134,7 +134,7 @@
 func TestProvenRequestIsNotPoisoned(t *testing.T) {
 	is := is.New(t)
 	rig := newRouterRig(t, bbticket.Target{ID: "a", Domain: "d1"}, bbticket.Target{ID: "b", Domain: "d1"})
-	ask := Ask{Service: "s1", Print: 7, Repeat: true}
+	ask := Ask{Service: "s1", Fingerprint: 7, Idempotent: true}
 	at, err := rig.r.Pick(ask, nil)
 	is.NoErr(err)
 	at.Done(AttemptEnd{Total: time.Second})
@@ -168,7 +168,7 @@
 func TestFreshTryIsNotATarget(t *testing.T) {
 	is := is.New(t)
 	rig := newRouterRig(t, bbticket.Target{ID: "a", Domain: "d1"})
-	ask := Ask{Service: "s1", Repeat: true}
+	ask := Ask{Service: "s1", Idempotent: true}
 	end := AttemptEnd{Err: errors.New("silent"), Sent: true, Reused: true}
 	var s RetryState
 	var got []Decision
@@ -214,10 +214,10 @@
 	claimed.Done()
 	claimed.Done()
 	g, _ := rig.r.current().Group("s1")
-	is.Equal(g.Gate().Open(), 0)
-	is.Equal(g.Limiter().Tick(0).Open, 0)
+	is.Equal(g.Admission().InFlight(), 0)
+	is.Equal(g.Limiter().UpdateUsage(0).InFlight, 0)
 	unplaced, err := rig.r.AdmitLimits(ask)
 	is.NoErr(err)
 	unplaced.Done()
-	is.Equal(g.Gate().Open(), 0)
+	is.Equal(g.Admission().InFlight(), 0)
 }
--- a/bluebellport/src/limiter.go
+++ b/bluebellport/src/limiter.go
@@ -43,9 +43,9 @@
 	n := l.peers()
 	l.own = make(map[string]bbroute.Usage)
 	for _, lim := range t.Limiters() {
-		own := lim.Tick(past)
+		own := lim.UpdateUsage(past)
 		l.own[lim.Key] = own
-		lim.Adjust(own, l.others(lim.Key, now), n)
+		lim.UpdateShare(own, l.others(lim.Key, now), n)
 	}
 	l.forget(now)
 }
@@ -103,7 +103,7 @@
 	for _, key := range keys {
 		u := l.own[key]
 		g.Usages = append(g.Usages, &bbwire.Usage{
-			Key: key, Instance: l.p.Opts.Self.Instance, Rate: u.Rate, Open: uint32(u.Open),
+			Key: key, Instance: l.p.Opts.Self.Instance, Rate: u.Rate, Open: uint32(u.InFlight),
 		})
 	}
 }
@@ -135,7 +135,7 @@
 			by = make(map[bbunit.InstanceID]toldUsage)
 			l.told[u.Key] = by
 		}
-		by[from] = toldUsage{usage: bbroute.Usage{Rate: u.Rate, Open: int(u.Open)}, at: now}
+		by[from] = toldUsage{usage: bbroute.Usage{Rate: u.Rate, InFlight: int(u.Open)}, at: now}
 	}
 	return dropped
 }
--- a/bluebellport/src/load.go
+++ b/bluebellport/src/load.go
@@ -179,8 +179,8 @@
 	domain := bbunit.DomainID(l.p.Opts.Self.Domain)
 	var out []bbticket.Target
 	for _, g := range t.Groups() {
-		for i := range g.Near {
-			decl := g.Near[i].Decl
+		for i := range g.Local {
+			decl := g.Local[i].Declared
 			if home, ok := view.Home("load/"+string(decl.ID), domain); ok && home.ID == l.p.Opts.Self.ID() {
 				out = append(out, decl)
 			}
@@ -190,9 +190,9 @@
 }
 
 // report turns a message into a report.
-func report(m *bbwire.Load) bbroute.Report {
-	return bbroute.Report{
+func report(m *bbwire.Load) bbroute.LoadReport {
+	return bbroute.LoadReport{
 		Running: int(m.Running), Waiting: int(m.Waiting), Slots: int(m.Slots),
-		At: time.UnixMilli(m.At), Leaving: m.Leaving,
+		SampledAt: time.UnixMilli(m.At), Leaving: m.Leaving,
 	}
 }
--- a/bluebellport/src/options.go
+++ b/bluebellport/src/options.go
@@ -312,32 +312,32 @@
 }
 
 // choice returns the rule by which targets are chosen.
-func (o *RouteOptions) choice() bbroute.ChoiceRule {
-	return bbroute.ChoiceRule{
-		Circuit: bbroute.CircuitRule{
-			Fails:   o.CircuitFails,
-			Open:    o.CircuitOpen,
-			Longest: o.CircuitLongest,
-			Probe:   o.CircuitProbe,
+func (o *RouteOptions) choice() bbroute.PickPolicy {
+	return bbroute.PickPolicy{
+		Circuit: bbroute.CircuitPolicy{
+			FailureThreshold: o.CircuitFails,
+			InitialOpen:      o.CircuitOpen,
+			MaxOpen:          o.CircuitLongest,
+			ProbeTimeout:     o.CircuitProbe,
 		},
 		SlowStart: o.SlowStart,
-		Spill:     o.Spill,
+		SpillWait: o.Spill,
 	}
 }
 
 // gate returns the rule of requests that wait.
-func (o *RouteOptions) gate() bbroute.GateRule {
-	return bbroute.GateRule{Most: o.QueueMost, Longest: o.QueueLongest}
+func (o *RouteOptions) gate() bbroute.AdmissionPolicy {
+	return bbroute.AdmissionPolicy{MaxQueued: o.QueueMost, MaxWait: o.QueueLongest}
 }
 
 // retry returns the rule of retries.
-func (o *RouteOptions) retry() bbroute.RetryRule {
-	return bbroute.RetryRule{Tries: o.Tries, Ratio: o.RetryRatio, Floor: o.RetryFloor}
+func (o *RouteOptions) retry() bbroute.RetryPolicy {
+	return bbroute.RetryPolicy{MaxAttempts: o.Tries, Ratio: o.RetryRatio, MinPerSecond: o.RetryFloor}
 }
 
 // poison returns the rule of requests that crash targets.
-func (o *RouteOptions) poison() bbroute.PoisonRule {
-	return bbroute.PoisonRule{Crashes: o.PoisonCrashes, Suspect: suspectKeep, Most: poisonsMost}
+func (o *RouteOptions) poison() bbroute.PoisonPolicy {
+	return bbroute.PoisonPolicy{CrashThreshold: o.PoisonCrashes, SuspectTTL: suspectKeep, MaxFingerprints: poisonsMost}
 }
 
 // badAddress is bbcli.BadAddress for a value that may be left out.
--- a/bluebellport/src/order.go
+++ b/bluebellport/src/order.go
@@ -49,7 +49,7 @@
 	sender orderSender
 	sleep  func(ctx context.Context, d time.Duration) error
 	failed metrics.Counter
-	resent map[bbunit.TargetID]*bbroute.Resend // of the home's goroutine
+	resent map[bbunit.TargetID]*bbroute.Resender // of the home's goroutine
 }
 
 // NewOrders returns the orders of an instance, and a function that stops it.
@@ -72,7 +72,7 @@
 func newOrders(p Parts, sender orderSender) *Orders {
 	return &Orders{
 		p: p, sender: sender, sleep: sleepFor,
-		resent: make(map[bbunit.TargetID]*bbroute.Resend),
+		resent: make(map[bbunit.TargetID]*bbroute.Resender),
 		failed: metrics.GetOrRegisterCounter("order.failed", p.Metrics),
 	}
 }
@@ -87,36 +87,36 @@
 		began := o.p.Now()
 		top, rev, err := o.read(ctx, t.ID)
 		if err != nil {
-			return order.Mine.Fence, errors.Trace(err)
+			return order.Intent.Fence, errors.Trace(err)
 		}
 		done, err := o.step(ctx, t, order, top, rev, began)
 		if done || err != nil {
-			return order.Mine.Fence, err
+			return order.Intent.Fence, err
 		}
 	}
-	return order.Mine.Fence, errors.Annotate(ErrOrder, ctx.Err().Error())
+	return order.Intent.Fence, errors.Annotate(ErrOrder, ctx.Err().Error())
 }
 
 // step does the order's next step and tells whether it is over.
 func (o *Orders) step(ctx context.Context, t bbticket.Target, order *bbroute.Order, top bbroute.Intent, rev bbstore.Revision, began time.Time) (bool, error) {
-	switch order.Read(o.p.Now(), top, t.Fence, orderCall) {
+	switch order.OnRead(o.p.Now(), top, t.Fence, orderCall) {
 	case bbroute.OrderStepWrite:
-		err := o.write(ctx, t.ID, order.Mine, rev)
+		err := o.write(ctx, t.ID, order.Intent, rev)
 		if err == nil {
-			order.Wrote(o.p.Now(), orderCall)
+			order.OnWritten(o.p.Now(), orderCall)
 		}
 		return false, maybeWritten(err)
 	case bbroute.OrderStepMark:
-		return false, maybeWritten(o.write(ctx, t.ID, order.Mine, rev))
+		return false, maybeWritten(o.write(ctx, t.ID, order.Intent, rev))
 	case bbroute.OrderStepWait:
-		_ = o.sleep(ctx, order.Until.Sub(o.p.Now()))
+		_ = o.sleep(ctx, order.WaitUntil.Sub(o.p.Now()))
 	case bbroute.OrderStepSend:
-		err := o.sender.Send(t, order.Mine, began.Add(orderCall))
+		err := o.sender.Send(t, order.Intent, began.Add(orderCall))
 		if errors.Is(err, ErrFence) {
 			return true, errors.Trace(err)
 		}
 		if err == nil {
-			order.Acked()
+			order.OnAcknowledged()
 			return false, nil
 		}
 		o.failed.Inc(1)
@@ -172,11 +172,11 @@
 	}
 	again, ok := o.resent[t.ID]
 	if !ok {
-		again = &bbroute.Resend{}
+		again = &bbroute.Resender{}
 		o.resent[t.ID] = again
 	}
 	now := o.p.Now()
-	if !again.Read(now, top, t.Fence, orderCall) || now.After(began.Add(orderCall)) {
+	if !again.ShouldSend(now, top, t.Fence, orderCall) || now.After(began.Add(orderCall)) {
 		return
 	}
 	if err := o.sender.Send(t, top, began.Add(orderCall)); err != nil {
--- a/bluebellport/src/order_test.go
+++ b/bluebellport/src/order_test.go
@@ -168,7 +168,7 @@
 			w.WriteHeader(status)
 		}))
 		err := (&httpOrders{}).Send(bbticket.Target{ID: "a", Address: s.Listener.Addr().String()},
-			bbroute.Intent{Fence: 3, Action: "load", Model: "m", By: "x"}, time.Now().Add(time.Second))
+			bbroute.Intent{Fence: 3, Action: "load", Model: "m", OrderID: "x"}, time.Now().Add(time.Second))
 		is.True(errors.Is(err, want) || err == want)
 		mu.Lock()
 		is.Equal(body, `POST /v1/orders {"fence":3,"action":"load","model":"m"}`)
--- a/bluebellport/src/poison.go
+++ b/bluebellport/src/poison.go
@@ -12,17 +12,17 @@
 
 // poisoner remembers which requests crashed targets. Reading takes no lock.
 type poisoner struct {
-	rule   bbroute.PoisonRule
-	table  atomic.Pointer[bbroute.Poisons]
-	proven bbroute.Proven
+	rule   bbroute.PoisonPolicy
+	table  atomic.Pointer[bbroute.CrashTable]
+	proven bbroute.KnownGood
 
 	mu     sync.Mutex // guards writing the table, and cursor
 	cursor int
 }
 
-func newPoisoner(rule bbroute.PoisonRule) *poisoner {
+func newPoisoner(rule bbroute.PoisonPolicy) *poisoner {
 	p := &poisoner{rule: rule}
-	p.table.Store(&bbroute.Poisons{})
+	p.table.Store(&bbroute.CrashTable{})
 	return p
 }
 
@@ -31,17 +31,17 @@
 	if fp == 0 {
 		return 0
 	}
-	return p.table.Load().Crashes(fp)
+	return p.table.Load().CrashCount(fp)
 }
 
 // poisoned tells that the request is refused for good.
-func (p *poisoner) poisoned(fp uint64) bool { return p.crashes(fp) >= p.rule.Crashes }
+func (p *poisoner) poisoned(fp uint64) bool { return p.crashes(fp) >= p.rule.CrashThreshold }
 
 // crashed notes that the target crashed with the request in flight, and tells
 // whether that was news. A request that has run whole not long ago is not to
 // blame.
 func (p *poisoner) crashed(fp uint64, t bbunit.TargetID, now time.Time) bool {
-	return fp != 0 && !p.proven.Has(fp) && p.join(fp, []bbunit.TargetID{t}, now)
+	return fp != 0 && !p.proven.Contains(fp) && p.join(fp, []bbunit.TargetID{t}, now)
 }
 
 // join adds targets to the fingerprint's and tells whether that was news.
@@ -66,9 +66,9 @@
 
 // fill adds the new marks, and in turn a few of the older ones.
 func (p *poisoner) fill(g *bbwire.Gossip, now time.Time) {
-	all := p.table.Load().Marks()
+	all := p.table.Load().Records()
 	n := 0
-	for n < len(all) && n < poisonsTold && now.Sub(all[n].At) < poisonNews {
+	for n < len(all) && n < poisonsTold && now.Sub(all[n].UpdatedAt) < poisonNews {
 		n++
 	}
 	marks, older := all[:n:n], all[n:]
@@ -84,18 +84,18 @@
 }
 
 // wireOfMark is a mark as a message.
-func wireOfMark(m *bbroute.Mark) *bbwire.Poison {
+func wireOfMark(m *bbroute.CrashRecord) *bbwire.Poison {
 	names := make([]string, len(m.Targets))
 	for i, t := range m.Targets {
 		names[i] = string(t)
 	}
-	return &bbwire.Poison{Print: m.Print, Crashes: uint32(len(names)), Targets: names}
+	return &bbwire.Poison{Print: m.Fingerprint, Crashes: uint32(len(names)), Targets: names}
 }
 
 // mark returns the fingerprint's mark as a message, nil when there is none.
 func (p *poisoner) mark(fp uint64) *bbwire.Poison {
-	for _, m := range p.table.Load().Marks() {
-		if m.Print == fp {
+	for _, m := range p.table.Load().Records() {
+		if m.Fingerprint == fp {
 			return wireOfMark(&m)
 		}
 	}
--- a/bluebellport/src/retry.go
+++ b/bluebellport/src/retry.go
@@ -13,28 +13,28 @@
 // Decisions after an attempt.
 const (
 	DecisionStop      = bbroute.DecisionStop
-	DecisionFresh     = bbroute.DecisionFresh
-	DecisionElsewhere = bbroute.DecisionElsewhere
+	DecisionFresh     = bbroute.DecisionRetrySame
+	DecisionElsewhere = bbroute.DecisionRetryOther
 )
 
 // Retry decides what follows the end of an attempt and moves the state on. A
 // refusal of a leaving target costs nothing of the service's retry budget.
 func (r *Router) Retry(s *RetryState, ask Ask, end AttemptEnd) Decision {
-	if !s.Refreshed {
-		s.Tries++
+	if !s.Reconnected {
+		s.Attempts++
 	}
 	now := r.p.Now()
 	e := coreEnd(&end)
-	d := bbroute.Retry(*s, &e, &ask, &r.retry, now)
-	s.Refreshed = d == DecisionFresh
-	if d == DecisionStop || r.poison.poisoned(ask.Print) {
+	d := bbroute.DecideRetry(*s, &e, &ask, &r.retry, now)
+	s.Reconnected = d == DecisionFresh
+	if d == DecisionStop || r.poison.poisoned(ask.Fingerprint) {
 		return DecisionStop
 	}
 	g, ok := r.group(ask.Service)
 	if !ok {
 		return DecisionStop
 	}
-	if !e.Leaving() && !g.Retries().Spend(now, &r.retry) {
+	if !e.RefusedAsLeaving() && !g.RetryBudget().Spend(now, &r.retry) {
 		r.exhausted.Inc(1)
 		return DecisionStop
 	}
@@ -43,6 +43,6 @@
 }
 
 // coreEnd returns what the core needs of an attempt's end.
-func coreEnd(end *AttemptEnd) bbroute.End {
-	return bbroute.End{Err: end.Err, Sent: end.Sent, Crashed: end.Crashed, Reused: end.Reused}
+func coreEnd(end *AttemptEnd) bbroute.AttemptResult {
+	return bbroute.AttemptResult{Err: end.Err, Sent: end.Sent, Crashed: end.Crashed, ConnReused: end.Reused}
 }
--- a/bluebellport/src/router.go
+++ b/bluebellport/src/router.go
@@ -17,7 +17,7 @@
 )
 
 // Ask is what a request asks of the router.
-type Ask = bbroute.Ask
+type Ask = bbroute.Request
 
 // Refusal is the error of a request that is not let through; errors.As finds
 // its RetryAfter.
@@ -39,8 +39,8 @@
 // requests take no lock, nor does Admit unless the request must wait for a place.
 type Router struct {
 	p        Parts
-	rule     bbroute.ChoiceRule
-	retry    bbroute.RetryRule
+	rule     bbroute.PickPolicy
+	retry    bbroute.RetryPolicy
 	table    atomic.Pointer[bbroute.Table]
 	building atomic.Bool
 	poison   *poisoner
@@ -116,7 +116,7 @@
 	r.poison.tick(now)
 	n := r.limits.peers()
 	for _, g := range table.Groups() {
-		g.Refresh(now, n)
+		g.UpdateWindow(now, n)
 	}
 }
 
@@ -124,14 +124,14 @@
 func (r *Router) observe(loads []*bbwire.Load) {
 	now, table := r.p.Now(), r.current()
 	for i, m := range loads {
-		t, ok := table.Target(bbunit.TargetID(m.GetTarget()))
+		t, ok := table.TargetState(bbunit.TargetID(m.GetTarget()))
 		if !ok || i >= loadsMost {
 			r.dropped.Inc(1)
 			continue
 		}
 		news, err := t.Observe(report(m), now)
 		switch {
-		case errors.Is(err, bbroute.ErrReport):
+		case errors.Is(err, bbroute.ErrBadReport):
 			r.dropped.Inc(1)
 			r.p.Log.WithError(err).WithField("target", t.ID).Warn("load report dropped")
 		case news:
@@ -141,12 +141,12 @@
 }
 
 // attempt counts the request at the target until Done.
-func (r *Router) attempt(g *bbroute.Group, place *bbroute.Place, ask *Ask, suspect bool) *Attempt {
-	work, fp := g.Work(ask), ask.Print
-	t := place.Known
+func (r *Router) attempt(g *bbroute.Group, place *bbroute.Candidate, ask *Ask, suspect bool) *Attempt {
+	work, fp := g.ExpectedWork(ask), ask.Fingerprint
+	t := place.State
 	t.Begin(work, suspect)
 	var ended atomic.Bool
-	return &Attempt{Target: place.Decl, Done: func(end AttemptEnd) {
+	return &Attempt{Target: place.Declared, Done: func(end AttemptEnd) {
 		if !ended.CompareAndSwap(false, true) {
 			return
 		}
@@ -156,23 +156,23 @@
 }
 
 // ended draws the conclusions from the end of an attempt.
-func (r *Router) ended(g *bbroute.Group, t *bbroute.Target, fp uint64, end *AttemptEnd) {
+func (r *Router) ended(g *bbroute.Group, t *bbroute.TargetState, fp uint64, end *AttemptEnd) {
 	now, e := r.p.Now(), coreEnd(end)
 	switch {
 	case e.Err == nil:
-		g.Done(t, end.Output, end.Total)
-		g.Retries().Earn(&r.retry)
+		g.RecordCompletion(t, end.Output, end.Total)
+		g.RetryBudget().Earn(&r.retry)
 		r.poison.proven.Add(fp)
-		t.Circuit.Success()
+		t.Circuit.RecordSuccess()
 	case errors.Is(e.Err, ErrLeaving):
-		if t.Leave(now) {
+		if t.MarkLeaving(now) {
 			r.p.Log.WithField("target", t.ID).Info("target leaving by its refusal")
 		}
 	case errors.Is(e.Err, ErrBusy):
-		t.Busy(now.Add(busyHold))
-	case e.Blame():
+		t.MarkBusy(now.Add(busyHold))
+	case e.IsTargetFault():
 		r.failures.Inc(1)
-		if t.Circuit.Failure(now, &r.rule.Circuit) {
+		if t.Circuit.RecordFailure(now, &r.rule.Circuit) {
 			r.opened.Inc(1)
 			r.p.Log.WithField("target", t.ID).WithError(e.Err).Warn("circuit open")
 		}
@@ -191,7 +191,7 @@
 	}
 	defer r.building.Store(false)
 	now := r.p.Now()
-	t = r.table.Load().Next(r.p.Board.State.Load(), bbunit.DomainID(r.p.Opts.Self.Domain), r.p.Opts.Route.gate(), now)
+	t = r.table.Load().WithState(r.p.Board.State.Load(), bbunit.DomainID(r.p.Opts.Self.Domain), r.p.Opts.Route.gate(), now)
 	r.table.Store(t)
 	return t
 }
@@ -215,10 +215,10 @@
 	if !ok {
 		return nil
 	}
-	out := make([]bbticket.Target, 0, len(g.Near)+len(g.Far))
-	for _, places := range [][]bbroute.Place{g.Near, g.Far} {
+	out := make([]bbticket.Target, 0, len(g.Local)+len(g.Remote))
+	for _, places := range [][]bbroute.Candidate{g.Local, g.Remote} {
 		for i := range places {
-			out = append(out, places[i].Decl)
+			out = append(out, places[i].Declared)
 		}
 	}
 	return out
--- a/bluebellport/src/router_test.go
+++ b/bluebellport/src/router_test.go
@@ -142,7 +142,7 @@
 	rig := newRouterRig(t, bbticket.Target{ID: "a", Domain: "d1"})
 	a, err := rig.r.Pick(Ask{Service: "s1"}, nil)
 	is.NoErr(err)
-	known, ok := rig.r.current().Target("a")
+	known, ok := rig.r.current().TargetState("a")
 	is.True(ok)
 	is.Equal(known.InFlight(), 1)
 	a.Done(AttemptEnd{})
--- a/bluebellport/src/rumor.go
+++ b/bluebellport/src/rumor.go
@@ -14,8 +14,8 @@
 	now := r.p.Now()
 	r.poison.fill(g, now)
 	r.limits.fill(g)
-	for _, t := range r.current().Targets() {
-		if len(g.Leaving) < leavingTold && t.LeaveNews(now) {
+	for _, t := range r.current().TargetStates() {
+		if len(g.Leaving) < leavingTold && t.ShouldGossipLeaving(now) {
 			g.Leaving = append(g.Leaving, string(t.ID))
 		}
 	}
@@ -32,12 +32,12 @@
 	}
 	table := r.current()
 	for i, id := range g.GetLeaving() {
-		t, ok := table.Target(bbunit.TargetID(id))
+		t, ok := table.TargetState(bbunit.TargetID(id))
 		if !ok || i >= leavingTold {
 			dropped++
 			continue
 		}
-		if t.LeaveHeard(now) {
+		if t.MarkLeavingByPeer(now) {
 			r.p.Log.WithField("target", id).WithField("instance", from).Info("target leaving by an instance's word")
 		}
 	}
@@ -51,7 +51,7 @@
 func busyUsage(own map[string]bbroute.Usage) []string {
 	keys := make([]string, 0, len(own))
 	for k, u := range own {
-		if u.Rate > usageRateLeast || u.Open > 0 {
+		if u.Rate > usageRateLeast || u.InFlight > 0 {
 			keys = append(keys, k)
 		}
 	}
--- a/bluebellport/src/run.go
+++ b/bluebellport/src/run.go
@@ -87,7 +87,7 @@
 // admit lets the request in; one that has to be claimed gets its place at the
 // service afterwards, so that its wait keeps nobody out.
 func (r *runner) admit(ask Ask) (*Pass, error) {
-	if ask.Repeat {
+	if ask.Idempotent {
 		return r.router.Admit(ask)
 	}
 	return r.router.AdmitLimits(ask)
@@ -95,17 +95,17 @@
 
 func askOf(ctx context.Context, c *call) Ask {
 	a := Ask{
-		Service:  c.service.ID,
-		Account:  c.account.ID,
-		Priority: c.priority,
-		Deadline: c.deadline,
-		Prefix:   c.prefixes(),
-		Print:    printOf(c.method, string(c.service.ID), c.path, c.body),
-		Repeat:   c.repeatable,
-		Cancel:   ctx.Done(),
+		Service:      c.service.ID,
+		Account:      c.account.ID,
+		Priority:     c.priority,
+		Deadline:     c.deadline,
+		PrefixHashes: c.prefixes(),
+		Fingerprint:  printOf(c.method, string(c.service.ID), c.path, c.body),
+		Idempotent:   c.repeatable,
+		Cancel:       ctx.Done(),
 	}
 	if c.chat != nil {
-		a.Output = c.chat.bound(c.service)
+		a.ExpectedOutput = c.chat.bound(c.service)
 	}
 	return a
 }
@@ -174,7 +174,7 @@
 			}
 			return err
 		}
-		end := j.attempt(ctx, at, n, state.Refreshed)
+		end := j.attempt(ctx, at, n, state.Reconnected)
 		at.Done(end)
 		j.sent, last = j.sent || end.Sent, end.Err
 		if end.Err == nil || errors.Is(end.Err, errAnswered) {
--- a/shared/bbroute/gate_test.go
+++ b/shared/bbroute/admission_test.go
@@ -12,15 +12,15 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-func newTestGate(window float64) *Gate {
-	g := NewGate(GateRule{Most: 3, Longest: 10 * time.Second})
-	g.Resize(window, testNow)
-	g.Took(time.Second)
+func newTestGate(window float64) *AdmissionController {
+	g := NewAdmissionController(AdmissionPolicy{MaxQueued: 3, MaxWait: 10 * time.Second})
+	g.SetWindow(window, testNow)
+	g.RecordDuration(time.Second)
 	return g
 }
 
 func newWaiter(p bbunit.Priority, deadline time.Duration) *Waiter {
-	w := &Waiter{Priority: p, Service: time.Second, Ready: make(chan error, 1)}
+	w := &Waiter{Priority: p, ExpectedDuration: time.Second, Ready: make(chan error, 1)}
 	if deadline > 0 {
 		w.Deadline = testNow.Add(deadline)
 	}
@@ -40,31 +40,31 @@
 func TestGateLetsHigherPriorityInFirst(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(1)
-	is.True(g.Enter())
-	is.True(!g.Enter())
+	is.True(g.TryAcquire())
+	is.True(!g.TryAcquire())
 	low, high := newWaiter(0, 0), newWaiter(5, 0)
-	is.NoErr(g.Join(low, testNow))
-	is.NoErr(g.Join(high, testNow))
-	g.Exit()
+	is.NoErr(g.Enqueue(low, testNow))
+	is.NoErr(g.Enqueue(high, testNow))
+	g.Release()
 	ok, _ := ended(low)
 	is.True(!ok)
 	ok, err := ended(high)
 	is.True(ok)
 	is.NoErr(err)
-	is.Equal(g.Open(), 1)
+	is.Equal(g.InFlight(), 1)
 }
 
 func TestGateFullLineShedsLowestPriority(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(1)
-	is.True(g.Enter())
+	is.True(g.TryAcquire())
 	var ws []*Waiter
 	for p := range bbunit.Priority(3) {
 		ws = append(ws, newWaiter(p, 0))
-		is.NoErr(g.Join(ws[p], testNow))
+		is.NoErr(g.Enqueue(ws[p], testNow))
 	}
-	is.True(errors.Is(g.Join(newWaiter(0, 0), testNow), ErrOverload)) // none below it
-	is.NoErr(g.Join(newWaiter(1, 0), testNow))
+	is.True(errors.Is(g.Enqueue(newWaiter(0, 0), testNow), ErrOverload)) // none below it
+	is.NoErr(g.Enqueue(newWaiter(1, 0), testNow))
 	ok, err := ended(ws[0])
 	is.True(ok)
 	is.True(errors.Is(err, ErrOverload))
@@ -76,14 +76,14 @@
 func TestGateRefusesWhatCannotEndInTime(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(1)
-	is.True(g.Enter())
+	is.True(g.TryAcquire())
 	for _, left := range []time.Duration{1500 * time.Millisecond, 2100 * time.Millisecond} {
-		err := g.Join(newWaiter(0, left), testNow) // waits 1 s, runs 1 s and a margin
+		err := g.Enqueue(newWaiter(0, left), testNow) // waits 1 s, runs 1 s and a margin
 		is.True(errors.Is(err, ErrOverload))
 	}
 	w := newWaiter(0, 2500*time.Millisecond)
-	is.NoErr(g.Join(w, testNow))
-	g.Resize(1, testNow.Add(time.Second)) // still waits, and is now too late
+	is.NoErr(g.Enqueue(w, testNow))
+	g.SetWindow(1, testNow.Add(time.Second)) // still waits, and is now too late
 	ok, err := ended(w)
 	is.True(ok)
 	is.True(errors.Is(err, ErrOverload))
@@ -95,9 +95,9 @@
 	near := func(running, own int) func(g *Group) {
 		return func(g *Group) {
 			for range own {
-				g.Near[0].Known.Begin(workUnit, false)
+				g.Local[0].State.Begin(workUnit, false)
 			}
-			_, _ = g.Near[0].Known.Observe(Report{Running: running, Slots: 8, At: testNow}, testNow)
+			_, _ = g.Local[0].State.Observe(LoadReport{Running: running, Slots: 8, SampledAt: testNow}, testNow)
 		}
 	}
 	for _, c := range []struct {
@@ -113,14 +113,14 @@
 		{"over the room: gives up its part", []bbunit.DomainID{"d1"}, near(16, 8), 6},
 		{"a little of another failure domain", []bbunit.DomainID{"d1", "d2"}, func(*Group) {}, 9},
 		{"only another failure domain", []bbunit.DomainID{"d2", "d2"}, func(*Group) {}, 16},
-		{"own failure domain down", []bbunit.DomainID{"d1", "d2"}, func(g *Group) { g.Near[0].Known.Leave(testNow) }, 8},
+		{"own failure domain down", []bbunit.DomainID{"d1", "d2"}, func(g *Group) { g.Local[0].State.MarkLeaving(testNow) }, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			g := testGroup(c.domains...)
 			c.set(g)
-			g.Refresh(testNow, 4)
-			is.Equal(g.Gate().Window(), c.want)
+			g.UpdateWindow(testNow, 4)
+			is.Equal(g.Admission().Window(), c.want)
 		})
 	}
 }
@@ -145,31 +145,31 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				if g.Enter() {
+				if g.TryAcquire() {
 					in++
 					break
 				}
 				w := newWaiter(bbunit.Priority(rapid.IntRange(0, 2).Draw(t, "priority")), 0)
 				w.Deadline = now.Add(time.Duration(rapid.IntRange(0, 9).Draw(t, "deadline")) * time.Second)
-				if g.Join(w, now) == nil {
+				if g.Enqueue(w, now) == nil {
 					waiting = append(waiting, w)
 				}
 			case 2:
 				if in > 0 {
 					in--
-					g.Exit()
+					g.Release()
 				}
 			case 3:
 				window = rapid.IntRange(1, 5).Draw(t, "window")
-				g.Resize(float64(window), now)
+				g.SetWindow(float64(window), now)
 			case 4:
-				if len(waiting) > 0 && g.Leave(waiting[0]) {
+				if len(waiting) > 0 && g.CancelWait(waiting[0]) {
 					waiting = waiting[1:]
 				}
 			}
 			settle()
-			if g.Open() != in || g.Waiting() != len(waiting) || len(waiting) > 3 {
-				t.Fatalf("open %d, in %d, waiting %d of %d", g.Open(), in, g.Waiting(), len(waiting))
+			if g.InFlight() != in || g.Queued() != len(waiting) || len(waiting) > 3 {
+				t.Fatalf("open %d, in %d, waiting %d of %d", g.InFlight(), in, g.Queued(), len(waiting))
 			}
 			if len(waiting) > 0 && in < window {
 				t.Fatalf("%d wait while %d of %d are in", len(waiting), in, window)
--- a/shared/bbroute/target.go
+++ b/shared/bbroute/candidate.go
@@ -10,19 +10,19 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Report is what a target told of its load.
-type Report struct {
+// LoadReport is what a target told of its load.
+type LoadReport struct {
 	Running, Waiting, Slots int
-	// At is when the target was asked.
-	At      time.Time
-	Leaving bool
+	// SampledAt is when the target was asked.
+	SampledAt time.Time
+	Leaving   bool
 	// own is how many requests of this instance the report contains.
 	own int
 }
 
-// Target is what one instance knows of a target while it runs. It outlives the
+// TargetState is what one instance knows of a target while it runs. It outlives the
 // tickets that declare it anew.
-type Target struct {
+type TargetState struct {
 	ID      bbunit.TargetID
 	Circuit Circuit
 
@@ -34,7 +34,7 @@
 	suspects atomic.Int64
 	busy     atomic.Int64 // refuses for lack of room until, unix nanoseconds
 
-	report atomic.Pointer[Report]
+	report atomic.Pointer[LoadReport]
 	window gauge // requests that this instance may have in flight
 	usual  gauge // requests of other instances, a running mean of the reports
 	pace   gauge // mean seconds of an answer of mean work
@@ -42,18 +42,18 @@
 	leave leaveState
 }
 
-// NewTarget returns a target without load, first seen at now.
-func NewTarget(id bbunit.TargetID, now time.Time) *Target {
-	t := &Target{ID: id, hash: xxhash.Sum64String(string(id))}
+// NewTargetState returns a target without load, first seen at now.
+func NewTargetState(id bbunit.TargetID, now time.Time) *TargetState {
+	t := &TargetState{ID: id, hash: xxhash.Sum64String(string(id))}
 	t.since.Store(now.UnixNano())
 	return t
 }
 
 // InFlight returns how many requests of this instance the target runs.
-func (t *Target) InFlight() int { return int(t.count.Load()) }
+func (t *TargetState) InFlight() int { return int(t.count.Load()) }
 
 // Begin counts a request of that much work, in thousandths of a mean request.
-func (t *Target) Begin(work int64, suspect bool) {
+func (t *TargetState) Begin(work int64, suspect bool) {
 	t.count.Add(1)
 	t.work.Add(work)
 	if suspect {
@@ -62,7 +62,7 @@
 }
 
 // End takes away what Begin counted.
-func (t *Target) End(work int64, suspect bool) {
+func (t *TargetState) End(work int64, suspect bool) {
 	t.count.Add(-1)
 	t.work.Add(-work)
 	if suspect {
@@ -70,26 +70,26 @@
 	}
 }
 
-// Busy notes that the target refused a request for lack of room.
-func (t *Target) Busy(until time.Time) { t.busy.Store(until.UnixNano()) }
+// MarkBusy notes that the target refused a request for lack of room.
+func (t *TargetState) MarkBusy(until time.Time) { t.busy.Store(until.UnixNano()) }
 
-// Place is a target as a ticket declares it, with what is known of it.
-type Place struct {
-	Decl  bbticket.Target
-	Known *Target
+// Candidate is a target as a ticket declares it, with what is known of it.
+type Candidate struct {
+	Declared bbticket.Target
+	State    *TargetState
 
-	gate *Gate
+	gate *AdmissionController
 }
 
 // Slots returns how many requests the target runs at once, 0 when unknown.
-func (p *Place) Slots() int {
-	if r := p.Known.report.Load(); r != nil && r.Slots > 0 {
+func (p *Candidate) Slots() int {
+	if r := p.State.report.Load(); r != nil && r.Slots > 0 {
 		return r.Slots
 	}
-	return p.Decl.Slots
+	return p.Declared.Slots
 }
 
 // Usable tells whether the target may get a new request.
-func (p *Place) Usable(now time.Time) bool {
-	return !p.Decl.Leaving && !p.Known.Leaving() && p.Known.Circuit.Usable(now)
+func (p *Candidate) Usable(now time.Time) bool {
+	return !p.Declared.Leaving && !p.State.Leaving() && p.State.Circuit.Usable(now)
 }
--- a/shared/bbroute/capacity_test.go
+++ b/shared/bbroute/capacity_test.go
@@ -25,7 +25,7 @@
 		}
 		s := (&bbticket.State{}).Apply(t)
 		now := time.Unix(1000, 0)
-		table := (&Table{}).Next(s, "domain-00", GateRule{}, now)
+		table := (&Table{}).WithState(s, "domain-00", AdmissionPolicy{}, now)
 		for name, next := range map[string]bbticket.Ticket{
 			"target": {Number: 2, Targets: t.Targets[:1]},
 			"budget": {Number: 2, Budgets: []bbticket.Budget{{ID: "b"}}},
@@ -34,7 +34,7 @@
 			b.Run(fmt.Sprintf("%s/targets=%d", name, n), func(b *testing.B) {
 				b.ReportAllocs()
 				for range b.N {
-					table.Next(state, "domain-00", GateRule{}, now)
+					table.WithState(state, "domain-00", AdmissionPolicy{}, now)
 				}
 			})
 		}
--- a/shared/bbroute/circuit.go
+++ b/shared/bbroute/circuit.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// CircuitRule sets when a circuit opens and how long it stays open.
-type CircuitRule struct {
-	// Fails is how many failures in a row open the circuit.
-	Fails int
-	// Open is how long it stays open at first; each failed probe doubles it up
+// CircuitPolicy sets when a circuit opens and how long it stays open.
+type CircuitPolicy struct {
+	// FailureThreshold is how many failures in a row open the circuit.
+	FailureThreshold int
+	// InitialOpen is how long it stays open at first; each failed probe doubles it up
 	// to Longest.
-	Open, Longest time.Duration
-	// Probe is how long a probe may take before another is let through.
-	Probe time.Duration
+	InitialOpen, MaxOpen time.Duration
+	// ProbeTimeout is how long a probe may take before another is let through.
+	ProbeTimeout time.Duration
 }
 
 // Circuit keeps requests from a target that fails. It is closed at first, opens
@@ -30,39 +30,39 @@
 	return until == 0 || now.UnixNano() >= until
 }
 
-// Enter lets a request through. While the circuit is half-open only one caller
+// Allow lets a request through. While the circuit is half-open only one caller
 // gets true, and the next one once that probe's time is over.
-func (c *Circuit) Enter(now time.Time, rule *CircuitRule) bool {
+func (c *Circuit) Allow(now time.Time, rule *CircuitPolicy) bool {
 	until := c.until.Load()
 	if until == 0 {
 		return true
 	}
 	n := now.UnixNano()
-	return n >= until && c.until.CompareAndSwap(until, n+int64(rule.Probe))
+	return n >= until && c.until.CompareAndSwap(until, n+int64(rule.ProbeTimeout))
 }
 
 // Closed tells that the circuit is not open or half-open.
 func (c *Circuit) Closed() bool { return c.until.Load() == 0 }
 
-// Success closes the circuit and reports whether it was open.
-func (c *Circuit) Success() bool {
+// RecordSuccess closes the circuit and reports whether it was open.
+func (c *Circuit) RecordSuccess() bool {
 	if c.fails.Load() != 0 {
 		c.fails.Store(0)
 	}
 	return c.until.Load() != 0 && c.until.Swap(0) != 0
 }
 
-// Failure counts a failure that is the target's own, and reports whether the
+// RecordFailure counts a failure that is the target's own, and reports whether the
 // circuit is open after it.
-func (c *Circuit) Failure(now time.Time, rule *CircuitRule) bool {
+func (c *Circuit) RecordFailure(now time.Time, rule *CircuitPolicy) bool {
 	fails := c.fails.Add(1)
-	if fails < int64(rule.Fails) {
+	if fails < int64(rule.FailureThreshold) {
 		return false
 	}
-	open := rule.Open
-	for i := int64(rule.Fails); i < fails && open < rule.Longest; i++ {
+	open := rule.InitialOpen
+	for i := int64(rule.FailureThreshold); i < fails && open < rule.MaxOpen; i++ {
 		open *= 2
 	}
-	c.until.Store(now.Add(min(open, rule.Longest)).UnixNano())
+	c.until.Store(now.Add(min(open, rule.MaxOpen)).UnixNano())
 	return true
 }
--- a/shared/bbroute/group.go
+++ b/shared/bbroute/group.go
@@ -9,26 +9,26 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ChoiceRule sets how a target is chosen.
-type ChoiceRule struct {
-	Circuit CircuitRule
+// PickPolicy sets how a target is chosen.
+type PickPolicy struct {
+	Circuit CircuitPolicy
 	// SlowStart is how long a new target takes to get its full share.
 	SlowStart time.Duration
-	// Spill is the expected wait in the own failure domain above which a
+	// SpillWait is the expected wait in the own failure domain above which a
 	// request goes to another one that has room.
-	Spill time.Duration
+	SpillWait time.Duration
 }
 
 // Group holds the targets of one service: those of the own failure domain, and
 // the others. It is immutable but for what its targets count.
 type Group struct {
 	Service bbticket.Service
-	Near    []Place
-	Far     []Place
+	Local   []Candidate
+	Remote  []Candidate
 
 	turn    *atomic.Uint64
 	output  *gauge // mean tokens of an answer
-	gate    *Gate
+	gate    *AdmissionController
 	limiter *Limiter
 	retries *RetryBudget
 	// farRoom is how many requests other failure domains may take beside the
@@ -36,49 +36,49 @@
 	farRoom, farSlots float64
 }
 
-// Choice tells what Pick must leave out, and how to break ties.
-type Choice struct {
+// PickOptions tells what Pick must leave out, and how to break ties.
+type PickOptions struct {
 	Now  time.Time
 	Rand uint64
-	// Turn counts the service's requests; Pick sets it.
-	Turn  uint64
-	Tried []bbunit.TargetID
+	// RoundRobin counts the service's requests; Pick sets it.
+	RoundRobin uint64
+	Exclude    []bbunit.TargetID
 	// Suspect requests keep away from targets that run another suspect.
 	Suspect bool
 }
 
 // Pick returns the target for the request, already counted in its circuit, or
 // nil when none is usable. It allocates nothing and takes no lock.
-func (g *Group) Pick(ask *Ask, c *Choice, rule *ChoiceRule) *Place {
-	c.Turn = g.turn.Add(1)
-	for range len(g.Near) + len(g.Far) {
+func (g *Group) Pick(ask *Request, c *PickOptions, rule *PickPolicy) *Candidate {
+	c.RoundRobin = g.turn.Add(1)
+	for range len(g.Local) + len(g.Remote) {
 		p := g.choose(ask, c, rule)
 		if p == nil {
 			return nil
 		}
-		if p.Known.Circuit.Enter(c.Now, &rule.Circuit) {
+		if p.State.Circuit.Allow(c.Now, &rule.Circuit) {
 			return p
 		}
 		c.Rand = mix(c.Rand)
-		c.Turn++
+		c.RoundRobin++
 	}
 	return nil
 }
 
 // choose weighs the own failure domain against the others.
-func (g *Group) choose(ask *Ask, c *Choice, rule *ChoiceRule) *Place {
-	near := affine(g.Near, ask, c, rule)
+func (g *Group) choose(ask *Request, c *PickOptions, rule *PickPolicy) *Candidate {
+	near := affine(g.Local, ask, c, rule)
 	if near == nil {
-		near = pickTwo(g.Near, c, rule)
+		near = pickTwo(g.Local, c, rule)
 	}
-	if near != nil && near.Wait(c.Now) <= rule.Spill {
+	if near != nil && near.ExpectedWait(c.Now) <= rule.SpillWait {
 		return near
 	}
-	far := pickTwo(g.Far, c, rule)
+	far := pickTwo(g.Remote, c, rule)
 	if near == nil {
 		return far
 	}
-	if far != nil && far.roomFar() && far.Wait(c.Now) < near.Wait(c.Now) {
+	if far != nil && far.roomFar() && far.ExpectedWait(c.Now) < near.ExpectedWait(c.Now) {
 		return far
 	}
 	return near
@@ -87,11 +87,11 @@
 // pickTwo returns the better of two usable places: the next one in turn and one
 // drawn at random. The one in turn wins when they are about as loaded, which
 // spreads requests more evenly than two random draws.
-func pickTwo(places []Place, c *Choice, rule *ChoiceRule) *Place {
+func pickTwo(places []Candidate, c *PickOptions, rule *PickPolicy) *Candidate {
 	if len(places) == 0 {
 		return nil
 	}
-	first := &places[c.Turn%uint64(len(places))]
+	first := &places[c.RoundRobin%uint64(len(places))]
 	if !c.open(first) || c.shared(first) {
 		if first = draw(places, c, nil); first == nil {
 			return nil
@@ -111,7 +111,7 @@
 // draw returns a usable place other than not. It looks at a few places at
 // random, then at all in order, so that a usable one is never missed; only a
 // suspect that finds all usable places shared takes one of those.
-func draw(places []Place, c *Choice, not *Place) *Place {
+func draw(places []Candidate, c *PickOptions, not *Candidate) *Candidate {
 	n := uint64(len(places))
 	if n == 0 {
 		return nil
@@ -123,7 +123,7 @@
 		}
 	}
 	start := c.Rand % n
-	var shared *Place
+	var shared *Candidate
 	for i := range n {
 		p := &places[(start+i)%n]
 		if p == not || !c.open(p) {
@@ -138,21 +138,21 @@
 }
 
 // open tells whether the place may get the request.
-func (c *Choice) open(p *Place) bool {
-	return p.Usable(c.Now) && (len(c.Tried) == 0 || !slices.Contains(c.Tried, p.Known.ID))
+func (c *PickOptions) open(p *Candidate) bool {
+	return p.Usable(c.Now) && (len(c.Exclude) == 0 || !slices.Contains(c.Exclude, p.State.ID))
 }
 
 // shared tells that a crash of the place would not tell two suspects apart.
-func (c *Choice) shared(p *Place) bool { return c.Suspect && p.Known.suspects.Load() > 0 }
+func (c *PickOptions) shared(p *Candidate) bool { return c.Suspect && p.State.suspects.Load() > 0 }
 
 // affine returns the place that the request's prefix hashes to, unless it has
 // more than its bound of the load; then the next one, then none.
-func affine(places []Place, ask *Ask, c *Choice, rule *ChoiceRule) *Place {
-	if len(ask.Prefix) == 0 || len(places) < 2 || c.Suspect {
+func affine(places []Candidate, ask *Request, c *PickOptions, rule *PickPolicy) *Candidate {
+	if len(ask.PrefixHashes) == 0 || len(places) < 2 || c.Suspect {
 		return nil
 	}
-	key := ask.Prefix[min(affinityDepth, len(ask.Prefix))-1]
-	var first, second *Place
+	key := ask.PrefixHashes[min(affinityDepth, len(ask.PrefixHashes))-1]
+	var first, second *Candidate
 	var high, next uint64
 	var sum float64
 	var usable int
@@ -163,7 +163,7 @@
 		}
 		usable++
 		sum += p.Score(c.Now, rule)
-		switch h := mix(key ^ p.Known.hash); {
+		switch h := mix(key ^ p.State.hash); {
 		case first == nil || h > high:
 			first, second, high, next = p, first, h, high
 		case second == nil || h > next:
@@ -171,39 +171,39 @@
 		}
 	}
 	bound := affinityBound * sum / float64(max(usable, 1))
-	for _, p := range []*Place{first, second} {
-		if p != nil && p.Score(c.Now, rule) <= bound && p.Wait(c.Now) == 0 {
+	for _, p := range []*Candidate{first, second} {
+		if p != nil && p.Score(c.Now, rule) <= bound && p.ExpectedWait(c.Now) == 0 {
 			return p
 		}
 	}
 	return nil
 }
 
-// Work returns the request's expected work, in thousandths of a mean request.
-func (g *Group) Work(ask *Ask) int64 {
+// ExpectedWork returns the request's expected work, in thousandths of a mean request.
+func (g *Group) ExpectedWork(ask *Request) int64 {
 	mean := g.output.load()
-	if ask.Output <= 0 || mean <= 0 {
+	if ask.ExpectedOutput <= 0 || mean <= 0 {
 		return workUnit
 	}
-	part := float64(ask.Output) / mean
+	part := float64(ask.ExpectedOutput) / mean
 	return int64(workUnit * min(max(part, 0.25), 4))
 }
 
-// Gate returns the service's gate.
-func (g *Group) Gate() *Gate { return g.gate }
+// Admission returns the service's gate.
+func (g *Group) Admission() *AdmissionController { return g.gate }
 
-// Retries returns the retry budget of the service.
-func (g *Group) Retries() *RetryBudget { return g.retries }
+// RetryBudget returns the retry budget of the service.
+func (g *Group) RetryBudget() *RetryBudget { return g.retries }
 
 // Limiter returns the limiter of the service.
 func (g *Group) Limiter() *Limiter { return g.limiter }
 
-// Done notes a whole answer: how many tokens it had and how long it took.
-func (g *Group) Done(t *Target, output bbunit.Tokens, total time.Duration) {
+// RecordCompletion notes a whole answer: how many tokens it had and how long it took.
+func (g *Group) RecordCompletion(t *TargetState, output bbunit.Tokens, total time.Duration) {
 	if total <= 0 {
 		return
 	}
-	g.gate.Took(total)
+	g.gate.RecordDuration(total)
 	work := 1.0
 	if output > 0 {
 		g.output.average(float64(output), paceWeight)
@@ -213,10 +213,10 @@
 }
 
 // Find returns the place of a target, nil when the service has none of that id.
-func (g *Group) Find(id bbunit.TargetID) *Place {
-	for _, places := range [][]Place{g.Near, g.Far} {
+func (g *Group) Find(id bbunit.TargetID) *Candidate {
+	for _, places := range [][]Candidate{g.Local, g.Remote} {
 		for i := range places {
-			if places[i].Known.ID == id {
+			if places[i].State.ID == id {
 				return &places[i]
 			}
 		}
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// Enter lets a request through to the place if it is usable.
-func (p *Place) Enter(now time.Time, rule *ChoiceRule) bool {
-	return p.Usable(now) && p.Known.Circuit.Enter(now, &rule.Circuit)
+// Allow lets a request through to the place if it is usable.
+func (p *Candidate) Allow(now time.Time, rule *PickPolicy) bool {
+	return p.Usable(now) && p.State.Circuit.Allow(now, &rule.Circuit)
 }
--- a/shared/bbroute/choice_test.go
+++ b/shared/bbroute/group_test.go
@@ -24,7 +24,7 @@
 		id := bbunit.TargetID(fmt.Sprintf("t%d", i))
 		s.Targets[id] = bbticket.Numbered[bbticket.Target]{Object: bbticket.Target{ID: id, Service: "s", Domain: d, Slots: 8}}
 	}
-	g, _ := (&Table{}).Next(s, "d1", GateRule{Most: 8, Longest: time.Second}, testNow).Group("s")
+	g, _ := (&Table{}).WithState(s, "d1", AdmissionPolicy{MaxQueued: 8, MaxWait: time.Second}, testNow).Group("s")
 	return g
 }
 
@@ -36,34 +36,34 @@
 		g := testGroup(rapid.SliceOfN(rapid.SampledFrom([]bbunit.DomainID{"d1", "d2"}), n, n).Draw(t, "domains")...)
 		usable := map[bbunit.TargetID]bool{}
 		var tried []bbunit.TargetID
-		for _, places := range [][]Place{g.Near, g.Far} {
+		for _, places := range [][]Candidate{g.Local, g.Remote} {
 			for i := range places {
 				p := &places[i]
 				switch rapid.IntRange(0, 4).Draw(t, "condition") {
 				case 0:
-					p.Decl.Leaving = true
+					p.Declared.Leaving = true
 				case 1:
-					p.Known.Leave(testNow)
+					p.State.MarkLeaving(testNow)
 				case 2:
-					for range modelRule.Circuit.Fails {
-						p.Known.Circuit.Failure(testNow, &modelRule.Circuit)
+					for range modelRule.Circuit.FailureThreshold {
+						p.State.Circuit.RecordFailure(testNow, &modelRule.Circuit)
 					}
 				case 3:
-					tried = append(tried, p.Known.ID)
+					tried = append(tried, p.State.ID)
 				default:
-					usable[p.Known.ID] = true
-					p.Known.Begin(int64(rapid.IntRange(0, 20).Draw(t, "load"))*workUnit, false)
+					usable[p.State.ID] = true
+					p.State.Begin(int64(rapid.IntRange(0, 20).Draw(t, "load"))*workUnit, false)
 				}
 			}
 		}
-		ask := &Ask{Service: "s", Prefix: rapid.SliceOfN(rapid.Uint64(), 0, 3).Draw(t, "prefix")}
-		c := &Choice{Now: testNow, Rand: rapid.Uint64().Draw(t, "rand"), Tried: tried, Suspect: rapid.Bool().Draw(t, "suspect")}
+		ask := &Request{Service: "s", PrefixHashes: rapid.SliceOfN(rapid.Uint64(), 0, 3).Draw(t, "prefix")}
+		c := &PickOptions{Now: testNow, Rand: rapid.Uint64().Draw(t, "rand"), Exclude: tried, Suspect: rapid.Bool().Draw(t, "suspect")}
 		p := g.Pick(ask, c, &modelRule)
 		if (p != nil) != (len(usable) > 0) {
 			t.Fatalf("picked %v with %d usable", p, len(usable))
 		}
-		if p != nil && !usable[p.Known.ID] {
-			t.Fatalf("picked unusable %s", p.Known.ID)
+		if p != nil && !usable[p.State.ID] {
+			t.Fatalf("picked unusable %s", p.State.ID)
 		}
 	})
 }
@@ -86,16 +86,16 @@
 			is := is.New(t)
 			g := testGroup("d1", "d2")
 			for range c.near {
-				g.Near[0].Known.Begin(workUnit, false)
+				g.Local[0].State.Begin(workUnit, false)
 			}
 			for range c.far {
-				g.Far[0].Known.Begin(workUnit, false)
+				g.Remote[0].State.Begin(workUnit, false)
 			}
 			if c.down {
-				g.Near[0].Known.Leave(testNow)
+				g.Local[0].State.MarkLeaving(testNow)
 			}
-			p := g.Pick(&Ask{}, &Choice{Now: testNow}, &modelRule)
-			is.Equal(p.Known.ID, c.want)
+			p := g.Pick(&Request{}, &PickOptions{Now: testNow}, &modelRule)
+			is.Equal(p.State.ID, c.want)
 		})
 	}
 }
@@ -103,8 +103,8 @@
 func TestAffinityHoldsUpToItsBound(t *testing.T) {
 	is := is.New(t)
 	g := testGroup("d1", "d1", "d1", "d1")
-	ask := &Ask{Prefix: []uint64{7, 42}}
-	pick := func(r uint64) *Target { return g.Pick(ask, &Choice{Now: testNow, Rand: r}, &modelRule).Known }
+	ask := &Request{PrefixHashes: []uint64{7, 42}}
+	pick := func(r uint64) *TargetState { return g.Pick(ask, &PickOptions{Now: testNow, Rand: r}, &modelRule).State }
 	home := pick(1)
 	for r := range uint64(20) {
 		is.Equal(pick(r), home) // one prefix, one target
@@ -120,46 +120,46 @@
 func TestSlowStartHoldsBackNewTargets(t *testing.T) {
 	is := is.New(t)
 	g := testGroup("d1", "d1")
-	g.Near[0].Known.since.Store(testNow.UnixNano())
-	picks := map[*Target]int{}
+	g.Local[0].State.since.Store(testNow.UnixNano())
+	picks := map[*TargetState]int{}
 	for r := range uint64(40) {
-		p := g.Pick(&Ask{}, &Choice{Now: testNow.Add(time.Second), Rand: r}, &modelRule)
-		p.Known.Begin(workUnit, false)
-		picks[p.Known]++
+		p := g.Pick(&Request{}, &PickOptions{Now: testNow.Add(time.Second), Rand: r}, &modelRule)
+		p.State.Begin(workUnit, false)
+		picks[p.State]++
 	}
-	is.True(picks[g.Near[0].Known] <= 8)
+	is.True(picks[g.Local[0].State] <= 8)
 }
 
 func TestSuspectsKeepApart(t *testing.T) {
 	is := is.New(t)
 	g := testGroup("d1", "d1", "d1")
-	g.Near[0].Known.Begin(workUnit, true)
-	g.Near[1].Known.Begin(workUnit, true)
+	g.Local[0].State.Begin(workUnit, true)
+	g.Local[1].State.Begin(workUnit, true)
 	for r := range uint64(20) {
-		p := g.Pick(&Ask{}, &Choice{Now: testNow, Rand: r, Suspect: true}, &modelRule)
-		is.Equal(p.Known.ID, bbunit.TargetID("t2"))
+		p := g.Pick(&Request{}, &PickOptions{Now: testNow, Rand: r, Suspect: true}, &modelRule)
+		is.Equal(p.State.ID, bbunit.TargetID("t2"))
 	}
 }
 
 func TestCircuit(t *testing.T) {
 	is := is.New(t)
-	rule := &CircuitRule{Fails: 2, Open: time.Second, Longest: 3 * time.Second, Probe: 5 * time.Second}
+	rule := &CircuitPolicy{FailureThreshold: 2, InitialOpen: time.Second, MaxOpen: 3 * time.Second, ProbeTimeout: 5 * time.Second}
 	c := &Circuit{}
-	is.True(!c.Failure(testNow, rule))
-	is.True(!c.Success())
-	is.True(!c.Failure(testNow, rule)) // a success between starts anew
-	is.True(c.Failure(testNow, rule))
-	is.True(!c.Enter(testNow.Add(999*time.Millisecond), rule))
+	is.True(!c.RecordFailure(testNow, rule))
+	is.True(!c.RecordSuccess())
+	is.True(!c.RecordFailure(testNow, rule)) // a success between starts anew
+	is.True(c.RecordFailure(testNow, rule))
+	is.True(!c.Allow(testNow.Add(999*time.Millisecond), rule))
 	probe := testNow.Add(time.Second)
-	is.True(c.Enter(probe, rule))
-	is.True(!c.Enter(probe, rule)) // one probe at a time
-	is.True(c.Enter(probe.Add(rule.Probe), rule))
+	is.True(c.Allow(probe, rule))
+	is.True(!c.Allow(probe, rule)) // one probe at a time
+	is.True(c.Allow(probe.Add(rule.ProbeTimeout), rule))
 	for _, open := range []time.Duration{2 * time.Second, 3 * time.Second, 3 * time.Second} {
-		is.True(c.Failure(probe, rule))
-		is.True(!c.Enter(probe.Add(open-1), rule)) // doubles up to the longest
+		is.True(c.RecordFailure(probe, rule))
+		is.True(!c.Allow(probe.Add(open-1), rule)) // doubles up to the longest
 		probe = probe.Add(open)
-		is.True(c.Enter(probe, rule))
+		is.True(c.Allow(probe, rule))
 	}
-	is.True(c.Success())
-	is.True(c.Enter(probe, rule) && c.Enter(probe, rule))
+	is.True(c.RecordSuccess())
+	is.True(c.Allow(probe, rule) && c.Allow(probe, rule))
 }
--- a/shared/bbroute/leave.go
+++ b/shared/bbroute/leaving.go
@@ -12,34 +12,34 @@
 }
 
 // Leaving tells that the target gets nothing new.
-func (t *Target) Leaving() bool { return t.leave.since.Load() != 0 }
+func (t *TargetState) Leaving() bool { return t.leave.since.Load() != 0 }
 
-// Leave notes the target's own word that it is leaving. It reports whether
+// MarkLeaving notes the target's own word that it is leaving. It reports whether
 // this is news.
-func (t *Target) Leave(now time.Time) bool {
+func (t *TargetState) MarkLeaving(now time.Time) bool {
 	return t.leave.since.CompareAndSwap(0, now.UnixNano())
 }
 
-// LeaveHeard notes another instance's word. It is passed over soon after the
+// MarkLeavingByPeer notes another instance's word. It is passed over soon after the
 // target's own report said otherwise, so that two instances cannot keep an old
 // word alive between them.
-func (t *Target) LeaveHeard(now time.Time) bool {
+func (t *TargetState) MarkLeavingByPeer(now time.Time) bool {
 	cleared := t.leave.cleared.Load()
 	if cleared != 0 && now.UnixNano()-cleared < int64(leaveDeaf) {
 		return false
 	}
-	return t.Leave(now)
+	return t.MarkLeaving(now)
 }
 
-// LeaveNews tells that the word is young enough to be passed on.
-func (t *Target) LeaveNews(now time.Time) bool {
+// ShouldGossipLeaving tells that the word is young enough to be passed on.
+func (t *TargetState) ShouldGossipLeaving(now time.Time) bool {
 	since := t.leave.since.Load()
 	return since != 0 && now.UnixNano()-since < int64(leaveTell)
 }
 
 // stay takes the word back when the target was asked well after it and does
 // not call itself leaving.
-func (t *Target) stay(asked, now time.Time) bool {
+func (t *TargetState) stay(asked, now time.Time) bool {
 	since := t.leave.since.Load()
 	if since == 0 || asked.UnixNano()-since < int64(leaveSettle) {
 		return false
--- a/shared/bbroute/limit.go
+++ b/shared/bbroute/limiter.go
@@ -27,17 +27,17 @@
 // NewLimiter returns a limiter that holds the whole limit.
 func NewLimiter(key string, limit bbticket.Limit) *Limiter {
 	l := &Limiter{Key: key}
-	l.Declare(limit)
+	l.SetLimit(limit)
 	return l
 }
 
-// Declare sets the limit of the failure domain; the share follows at Adjust.
-func (l *Limiter) Declare(limit bbticket.Limit) {
+// SetLimit sets the limit of the failure domain; the share follows at Adjust.
+func (l *Limiter) SetLimit(limit bbticket.Limit) {
 	if old := l.limit.Load(); old != nil && *old == limit {
 		return
 	}
 	l.limit.Store(&limit)
-	l.Adjust(Usage{}, nil, 1)
+	l.UpdateShare(Usage{}, nil, 1)
 }
 
 // Limited tells that the limit limits anything.
@@ -46,8 +46,8 @@
 	return limit.Rate > 0 || limit.Open > 0
 }
 
-// Enter counts a request in, or returns a Refusal.
-func (l *Limiter) Enter(now time.Time) error {
+// Acquire counts a request in, or returns a Refusal.
+func (l *Limiter) Acquire(now time.Time) error {
 	l.demand.Add(1)
 	if most := l.most.Load(); l.open.Add(1) > most && most > 0 {
 		l.open.Add(-1)
@@ -79,12 +79,12 @@
 	}
 }
 
-// Leave counts a request out.
-func (l *Limiter) Leave() { l.open.Add(-1) }
+// Release counts a request out.
+func (l *Limiter) Release() { l.open.Add(-1) }
 
-// Undo counts a request out that was not let in after all, and gives its step
+// Cancel counts a request out that was not let in after all, and gives its step
 // back.
-func (l *Limiter) Undo() {
+func (l *Limiter) Cancel() {
 	l.open.Add(-1)
 	l.next.Add(-l.step.Load())
 }
@@ -93,23 +93,23 @@
 type Usage struct {
 	// Rate is in requests a second, refused ones included.
 	Rate float64
-	// Open is how many requests are in flight.
-	Open int
+	// InFlight is how many requests are in flight.
+	InFlight int
 }
 
-// Tick folds the requests asked for since the last tick into the running mean
+// UpdateUsage folds the requests asked for since the last tick into the running mean
 // and returns the instance's own usage.
-func (l *Limiter) Tick(past time.Duration) Usage {
+func (l *Limiter) UpdateUsage(past time.Duration) Usage {
 	if past > 0 {
 		rate := float64(l.demand.Swap(0)) / past.Seconds()
 		l.wanted.store(l.wanted.load() + usageWeight*(rate-l.wanted.load()))
 	}
-	return Usage{Rate: l.wanted.load(), Open: int(max(l.open.Load(), 0))}
+	return Usage{Rate: l.wanted.load(), InFlight: int(max(l.open.Load(), 0))}
 }
 
-// Adjust sets the share of this instance, one of n in its failure domain, from
+// UpdateShare sets the share of this instance, one of n in its failure domain, from
 // its own usage and what the others told of theirs.
-func (l *Limiter) Adjust(own Usage, others []Usage, n int) {
+func (l *Limiter) UpdateShare(own Usage, others []Usage, n int) {
 	limit := l.limit.Load()
 	n = max(n, len(others)+1)
 	if limit.Rate > 0 {
@@ -125,7 +125,7 @@
 		l.step.Store(0)
 	}
 	if limit.Open > 0 {
-		part := share(float64(own.Open), sumOpen(others), n, float64(limit.Open))
+		part := share(float64(own.InFlight), sumOpen(others), n, float64(limit.Open))
 		l.most.Store(int64(max(float64(limit.Open)*part, 1)))
 	} else {
 		l.most.Store(0)
@@ -149,7 +149,7 @@
 
 func sumOpen(us []Usage) (sum float64) {
 	for _, u := range us {
-		sum += float64(u.Open)
+		sum += float64(u.InFlight)
 	}
 	return sum
 }
--- a/shared/bbroute/limit_test.go
+++ b/shared/bbroute/limiter_test.go
@@ -22,14 +22,14 @@
 		now, in := testNow, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
-			err := l.Enter(now)
+			err := l.Acquire(now)
 			if err != nil {
 				var r *Refusal
 				if !errors.As(err, &r) || !errors.Is(err, ErrLimit) || r.RetryAfter <= 0 {
 					t.Fatalf("refused with %v", err)
 				}
 				now = now.Add(r.RetryAfter)
-				if err := l.Enter(now); err != nil {
+				if err := l.Acquire(now); err != nil {
 					t.Fatalf("refused again after %s: %v", r.RetryAfter, err)
 				}
 			}
@@ -65,38 +65,38 @@
 	is := is.New(t)
 	l := NewLimiter("k", bbticket.Limit{Rate: 100, Open: 10})
 	rate := func() float64 { return float64(time.Second) / float64(l.step.Load()) }
-	l.Adjust(Usage{}, nil, 4)
+	l.UpdateShare(Usage{}, nil, 4)
 	is.True(math.Abs(rate()-25) < 1) // idle: a quarter each
-	l.Adjust(Usage{Rate: 200, Open: 10}, []Usage{{}, {}, {}}, 4)
+	l.UpdateShare(Usage{Rate: 200, InFlight: 10}, []Usage{{}, {}, {}}, 4)
 	is.True(rate() > 90) // the busy one gets nearly all
 	is.Equal(l.most.Load(), int64(8))
-	l.Adjust(Usage{}, []Usage{{Rate: 200}, {}, {}}, 4)
+	l.UpdateShare(Usage{}, []Usage{{Rate: 200}, {}, {}}, 4)
 	is.True(rate() > 1 && rate() < 5) // an idle one can still start
 }
 
 func TestLimiterOpen(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter("k", bbticket.Limit{Open: 1})
-	is.NoErr(l.Enter(testNow))
-	is.True(errors.Is(l.Enter(testNow), ErrLimit))
-	l.Leave()
-	is.NoErr(l.Enter(testNow))
+	is.NoErr(l.Acquire(testNow))
+	is.True(errors.Is(l.Acquire(testNow), ErrLimit))
+	l.Release()
+	is.NoErr(l.Acquire(testNow))
 }
 
 func TestLimiterUndoGivesBack(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter("k", bbticket.Limit{Rate: 1, Burst: 1})
-	is.NoErr(l.Enter(testNow))
-	l.Undo()
-	is.NoErr(l.Enter(testNow))
-	is.True(l.Enter(testNow) != nil)
+	is.NoErr(l.Acquire(testNow))
+	l.Cancel()
+	is.NoErr(l.Acquire(testNow))
+	is.True(l.Acquire(testNow) != nil)
 }
 
 func TestTinyRateLimits(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter("k", bbticket.Limit{Rate: 1e-300, Burst: 1})
-	is.NoErr(l.Enter(testNow))
+	is.NoErr(l.Acquire(testNow))
 	for range 3 {
-		is.True(l.Enter(testNow.Add(time.Hour)) != nil)
+		is.True(l.Acquire(testNow.Add(time.Hour)) != nil)
 	}
 }
--- a/shared/bbroute/order.go
+++ b/shared/bbroute/order.go
@@ -18,9 +18,9 @@
 	Fence  bbunit.Fence `json:"fence"`
 	Action string       `json:"action"`
 	Model  string       `json:"model"`
-	// By is unique to the order, so that the orderer finds its own write again
+	// OrderID is unique to the order, so that the orderer finds its own write again
 	// when the answer was lost.
-	By string `json:"by"`
+	OrderID string `json:"by"`
 	// Done tells that the target has acknowledged the order.
 	Done bool `json:"done"`
 }
@@ -54,9 +54,9 @@
 // numbers gets nothing new until then, also when the one before was done, for
 // that one may just be sent again.
 type Order struct {
-	Mine Intent
-	// Until is when to go on after OrderStepWait.
-	Until time.Time
+	Intent Intent
+	// WaitUntil is when to go on after OrderStepWait.
+	WaitUntil time.Time
 
 	written   bool
 	unsettled bool // an intent before may have calls under way
@@ -65,57 +65,57 @@
 
 // NewOrder returns an order whose by is unique to it.
 func NewOrder(action, model, by string) *Order {
-	return &Order{Mine: Intent{Action: action, Model: model, By: by}}
+	return &Order{Intent: Intent{Action: action, Model: model, OrderID: by}}
 }
 
-// Read takes the intent as it was just read and returns the next step. Checks
+// OnRead takes the intent as it was just read and returns the next step. Checks
 // tells that the target refuses old fencing numbers; call is the longest time of
 // a call. A write that was refused, or whose answer was lost, is followed by
 // another reading.
-func (o *Order) Read(now time.Time, top Intent, checks bool, call time.Duration) OrderStep {
+func (o *Order) OnRead(now time.Time, top Intent, checks bool, call time.Duration) OrderStep {
 	switch {
-	case !o.written && top.By != o.Mine.By:
-		o.Mine.Fence = top.Fence + 1
+	case !o.written && top.OrderID != o.Intent.OrderID:
+		o.Intent.Fence = top.Fence + 1
 		o.unsettled = top.Fence > 0
 		return OrderStepWrite
 	case !o.written: // an answer was lost
-		o.written, o.Until = true, now.Add(call)
+		o.written, o.WaitUntil = true, now.Add(call)
 	}
 	switch {
-	case top.By != o.Mine.By:
+	case top.OrderID != o.Intent.OrderID:
 		return OrderStepSuperseded
 	case top.Done:
 		return OrderStepEnd
 	case o.acked:
-		o.Mine.Done = true
+		o.Intent.Done = true
 		return OrderStepMark
-	case !checks && o.unsettled && now.Before(o.Until):
+	case !checks && o.unsettled && now.Before(o.WaitUntil):
 		return OrderStepWait
 	}
 	return OrderStepSend
 }
 
-// Wrote notes that the write of Mine was acknowledged at now.
-func (o *Order) Wrote(now time.Time, call time.Duration) {
-	o.written, o.Until = true, now.Add(call)
+// OnWritten notes that the write of Mine was acknowledged at now.
+func (o *Order) OnWritten(now time.Time, call time.Duration) {
+	o.written, o.WaitUntil = true, now.Add(call)
 }
 
-// Acked notes that the target acknowledged the order.
-func (o *Order) Acked() { o.acked = true }
+// OnAcknowledged notes that the target acknowledged the order.
+func (o *Order) OnAcknowledged() { o.acked = true }
 
-// Resend decides when the home of a target's orders sends the last one again:
+// Resender decides when the home of a target's orders sends the last one again:
 // while it is not done, and, to a target that does not check fencing numbers,
 // ever again, since an orderer that was paused may have sent an older one after
 // it. The zero value has read nothing.
-type Resend struct {
+type Resender struct {
 	fence bbunit.Fence
 	since time.Time
 }
 
-// Read takes the intent as it was just read and tells whether to send it. Like
+// ShouldSend takes the intent as it was just read and tells whether to send it. Like
 // an orderer, it first waits out calls for the intent before, since when this
 // one was first read.
-func (r *Resend) Read(now time.Time, top Intent, checks bool, call time.Duration) bool {
+func (r *Resender) ShouldSend(now time.Time, top Intent, checks bool, call time.Duration) bool {
 	if r.fence != top.Fence {
 		r.fence, r.since = top.Fence, now
 	}
--- a/shared/bbroute/order_test.go
+++ b/shared/bbroute/order_test.go
@@ -11,10 +11,10 @@
 
 func TestOrderRead(t *testing.T) {
 	const call = time.Second
-	before := Intent{Fence: 4, By: "other"}
-	mine := Intent{Fence: 5, By: "me"}
-	done := Intent{Fence: 5, By: "me", Done: true}
-	written := func(o *Order) { o.Read(testNow, before, false, call); o.Wrote(testNow, call) }
+	before := Intent{Fence: 4, OrderID: "other"}
+	mine := Intent{Fence: 5, OrderID: "me"}
+	done := Intent{Fence: 5, OrderID: "me", Done: true}
+	written := func(o *Order) { o.OnRead(testNow, before, false, call); o.OnWritten(testNow, call) }
 	for _, c := range []struct {
 		name   string
 		do     func(o *Order)
@@ -25,16 +25,16 @@
 	}{
 		{name: "first order", want: OrderStepWrite},
 		{name: "over another", top: before, want: OrderStepWrite},
-		{name: "lost answer, took effect", do: func(o *Order) { o.Read(testNow, before, false, call) }, top: mine, want: OrderStepWait},
-		{name: "lost answer, no effect", do: func(o *Order) { o.Read(testNow, before, false, call) }, top: before, want: OrderStepWrite},
-		{name: "lost answer, another came between", do: func(o *Order) { o.Read(testNow, before, false, call) }, top: Intent{Fence: 5, By: "third"}, want: OrderStepWrite},
+		{name: "lost answer, took effect", do: func(o *Order) { o.OnRead(testNow, before, false, call) }, top: mine, want: OrderStepWait},
+		{name: "lost answer, no effect", do: func(o *Order) { o.OnRead(testNow, before, false, call) }, top: before, want: OrderStepWrite},
+		{name: "lost answer, another came between", do: func(o *Order) { o.OnRead(testNow, before, false, call) }, top: Intent{Fence: 5, OrderID: "third"}, want: OrderStepWrite},
 		{name: "waits out calls of the one before", do: written, after: call - 1, top: mine, want: OrderStepWait},
 		{name: "sends after that", do: written, after: call, top: mine, want: OrderStepSend},
 		{name: "sends at once to a target that checks", do: written, top: mine, checks: true, want: OrderStepSend},
-		{name: "superseded", do: written, top: Intent{Fence: 6, By: "third"}, checks: true, want: OrderStepSuperseded},
-		{name: "superseded after its call", do: func(o *Order) { written(o); o.Acked() }, top: Intent{Fence: 6, By: "third"}, want: OrderStepSuperseded},
-		{name: "marks", do: func(o *Order) { written(o); o.Acked() }, top: mine, want: OrderStepMark},
-		{name: "done", do: func(o *Order) { written(o); o.Acked() }, top: done, want: OrderStepEnd},
+		{name: "superseded", do: written, top: Intent{Fence: 6, OrderID: "third"}, checks: true, want: OrderStepSuperseded},
+		{name: "superseded after its call", do: func(o *Order) { written(o); o.OnAcknowledged() }, top: Intent{Fence: 6, OrderID: "third"}, want: OrderStepSuperseded},
+		{name: "marks", do: func(o *Order) { written(o); o.OnAcknowledged() }, top: mine, want: OrderStepMark},
+		{name: "done", do: func(o *Order) { written(o); o.OnAcknowledged() }, top: done, want: OrderStepEnd},
 		{name: "done by the home", do: written, top: done, want: OrderStepEnd},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 			if c.do != nil {
 				c.do(o)
 			}
-			is.Equal(o.Read(testNow.Add(c.after), c.top, c.checks, call), c.want)
+			is.Equal(o.OnRead(testNow.Add(c.after), c.top, c.checks, call), c.want)
 		})
 	}
 }
@@ -110,19 +110,19 @@
 func (m *orderModel) advance(o *orderer) {
 	if o.began.IsZero() {
 		o.began, o.rev = m.now, m.rev
-		o.step = o.Read(m.now, m.top, false, modelCall)
+		o.step = o.OnRead(m.now, m.top, false, modelCall)
 		return
 	}
 	switch o.step {
 	case OrderStepWrite:
-		if m.write(o.Mine, o.rev) {
-			o.Wrote(m.now, modelCall)
+		if m.write(o.Intent, o.rev) {
+			o.OnWritten(m.now, modelCall)
 		}
 	case OrderStepMark:
-		m.write(o.Mine, o.rev)
+		m.write(o.Intent, o.rev)
 	case OrderStepSend:
-		if m.send(o.Mine, o.began) {
-			o.Acked()
+		if m.send(o.Intent, o.began) {
+			o.OnAcknowledged()
 		}
 	case OrderStepEnd, OrderStepSuperseded:
 		o.over = true
@@ -141,7 +141,7 @@
 		for i := range rapid.IntRange(1, 3).Draw(t, "orderers") {
 			all = append(all, &orderer{Order: NewOrder("load", "m", fmt.Sprint(i))})
 		}
-		var resend Resend
+		var resend Resender
 		var home *orderCallTime // what the home read and has not sent yet
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			m.now = m.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
@@ -149,16 +149,16 @@
 			switch {
 			case n < len(all) && !all[n].over:
 				m.advance(all[n])
-			case home == nil && resend.Read(m.now, m.top, false, modelCall):
+			case home == nil && resend.ShouldSend(m.now, m.top, false, modelCall):
 				home = &orderCallTime{intent: m.top, until: m.now}
 			case home != nil:
 				m.send(home.intent, home.until)
 				home = nil
 			}
 		}
-		resend.Read(m.now, m.top, false, modelCall)
+		resend.ShouldSend(m.now, m.top, false, modelCall)
 		m.now = m.now.Add(modelCall)
-		if resend.Read(m.now, m.top, false, modelCall) { // the home goes on
+		if resend.ShouldSend(m.now, m.top, false, modelCall) { // the home goes on
 			m.applied = m.top
 		}
 		if m.applied.Fence != m.top.Fence {
@@ -171,14 +171,14 @@
 // ignores fencing numbers ever again, since a paused orderer may send late.
 func TestResend(t *testing.T) {
 	is := is.New(t)
-	open, done := Intent{Fence: 6, By: "me"}, Intent{Fence: 6, By: "me", Done: true}
+	open, done := Intent{Fence: 6, OrderID: "me"}, Intent{Fence: 6, OrderID: "me", Done: true}
 	later := testNow.Add(modelCall)
-	var checked, ignored, none Resend
-	is.True(checked.Read(testNow, open, true, modelCall))
-	is.True(!checked.Read(later, done, true, modelCall))
-	is.True(!ignored.Read(testNow, open, false, modelCall)) // calls of the one before
-	is.True(ignored.Read(later, open, false, modelCall))
-	is.True(ignored.Read(later, done, false, modelCall))
-	is.True(!ignored.Read(later, Intent{Fence: 7}, false, modelCall))
-	is.True(!none.Read(later, Intent{}, false, modelCall))
+	var checked, ignored, none Resender
+	is.True(checked.ShouldSend(testNow, open, true, modelCall))
+	is.True(!checked.ShouldSend(later, done, true, modelCall))
+	is.True(!ignored.ShouldSend(testNow, open, false, modelCall)) // calls of the one before
+	is.True(ignored.ShouldSend(later, open, false, modelCall))
+	is.True(ignored.ShouldSend(later, done, false, modelCall))
+	is.True(!ignored.ShouldSend(later, Intent{Fence: 7}, false, modelCall))
+	is.True(!none.ShouldSend(later, Intent{}, false, modelCall))
 }
--- a/shared/bbroute/report.go
+++ b/shared/bbroute/report.go
@@ -8,39 +8,39 @@
 
 // Errors of a report that is dropped.
 const (
-	// ErrReport means that the report is negative, absurd or from the future.
-	ErrReport = errors.ConstError("bad load report")
-	// ErrOldReport means that a newer report is known, or that this one is of
+	// ErrBadReport means that the report is negative, absurd or from the future.
+	ErrBadReport = errors.ConstError("bad load report")
+	// ErrStaleReport means that a newer report is known, or that this one is of
 	// no more use.
-	ErrOldReport = errors.ConstError("old load report")
+	ErrStaleReport = errors.ConstError("old load report")
 )
 
-// Check returns ErrReport or ErrOldReport when the report says nothing.
-func (r *Report) Check(now time.Time) error {
+// Validate returns ErrReport or ErrOldReport when the report says nothing.
+func (r *LoadReport) Validate(now time.Time) error {
 	switch {
 	case r.Running < 0 || r.Waiting < 0 || r.Slots < 0:
-		return errors.Annotatef(ErrReport, "negative: running %d, waiting %d, slots %d", r.Running, r.Waiting, r.Slots)
+		return errors.Annotatef(ErrBadReport, "negative: running %d, waiting %d, slots %d", r.Running, r.Waiting, r.Slots)
 	case max(r.Running, r.Waiting, r.Slots) > reportMost:
-		return errors.Annotatef(ErrReport, "above %d: running %d, waiting %d, slots %d", reportMost, r.Running, r.Waiting, r.Slots)
-	case r.At.Sub(now) > reportSkew:
-		return errors.Annotatef(ErrReport, "%s from the future", r.At.Sub(now))
-	case now.Sub(r.At) > reportKeep:
-		return errors.Annotatef(ErrOldReport, "%s old", now.Sub(r.At))
+		return errors.Annotatef(ErrBadReport, "above %d: running %d, waiting %d, slots %d", reportMost, r.Running, r.Waiting, r.Slots)
+	case r.SampledAt.Sub(now) > reportSkew:
+		return errors.Annotatef(ErrBadReport, "%s from the future", r.SampledAt.Sub(now))
+	case now.Sub(r.SampledAt) > reportKeep:
+		return errors.Annotatef(ErrStaleReport, "%s old", now.Sub(r.SampledAt))
 	}
 	return nil
 }
 
 // Observe takes a report. It returns ErrReport or ErrOldReport, and then
 // changes nothing. News tells that the target now leaves, or no longer does.
-func (t *Target) Observe(r Report, now time.Time) (news bool, err error) {
-	if err := r.Check(now); err != nil {
+func (t *TargetState) Observe(r LoadReport, now time.Time) (news bool, err error) {
+	if err := r.Validate(now); err != nil {
 		return false, err
 	}
 	r.own = int(t.count.Load())
 	for {
 		old := t.report.Load()
-		if old != nil && !r.At.After(old.At) {
-			return false, ErrOldReport
+		if old != nil && !r.SampledAt.After(old.SampledAt) {
+			return false, ErrStaleReport
 		}
 		if t.report.CompareAndSwap(old, &r) {
 			break
@@ -48,15 +48,15 @@
 	}
 	t.usual.average(r.others(), usualWeight)
 	if r.Leaving {
-		return t.Leave(now), nil
+		return t.MarkLeaving(now), nil
 	}
-	return t.stay(r.At, now), nil
+	return t.stay(r.SampledAt, now), nil
 }
 
 // fresh returns the last report while it is of use.
-func (t *Target) fresh(now time.Time) *Report {
+func (t *TargetState) fresh(now time.Time) *LoadReport {
 	r := t.report.Load()
-	if r == nil || now.Sub(r.At) > reportKeep {
+	if r == nil || now.Sub(r.SampledAt) > reportKeep {
 		return nil
 	}
 	return r
@@ -66,11 +66,11 @@
 // of n instances that use it: what it had when the report was made, and its
 // part of the room that was left, or of the excess. Whoever has much there may
 // take or must give up much. Without a report all slots are its own.
-func (p *Place) allowance(now time.Time, n int) float64 {
+func (p *Candidate) allowance(now time.Time, n int) float64 {
 	if !p.Usable(now) {
 		return 0
 	}
-	r := p.Known.fresh(now)
+	r := p.State.fresh(now)
 	slots := p.slotsOr(unlimited)
 	if r == nil || slots == unlimited {
 		return slots
--- a/shared/bbroute/ask.go
+++ b/shared/bbroute/request.go
@@ -12,22 +12,22 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Ask is what a request asks of the router.
-type Ask struct {
+// Request is what a request asks of the router.
+type Request struct {
 	Service  bbunit.ServiceID
 	Account  bbunit.AccountID
 	Priority bbunit.Priority
 	// Deadline is when the answer is of no more use; zero means none.
 	Deadline time.Time
-	// Prefix holds hashes of the leading messages, the shortest prefix first.
-	Prefix []uint64
-	// Print is a hash of the body that does not depend on the account; 0 means
+	// PrefixHashes holds hashes of the leading messages, the shortest prefix first.
+	PrefixHashes []uint64
+	// Fingerprint is a hash of the body that does not depend on the account; 0 means
 	// none.
-	Print uint64
-	// Output is how many tokens the answer is expected to have; 0 means unknown.
-	Output bbunit.Tokens
-	// Repeat tells that the request may run more than once.
-	Repeat bool
+	Fingerprint uint64
+	// ExpectedOutput is how many tokens the answer is expected to have; 0 means unknown.
+	ExpectedOutput bbunit.Tokens
+	// Idempotent tells that the request may run more than once.
+	Idempotent bool
 	// Cancel, when not nil, ends a wait for a place once it is closed.
 	Cancel <-chan struct{}
 }
--- a/shared/bbroute/retry_test.go
+++ b/shared/bbroute/retry_test.go
@@ -11,33 +11,33 @@
 
 func TestRetry(t *testing.T) {
 	broken := errors.New("broken")
-	rule := &RetryRule{Tries: 3}
+	rule := &RetryPolicy{MaxAttempts: 3}
 	for _, c := range []struct {
 		name  string
 		state RetryState
-		end   End
-		ask   Ask
+		end   AttemptResult
+		ask   Request
 		want  Decision
 	}{
-		{name: "success", state: RetryState{Tries: 1}, want: DecisionStop},
-		{name: "nothing sent", state: RetryState{Tries: 1}, end: End{Err: broken}, want: DecisionElsewhere},
-		{name: "sent, not to be repeated", state: RetryState{Tries: 1}, end: End{Err: broken, Sent: true}, want: DecisionStop},
-		{name: "crashed, not to be repeated", state: RetryState{Tries: 1}, end: End{Err: broken, Sent: true, Crashed: true}, want: DecisionStop},
-		{name: "sent, may be repeated", state: RetryState{Tries: 1}, end: End{Err: broken, Sent: true}, ask: Ask{Repeat: true}, want: DecisionElsewhere},
-		{name: "refused as leaving", state: RetryState{Tries: 1}, end: End{Err: ErrLeaving, Sent: true}, want: DecisionElsewhere},
-		{name: "refused as full", state: RetryState{Tries: 1}, end: End{Err: ErrBusy, Sent: true}, want: DecisionElsewhere},
-		{name: "reused connection, nothing sent", state: RetryState{Tries: 1}, end: End{Err: broken, Reused: true}, want: DecisionElsewhere},
-		{name: "reused connection, sent", state: RetryState{Tries: 1}, end: End{Err: broken, Reused: true, Sent: true}, want: DecisionStop},
-		{name: "reused connection, may be repeated", state: RetryState{Tries: 1}, end: End{Err: broken, Reused: true, Sent: true}, ask: Ask{Repeat: true}, want: DecisionFresh},
-		{name: "reused again", state: RetryState{Tries: 2, Refreshed: true}, end: End{Err: broken, Reused: true, Sent: true}, ask: Ask{Repeat: true}, want: DecisionElsewhere},
-		{name: "crash on a reused connection", state: RetryState{Tries: 1}, end: End{Err: broken, Reused: true, Crashed: true, Sent: true}, ask: Ask{Repeat: true}, want: DecisionElsewhere},
-		{name: "tries used up", state: RetryState{Tries: 3}, end: End{Err: broken}, want: DecisionStop},
-		{name: "deadline over", state: RetryState{Tries: 1}, end: End{Err: broken}, ask: Ask{Deadline: testNow}, want: DecisionStop},
-		{name: "caller left", state: RetryState{Tries: 1}, end: End{Err: ErrCancelled}, ask: Ask{Repeat: true}, want: DecisionStop},
+		{name: "success", state: RetryState{Attempts: 1}, want: DecisionStop},
+		{name: "nothing sent", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken}, want: DecisionRetryOther},
+		{name: "sent, not to be repeated", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, Sent: true}, want: DecisionStop},
+		{name: "crashed, not to be repeated", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, Sent: true, Crashed: true}, want: DecisionStop},
+		{name: "sent, may be repeated", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, Sent: true}, ask: Request{Idempotent: true}, want: DecisionRetryOther},
+		{name: "refused as leaving", state: RetryState{Attempts: 1}, end: AttemptResult{Err: ErrLeaving, Sent: true}, want: DecisionRetryOther},
+		{name: "refused as full", state: RetryState{Attempts: 1}, end: AttemptResult{Err: ErrBusy, Sent: true}, want: DecisionRetryOther},
+		{name: "reused connection, nothing sent", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, ConnReused: true}, want: DecisionRetryOther},
+		{name: "reused connection, sent", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, ConnReused: true, Sent: true}, want: DecisionStop},
+		{name: "reused connection, may be repeated", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, ConnReused: true, Sent: true}, ask: Request{Idempotent: true}, want: DecisionRetrySame},
+		{name: "reused again", state: RetryState{Attempts: 2, Reconnected: true}, end: AttemptResult{Err: broken, ConnReused: true, Sent: true}, ask: Request{Idempotent: true}, want: DecisionRetryOther},
+		{name: "crash on a reused connection", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, ConnReused: true, Crashed: true, Sent: true}, ask: Request{Idempotent: true}, want: DecisionRetryOther},
+		{name: "tries used up", state: RetryState{Attempts: 3}, end: AttemptResult{Err: broken}, want: DecisionStop},
+		{name: "deadline over", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken}, ask: Request{Deadline: testNow}, want: DecisionStop},
+		{name: "caller left", state: RetryState{Attempts: 1}, end: AttemptResult{Err: ErrCancelled}, ask: Request{Idempotent: true}, want: DecisionStop},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(Retry(c.state, &c.end, &c.ask, rule, testNow), c.want)
+			is.Equal(DecideRetry(c.state, &c.end, &c.ask, rule, testNow), c.want)
 		})
 	}
 }
@@ -45,21 +45,21 @@
 func TestBlame(t *testing.T) {
 	is := is.New(t)
 	broken := errors.New("broken")
-	is.True((&End{Err: broken}).Blame())
-	is.True(!(&End{Err: broken, Reused: true, Sent: true}).Blame()) // a fresh connection first
-	is.True((&End{Err: broken, Reused: true}).Blame())              // could not be opened
-	is.True((&End{Err: broken, Reused: true, Crashed: true}).Blame())
-	is.True(!(&End{Err: ErrLeaving}).Blame())
-	is.True(!(&End{Err: ErrBusy}).Blame())
-	is.True(!(&End{Err: ErrCancelled}).Blame())
-	is.True(!(&End{}).Blame())
+	is.True((&AttemptResult{Err: broken}).IsTargetFault())
+	is.True(!(&AttemptResult{Err: broken, ConnReused: true, Sent: true}).IsTargetFault()) // a fresh connection first
+	is.True((&AttemptResult{Err: broken, ConnReused: true}).IsTargetFault())              // could not be opened
+	is.True((&AttemptResult{Err: broken, ConnReused: true, Crashed: true}).IsTargetFault())
+	is.True(!(&AttemptResult{Err: ErrLeaving}).IsTargetFault())
+	is.True(!(&AttemptResult{Err: ErrBusy}).IsTargetFault())
+	is.True(!(&AttemptResult{Err: ErrCancelled}).IsTargetFault())
+	is.True(!(&AttemptResult{}).IsTargetFault())
 }
 
 // TestRetriesCannotMultiply holds that retries stay below the ratio of the
 // successes, the floor and what can be saved, whatever fails.
 func TestRetriesCannotMultiply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rule := &RetryRule{Tries: 3, Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), Floor: rapid.Float64Range(0, 5).Draw(t, "floor")}
+		rule := &RetryPolicy{MaxAttempts: 3, Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), MinPerSecond: rapid.Float64Range(0, 5).Draw(t, "floor")}
 		b := &RetryBudget{}
 		now := testNow
 		var good, spent float64
@@ -71,7 +71,7 @@
 			} else if b.Spend(now, rule) {
 				spent++
 			}
-			if most := good*rule.Ratio + now.Sub(testNow).Seconds()*rule.Floor + retryFloorBurst; spent > most {
+			if most := good*rule.Ratio + now.Sub(testNow).Seconds()*rule.MinPerSecond + retryFloorBurst; spent > most {
 				t.Fatalf("%.0f retries, at most %.2f", spent, most)
 			}
 		}
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	b, n := &RetryBudget{}, 0
 	for i := range 100 {
-		if b.Spend(time.Now().Add(time.Duration(i)), &RetryRule{Floor: 1e-12}) {
+		if b.Spend(time.Now().Add(time.Duration(i)), &RetryPolicy{MinPerSecond: 1e-12}) {
 			n++
 		}
 	}
@@ -91,7 +91,7 @@
 
 func TestRetryBudgetSavesLittle(t *testing.T) {
 	is := is.New(t)
-	rule := &RetryRule{Ratio: 0.1}
+	rule := &RetryPolicy{Ratio: 0.1}
 	b := &RetryBudget{}
 	for range 100_000 {
 		b.Earn(rule)
--- a/shared/bbroute/queue_test.go
+++ b/shared/bbroute/simulation_test.go
@@ -70,7 +70,7 @@
 }
 
 type modelRequest struct {
-	ask     Ask
+	ask     Request
 	counted bool
 	began   time.Time
 	service time.Duration
@@ -116,10 +116,10 @@
 	return e
 }
 
-var modelRule = ChoiceRule{
-	Circuit:   CircuitRule{Fails: 3, Open: time.Second, Longest: 30 * time.Second, Probe: 10 * time.Second},
+var modelRule = PickPolicy{
+	Circuit:   CircuitPolicy{FailureThreshold: 3, InitialOpen: time.Second, MaxOpen: 30 * time.Second, ProbeTimeout: 10 * time.Second},
 	SlowStart: 10 * time.Second,
-	Spill:     250 * time.Millisecond,
+	SpillWait: 250 * time.Millisecond,
 }
 
 func (m *queueModel) after(d time.Duration, fn func()) {
@@ -142,9 +142,9 @@
 		state.Targets[id] = bbticket.Numbered[bbticket.Target]{Object: bbticket.Target{ID: id, Service: "s", Slots: m.slots}}
 		m.sinks = append(m.sinks, &modelTarget{id: i})
 	}
-	rule := GateRule{Most: 256, Longest: 5 * time.Second}
+	rule := AdmissionPolicy{MaxQueued: 256, MaxWait: 5 * time.Second}
 	for i := range m.routers {
-		t := (&Table{}).Next(state, "", rule, m.now)
+		t := (&Table{}).WithState(state, "", rule, m.now)
 		g, _ := t.Group("s")
 		g.turn.Store(uint64(i))
 		m.fronts = append(m.fronts, &modelRouter{id: i, table: t, seed: mix(m.seed*1000 + uint64(i)), turn: i})
@@ -186,11 +186,11 @@
 		r = m.fronts[0]
 	}
 	q := &modelRequest{
-		ask: Ask{
-			Service:  "s",
-			Priority: bbunit.Priority(m.rnd.IntN(3)),
-			Deadline: m.now.Add(time.Duration(deadline * float64(time.Second))),
-			Output:   bbunit.Tokens(service * 200 * (0.7 + 0.6*m.rnd.Float64())),
+		ask: Request{
+			Service:        "s",
+			Priority:       bbunit.Priority(m.rnd.IntN(3)),
+			Deadline:       m.now.Add(time.Duration(deadline * float64(time.Second))),
+			ExpectedOutput: bbunit.Tokens(service * 200 * (0.7 + 0.6*m.rnd.Float64())),
 		},
 		began:   m.now,
 		service: time.Duration(service * float64(time.Second)),
@@ -207,13 +207,13 @@
 // admit sends the request, lines it up or refuses it.
 func (m *queueModel) admit(q *modelRequest) {
 	g := m.group(q.router)
-	q.work = g.Work(&q.ask)
-	if m.policy != "bluebellport" || g.gate.Enter() {
+	q.work = g.ExpectedWork(&q.ask)
+	if m.policy != "bluebellport" || g.gate.TryAcquire() {
 		m.send(q)
 		return
 	}
-	q.waiter = &Waiter{Priority: q.ask.Priority, Deadline: q.ask.Deadline, Service: g.gate.Expect(q.work), Ready: make(chan error, 1)}
-	if err := g.gate.Join(q.waiter, m.now); err != nil {
+	q.waiter = &Waiter{Priority: q.ask.Priority, Deadline: q.ask.Deadline, ExpectedDuration: g.gate.ExpectedDuration(q.work), Ready: make(chan error, 1)}
+	if err := g.gate.Enqueue(q.waiter, m.now); err != nil {
 		m.refuse(q)
 		return
 	}
@@ -253,19 +253,19 @@
 
 func (m *queueModel) send(q *modelRequest) {
 	r := q.router
-	var p *Place
+	var p *Candidate
 	switch g := m.group(r); m.policy {
 	case "random":
-		p = &g.Near[m.rnd.IntN(m.targets)]
+		p = &g.Local[m.rnd.IntN(m.targets)]
 	case "round robin":
 		r.turn++
-		p = &g.Near[r.turn%m.targets]
+		p = &g.Local[r.turn%m.targets]
 	default:
 		r.seed++
-		p = g.Pick(&q.ask, &Choice{Now: m.now, Rand: r.seed * 0x9e3779b97f4a7c15}, &modelRule)
+		p = g.Pick(&q.ask, &PickOptions{Now: m.now, Rand: r.seed * 0x9e3779b97f4a7c15}, &modelRule)
 	}
-	p.Known.Begin(q.work, false)
-	q.target, q.sent, q.stage = m.sinks[slices.IndexFunc(m.group(r).Near, func(x Place) bool { return x.Known == p.Known })], m.now, 1
+	p.State.Begin(q.work, false)
+	q.target, q.sent, q.stage = m.sinks[slices.IndexFunc(m.group(r).Local, func(x Candidate) bool { return x.State == p.State })], m.now, 1
 	q.target.queue = append(q.target.queue, q)
 	m.start(q.target)
 }
@@ -292,12 +292,12 @@
 		m.result.good++
 	}
 	total := m.now.Sub(q.sent)
-	m.group(q.router).Done(m.place(q).Known, bbunit.Tokens(q.service.Seconds()*200), total)
+	m.group(q.router).RecordCompletion(m.place(q).State, bbunit.Tokens(q.service.Seconds()*200), total)
 	m.leave(q)
 }
 
-func (m *queueModel) place(q *modelRequest) *Place {
-	return &m.group(q.router).Near[q.target.id]
+func (m *queueModel) place(q *modelRequest) *Candidate {
+	return &m.group(q.router).Local[q.target.id]
 }
 
 // taken returns how many of the target's slots others keep.
@@ -321,7 +321,7 @@
 	switch q.stage {
 	case 0:
 		g := m.group(q.router)
-		if g.gate.Leave(q.waiter) {
+		if g.gate.CancelWait(q.waiter) {
 			m.refuse(q)
 		}
 		q.router.waiting = slices.DeleteFunc(q.router.waiting, func(x *modelRequest) bool { return x == q })
@@ -341,22 +341,22 @@
 		t.queue = slices.DeleteFunc(t.queue, func(x *modelRequest) bool { return x == q })
 	}
 	q.stage = 3
-	m.place(q).Known.End(q.work, false)
+	m.place(q).State.End(q.work, false)
 	m.start(t)
 	if m.policy == "bluebellport" {
-		m.group(q.router).gate.Exit()
+		m.group(q.router).gate.Release()
 		m.wake(q.router)
 	}
 }
 
 // tell reports the target's load to all routers, late.
 func (m *queueModel) tell(t *modelTarget) {
-	r := Report{Running: t.running + m.taken(t), Waiting: len(t.queue), Slots: m.slots, At: m.now}
+	r := LoadReport{Running: t.running + m.taken(t), Waiting: len(t.queue), Slots: m.slots, SampledAt: m.now}
 	m.after(m.lag, func() {
 		for _, f := range m.fronts {
 			g := m.group(f)
-			_, _ = g.Near[t.id].Known.Observe(r, m.now)
-			g.Refresh(m.now, m.routers)
+			_, _ = g.Local[t.id].State.Observe(r, m.now)
+			g.UpdateWindow(m.now, m.routers)
 			m.wake(f)
 		}
 	})
--- a/shared/bbroute/table.go
+++ b/shared/bbroute/table.go
@@ -22,7 +22,7 @@
 type declared struct {
 	number  bbunit.TicketNumber
 	address string
-	target  *Target
+	target  *TargetState
 }
 
 // Group returns the service's targets.
@@ -41,8 +41,8 @@
 	return out
 }
 
-// Account returns the limiter of an account, nil when it has no limit.
-func (t *Table) Account(id bbunit.AccountID) *Limiter { return t.limits[id] }
+// AccountLimiter returns the limiter of an account, nil when it has no limit.
+func (t *Table) AccountLimiter(id bbunit.AccountID) *Limiter { return t.limits[id] }
 
 // Limiters returns all limiters that limit anything, sorted by key.
 func (t *Table) Limiters() []*Limiter {
@@ -59,15 +59,15 @@
 	return out
 }
 
-// Target returns what is known of a target.
-func (t *Table) Target(id bbunit.TargetID) (*Target, bool) {
+// TargetState returns what is known of a target.
+func (t *Table) TargetState(id bbunit.TargetID) (*TargetState, bool) {
 	d, ok := t.known[id]
 	return d.target, ok
 }
 
-// Targets returns all targets, sorted by id.
-func (t *Table) Targets() []*Target {
-	out := make([]*Target, 0, len(t.known))
+// TargetStates returns all targets, sorted by id.
+func (t *Table) TargetStates() []*TargetState {
+	out := make([]*TargetState, 0, len(t.known))
 	for _, d := range t.known {
 		out = append(out, d.target)
 	}
@@ -75,9 +75,9 @@
 	return out
 }
 
-// Next returns the table of a newer state, seen from failure domain home. What
+// WithState returns the table of a newer state, seen from failure domain home. What
 // is known of a target stays with it while its address stays.
-func (t *Table) Next(state *bbticket.State, home bbunit.DomainID, rule GateRule, now time.Time) *Table {
+func (t *Table) WithState(state *bbticket.State, home bbunit.DomainID, rule AdmissionPolicy, now time.Time) *Table {
 	if t.State != nil && state.Routed > 0 && t.State.Routed == state.Routed {
 		return &Table{State: state, groups: t.groups, known: t.known, limits: t.limits}
 	}
@@ -103,11 +103,11 @@
 		if n.Object.Gone || !ok {
 			continue
 		}
-		p := Place{Decl: n.Object, Known: t.keep(next, n, now), gate: g.gate}
+		p := Candidate{Declared: n.Object, State: t.keep(next, n, now), gate: g.gate}
 		if n.Object.Domain == home {
-			g.Near = append(g.Near, p)
+			g.Local = append(g.Local, p)
 		} else {
-			g.Far = append(g.Far, p)
+			g.Remote = append(g.Remote, p)
 			g.farRoom += float64(p.mostFar())
 			g.farSlots += p.slotsOr(unlimited)
 		}
@@ -117,12 +117,12 @@
 
 // group returns a service's group without targets; what is known of the service
 // stays with it.
-func (t *Table) group(s bbticket.Service, rule GateRule) *Group {
+func (t *Table) group(s bbticket.Service, rule AdmissionPolicy) *Group {
 	key := "service/" + string(s.ID)
 	old, ok := t.groups[s.ID]
 	if !ok {
 		return &Group{
-			Service: s, turn: &atomic.Uint64{}, output: &gauge{}, gate: NewGate(rule),
+			Service: s, turn: &atomic.Uint64{}, output: &gauge{}, gate: NewAdmissionController(rule),
 			limiter: NewLimiter(key, s.Limit), retries: &RetryBudget{},
 		}
 	}
@@ -137,16 +137,16 @@
 	if old == nil {
 		return NewLimiter(key, limit)
 	}
-	old.Declare(limit)
+	old.SetLimit(limit)
 	return old
 }
 
 // keep carries what is known of a target over to the next table.
-func (t *Table) keep(next *Table, n bbticket.Numbered[bbticket.Target], now time.Time) *Target {
+func (t *Table) keep(next *Table, n bbticket.Numbered[bbticket.Target], now time.Time) *TargetState {
 	d, ok := t.known[n.Object.ID]
 	switch {
 	case !ok || d.address != n.Object.Address:
-		d.target = NewTarget(n.Object.ID, now)
+		d.target = NewTargetState(n.Object.ID, now)
 		if t.State == nil || t.State.Number == 0 {
 			d.target.since.Store(0) // all are new to an instance that starts
 		}
--- a/shared/bbroute/table_test.go
+++ b/shared/bbroute/table_test.go
@@ -22,24 +22,24 @@
 	routed := func(table *Table) int {
 		g, ok := table.Group("s")
 		is.True(ok)
-		return len(g.Near) + len(g.Far)
+		return len(g.Local) + len(g.Remote)
 	}
 	s := (&bbticket.State{}).Apply(bbticket.Ticket{Number: 1, Services: []bbticket.Service{{ID: "s"}}, Targets: []bbticket.Target{target("a")}})
-	one := (&Table{}).Next(s, "d", GateRule{}, now)
+	one := (&Table{}).WithState(s, "d", AdmissionPolicy{}, now)
 	is.Equal(routed(one), 1)
 	s = s.Apply(bbticket.Ticket{Number: 2, Budgets: []bbticket.Budget{{ID: "b"}}})
-	kept := one.Next(s, "d", GateRule{}, now)
+	kept := one.WithState(s, "d", AdmissionPolicy{}, now)
 	is.Equal(routed(kept), 1)
 	is.Equal(kept.State, s)
 	s = s.Apply(bbticket.Ticket{Number: 3, Targets: []bbticket.Target{target("c")}})
-	is.Equal(routed(kept.Next(s, "d", GateRule{}, now)), 2)
+	is.Equal(routed(kept.WithState(s, "d", AdmissionPolicy{}, now)), 2)
 
 	v, err := json.Marshal(s)
 	is.NoErr(err)
 	var sent bbticket.State
 	is.NoErr(json.Unmarshal(v, &sent))
-	is.Equal(routed(kept.Next(kept.State.Join(&sent), "d", GateRule{}, now)), 2)
+	is.Equal(routed(kept.WithState(kept.State.Join(&sent), "d", AdmissionPolicy{}, now)), 2)
 	s = s.Apply(bbticket.Ticket{Number: 4, Services: []bbticket.Service{{ID: "s2"}}})
-	_, ok := kept.Next(s, "d", GateRule{}, now).Group("s2")
+	_, ok := kept.WithState(s, "d", AdmissionPolicy{}, now).Group("s2")
 	is.True(ok)
 }
--- a/shared/bbroute/line.go
+++ b/shared/bbroute/waitqueue.go
@@ -11,8 +11,8 @@
 type Waiter struct {
 	Priority bbunit.Priority
 	Deadline time.Time
-	// Service is how long the request is expected to run.
-	Service time.Duration
+	// ExpectedDuration is how long the request is expected to run.
+	ExpectedDuration time.Duration
 	// Ready gets nil once the request may go on, or a Refusal; it must have
 	// room for one.
 	Ready chan error
@@ -22,7 +22,7 @@
 
 // hopeless tells that the request cannot end in time if it waits that long.
 func (w *Waiter) hopeless(now time.Time, wait time.Duration) bool {
-	return !w.Deadline.IsZero() && now.Add(wait+time.Duration(float64(w.Service)*serviceMargin)).After(w.Deadline)
+	return !w.Deadline.IsZero() && now.Add(wait+time.Duration(float64(w.ExpectedDuration)*serviceMargin)).After(w.Deadline)
 }
 
 // line is a bounded queue, the highest priority first and the oldest first
