--- a/bluebellctl/src/bill.go
+++ b/bluebellctl/src/bill.go
@@ -56,7 +56,7 @@
 }
 
 func listBills(ctx context.Context, e *env, f bbjournal.Filter, totals bool) error {
-	list, err := bbjournal.Bills(ctx, e.store, f)
+	list, err := bbjournal.ListRecords(ctx, e.store, f)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -72,7 +72,7 @@
 }
 
 func showBill(ctx context.Context, e *env, f bbjournal.Filter) error {
-	list, err := bbjournal.Bills(ctx, e.store, f)
+	list, err := bbjournal.ListRecords(ctx, e.store, f)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/bluebellctl/src/budget.go
+++ b/bluebellctl/src/budget.go
@@ -55,7 +55,7 @@
 		}
 	}
 	for id, b := range s.Budgets.All() {
-		if !seen[id] && !b.Object.Gone {
+		if !seen[id] && !b.Object.Deleted {
 			list = append(list, bbledger.BudgetStatus{Budget: id, Paid: b.Object.Paid, TicketNumber: b.Number, Remaining: b.Object.Paid})
 		}
 	}
@@ -124,7 +124,7 @@
 	}
 	for _, b := range t.Budgets {
 		paid := b.Paid
-		if b.Gone {
+		if b.Deleted {
 			paid = 0
 		}
 		if paid >= s.Budgets.Get(b.ID).Object.Paid {
--- a/bluebellctl/src/ticket.go
+++ b/bluebellctl/src/ticket.go
@@ -78,7 +78,7 @@
 		return nil, errors.Trace(err)
 	}
 	if t.Number != s.Number+1 {
-		return nil, &bbticket.NumberError{Asked: t.Number, Head: s.Number}
+		return nil, &bbticket.NumberError{Requested: t.Number, Head: s.Number}
 	}
 	return s, s.Check(t)
 }
@@ -108,7 +108,7 @@
 		return err
 	}
 	err = bbticket.NewLog(e.store).Accept(ctx, t, nonce, time.Now().UTC())
-	if errors.Is(err, bbticket.ErrNumber) || errors.Is(err, bbticket.ErrInvalid) {
+	if errors.Is(err, bbticket.ErrNumberTaken) || errors.Is(err, bbticket.ErrInvalid) {
 		undo()
 	}
 	return err
@@ -156,8 +156,8 @@
 			return e.print(a.Ticket)
 		}
 	}
-	if n <= h.Folded {
-		return errors.WithType(errors.Errorf("ticket %d: no longer in the log, which starts at %d", n, h.Folded+1), errUsage)
+	if n <= h.SnapshotNumber {
+		return errors.WithType(errors.Errorf("ticket %d: no longer in the log, which starts at %d", n, h.SnapshotNumber+1), errUsage)
 	}
 	return errors.WithType(errors.Errorf("ticket %d: not in the log, which ends at %d", n, h.Number), errUsage)
 }
@@ -187,7 +187,7 @@
 	rows := s.Diff(t)
 	var cells [][]any
 	for _, r := range rows {
-		cells = append(cells, []any{r.Change, r.Object, r.Field, r.Was, r.Becomes})
+		cells = append(cells, []any{r.Action, r.Object, r.Field, r.Old, r.New})
 	}
 	return e.show(rows, []string{"CHANGE", "OBJECT", "FIELD", "IN FORCE", "TICKET"}, cells)
 }
--- a/bluebellport/door/bed_test.go
+++ b/bluebellport/door/bed_test.go
@@ -41,7 +41,8 @@
 }
 func (lone) Handle(*bbwire.Envelope, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {}
 func (lone) View() *bbmember.View                                                                { return &bbmember.View{} }
-func (lone) Listed([]bbmember.Listed)                                                            {}
+
+func (lone) Listed([]bbmember.ListEntry) {}
 
 // bed is a platform's store, targets and one door, all on loopback.
 type bed struct {
--- a/bluebellport/door/register.go
+++ b/bluebellport/door/register.go
@@ -37,7 +37,7 @@
 	log    logrus.FieldLogger
 	set    bbplatform.Settings
 	duty   func() bool // tells whether this instance watches the store
-	listed map[string]bbmember.Listed
+	listed map[string]bbmember.ListEntry
 }
 
 // entryJSON is an instance in the list.
@@ -46,11 +46,11 @@
 }
 
 func newRegister(store Registry, fleet Fleet, board *Board, log logrus.FieldLogger, set bbplatform.Settings, duty func() bool) *register {
-	r := &register{store: store, fleet: fleet, board: board, log: log, set: set, duty: duty, listed: map[string]bbmember.Listed{}}
-	var seeds []bbmember.Listed
+	r := &register{store: store, fleet: fleet, board: board, log: log, set: set, duty: duty, listed: map[string]bbmember.ListEntry{}}
+	var seeds []bbmember.ListEntry
 	for _, a := range set.Seeds {
 		if a != set.Peers {
-			seeds = append(seeds, bbmember.Listed{ID: bbunit.InstanceID(a), Domain: unknownDomain, Address: a})
+			seeds = append(seeds, bbmember.ListEntry{ID: bbunit.InstanceID(a), Domain: unknownDomain, Address: a})
 		}
 	}
 	fleet.Listed(seeds)
@@ -163,11 +163,11 @@
 		r.log.WithError(err).WithField("key", e.Key).Warn("entry of an instance left out")
 		return
 	}
-	r.listed[address] = bbmember.Listed{ID: bbunit.InstanceID(address), Domain: j.Domain, Address: address}
+	r.listed[address] = bbmember.ListEntry{ID: bbunit.InstanceID(address), Domain: j.Domain, Address: address}
 }
 
 func (r *register) tell() {
-	list := make([]bbmember.Listed, 0, len(r.listed))
+	list := make([]bbmember.ListEntry, 0, len(r.listed))
 	for _, l := range r.listed {
 		list = append(list, l)
 	}
--- a/bluebellport/door/relay.go
+++ b/bluebellport/door/relay.go
@@ -21,7 +21,7 @@
 	Handle(sample *bbwire.Envelope, fn func(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope)
 	View() *bbmember.View
 	// Listed takes the platform's list of instances.
-	Listed(list []bbmember.Listed)
+	Listed(list []bbmember.ListEntry)
 }
 
 // relay tells peers what the store says, so that an instance that has lost the
--- a/bluebellport/door/relay_test.go
+++ b/bluebellport/door/relay_test.go
@@ -80,7 +80,7 @@
 	return v
 }
 
-func (p *port) Listed([]bbmember.Listed) {}
+func (p *port) Listed([]bbmember.ListEntry) {}
 
 // watcherOf runs the followers and the relay of one instance.
 func watcherOf(t *testing.T, p *port, store Watched) (*follower, *relay) {
--- a/bluebellport/src/admin.go
+++ b/bluebellport/src/admin.go
@@ -57,7 +57,7 @@
 		return c.Status(http.StatusBadRequest).JSON(orderTell{Error: "body: needs target, action and model as JSON"})
 	}
 	t, ok := a.parts.Board.State.Load().Targets[ask.Target]
-	if !ok || t.Object.Gone || a.order == nil {
+	if !ok || t.Object.Deleted || a.order == nil {
 		return c.Status(http.StatusNotFound).JSON(orderTell{Error: fmt.Sprintf("target: unknown: %q", ask.Target)})
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
--- a/bluebellport/src/call.go
+++ b/bluebellport/src/call.go
@@ -110,7 +110,7 @@
 	if c.chat != nil {
 		want = bbticket.KindEngine
 	}
-	if !ok || v.Object.Gone || v.Object.Kind != want {
+	if !ok || v.Object.Deleted || v.Object.Kind != want {
 		return errors.WithType(errors.Errorf("service: unknown: %q", id), errService)
 	}
 	c.service = v.Object
--- a/bluebellport/src/chat.go
+++ b/bluebellport/src/chat.go
@@ -79,7 +79,7 @@
 
 // bound is the most tokens one answer may have.
 func (c *chat) bound(s bbticket.Service) bbunit.Tokens {
-	most := s.Output
+	most := s.DefaultMaxOutput
 	if most <= 0 {
 		most = defaultOutput
 	}
--- a/bluebellport/src/follower.go
+++ b/bluebellport/src/follower.go
@@ -137,7 +137,7 @@
 
 // takeHead puts in force what the head has above the state here.
 func (f *Follower) takeHead(ctx context.Context, h bbticket.Head) {
-	if f.parts.Board.State.Load().Number < h.Folded {
+	if f.parts.Board.State.Load().Number < h.SnapshotNumber {
 		s, err := f.log.Load(ctx)
 		if err != nil {
 			f.clog.WithError(err).Warn("state not loaded")
--- a/bluebellport/src/follower_replica.go
+++ b/bluebellport/src/follower_replica.go
@@ -40,7 +40,7 @@
 	if s.Number <= r.state.Number {
 		return false
 	}
-	r.state = r.state.Join(s)
+	r.state = r.state.Merge(s)
 	for n := range r.held {
 		if n <= r.state.Number {
 			delete(r.held, n)
--- a/bluebellport/src/follower_replica_test.go
+++ b/bluebellport/src/follower_replica_test.go
@@ -49,7 +49,7 @@
 		ticket := bbticket.Ticket{Number: n}
 		for _, id := range rapid.SliceOfNDistinct(rapid.IntRange(0, 3), 1, 3, rapid.ID).Draw(t, "accounts") {
 			ticket.Accounts = append(ticket.Accounts, bbticket.Account{
-				ID: bbunit.AccountID(fmt.Sprint(id)), Priority: bbunit.Priority(n), Gone: rapid.Bool().Draw(t, "gone"),
+				ID: bbunit.AccountID(fmt.Sprint(id)), Priority: bbunit.Priority(n), Deleted: rapid.Bool().Draw(t, "gone"),
 			})
 		}
 		log = append(log, ticket)
--- a/bluebellport/src/front_test.go
+++ b/bluebellport/src/front_test.go
@@ -119,7 +119,7 @@
 		},
 		Budgets: []bbticket.Budget{{ID: "b", Account: "norra", Paid: 100000}},
 		Services: []bbticket.Service{
-			{ID: "chat", Kind: bbticket.KindEngine, Price: bbticket.Price{Input: 1, Output: 1}, Output: 50},
+			{ID: "chat", Kind: bbticket.KindEngine, Price: bbticket.Price{Input: 1, Output: 1}, DefaultMaxOutput: 50},
 			{ID: "desk", Kind: bbticket.KindPlain, Price: bbticket.Price{Call: 10}},
 			{ID: "closed", Kind: bbticket.KindPlain, Accounts: []bbunit.AccountID{"poor"}},
 		},
--- a/bluebellport/src/gossip.go
+++ b/bluebellport/src/gossip.go
@@ -83,7 +83,7 @@
 		return nil
 	}
 	reports := bbmember.Decode(in.GetMembers())
-	g.members.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Told(now, reports) })
+	g.members.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.HandleGossip(now, reports) })
 	for _, r := range g.heard() {
 		r.Take(from, in)
 	}
--- a/bluebellport/src/load.go
+++ b/bluebellport/src/load.go
@@ -150,7 +150,7 @@
 func (l *loadPoller) tellEvery() time.Duration {
 	n := 0
 	for _, t := range l.p.Board.State.Load().Targets {
-		if !t.Object.Gone && string(t.Object.Domain) == l.p.Opts.Self.Domain {
+		if !t.Object.Deleted && string(t.Object.Domain) == l.p.Opts.Self.Domain {
 			n++
 		}
 	}
--- a/bluebellport/src/member.go
+++ b/bluebellport/src/member.go
@@ -70,7 +70,7 @@
 		m.leave()
 	}
 	from := m.peers.heard()
-	m.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Contact(now, from) })
+	m.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.RecordContact(now, from) })
 	a := m.step(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Tick(now) })
 	m.gossip.round(a.Send)
 	m.act(bbmember.Actions{Probe: a.Probe, Superseded: a.Superseded})
@@ -133,14 +133,14 @@
 		ID: bbunit.InstanceID(h.Instance), Inc: bbunit.Incarnation(h.Inc),
 		Domain: bbunit.DomainID(h.Domain), Address: h.Address,
 	}
-	m.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Greeted(now, peer) })
+	m.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.HandleHello(now, peer) })
 	for _, r := range m.gossip.heard() {
 		r.Take(peer.ID, &bbwire.Gossip{Number: h.Number})
 	}
 }
 
 func (m *membership) unreachable(id bbunit.InstanceID) {
-	m.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Unreachable(now, id) })
+	m.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.RecordFailure(now, id) })
 }
 
 // poll reads the platform's list, the more seldom the larger it is, so that it
@@ -184,6 +184,6 @@
 		m.parts.Log.Info("list of instances is back")
 	}
 	m.listDown = false
-	m.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Listed(now, list) })
+	m.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.UpdateList(now, list) })
 	return len(body)
 }
--- a/bluebellport/src/native.go
+++ b/bluebellport/src/native.go
@@ -100,6 +100,6 @@
 func (p *Peers) View() *bbmember.View { return p.parts.Board.View.Load() }
 
 // Listed takes the platform's list of instances.
-func (p *Peers) Listed(list []bbmember.Listed) {
-	p.members.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Listed(now, list) })
+func (p *Peers) Listed(list []bbmember.ListEntry) {
+	p.members.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.UpdateList(now, list) })
 }
--- a/bluebellport/src/order.go
+++ b/bluebellport/src/order.go
@@ -155,7 +155,7 @@
 	for _, e := range entries {
 		id := bbunit.TargetID(strings.TrimPrefix(e.Key, fencePrefix))
 		t, ok := state.Targets[id]
-		if !ok || t.Object.Gone || string(t.Object.Domain) != o.p.Opts.Self.Domain {
+		if !ok || t.Object.Deleted || string(t.Object.Domain) != o.p.Opts.Self.Domain {
 			continue
 		}
 		o.resend(ctx, t.Object, e, began)
--- a/bluebellport/src/recorder.go
+++ b/bluebellport/src/recorder.go
@@ -96,7 +96,7 @@
 	seed := rand.Uint64()
 	for i := range r.lanes {
 		part := bbjournal.Partition(i)
-		r.lanes[i] = &lane{p: part, book: &bbjournal.Book{Partition: part, Retention: r.opts.Retention, Seed: seed}}
+		r.lanes[i] = &lane{p: part, book: &bbjournal.ChainCache{Partition: part, Retention: r.opts.Retention, Seed: seed}}
 	}
 	r.shadow = newShadow(r)
 	r.handle()
@@ -222,7 +222,7 @@
 	if h == nil || h.view != v {
 		h = &homes{view: v}
 		for i := range h.of {
-			m, ok := v.Home(bbjournal.Partition(i).Home(), r.self.Domain)
+			m, ok := v.Home(bbjournal.Partition(i).HomeKey(), r.self.Domain)
 			if !ok {
 				m = r.self
 			}
--- a/bluebellport/src/recorder_commit.go
+++ b/bluebellport/src/recorder_commit.go
@@ -79,10 +79,10 @@
 // planned again.
 func (r *Recorder) step(ctx context.Context, l *lane, plan *bbjournal.Plan) (bool, error) {
 	switch {
-	case plan.Load:
+	case plan.NeedsListing:
 		return true, r.list(ctx, l)
-	case len(plan.Need) > 0:
-		for _, n := range plan.Need {
+	case len(plan.Reads) > 0:
+		for _, n := range plan.Reads {
 			if err := r.read(ctx, l, n); err != nil {
 				return false, err
 			}
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	return l.book.See(n, e)
+	return l.book.OnLeafRead(n, e)
 }
 
 // write makes one compare-and-swap. It returns true when the leaf has to be
@@ -126,17 +126,17 @@
 	rev, err := r.Store.CAS(ctx, w.Key, w.Value, w.Prev, 0)
 	switch {
 	case err == nil:
-		l.book.Wrote(w, rev)
+		l.book.OnWritten(w, rev)
 		return false, nil
 	case errors.Is(err, bbstore.ErrConflict):
 		r.count.conflicts.Inc(1)
-		l.book.Lost(w, false)
+		l.book.OnWriteFailed(w, false)
 		return true, nil
 	case errors.Is(err, bbstore.ErrDown), errors.Is(err, bbstore.ErrTooLarge):
 		return false, err
 	}
 	r.count.unsure.Inc(1)
-	l.book.Lost(w, true)
+	l.book.OnWriteFailed(w, true)
 	return true, nil
 }
 
--- a/bluebellport/src/recorder_fleet_test.go
+++ b/bluebellport/src/recorder_fleet_test.go
@@ -170,7 +170,7 @@
 func (f *recordFleet) homeOf(id string, d bbunit.DomainID) *recordNode {
 	p := bbjournal.PartitionOf("acc", id)
 	for _, n := range f.nodes {
-		if m, ok := n.Board.View.Load().Home(p.Home(), d); ok {
+		if m, ok := n.Board.View.Load().Home(p.HomeKey(), d); ok {
 			return f.nodes[m.ID]
 		}
 	}
--- a/bluebellport/src/recorder_lane.go
+++ b/bluebellport/src/recorder_lane.go
@@ -23,7 +23,7 @@
 	notBefore time.Time
 	restUntil time.Time // the home is passed over
 	sweepAt   time.Time
-	book      *bbjournal.Book
+	book      *bbjournal.ChainCache
 }
 
 // item is one record on its way to its leaf.
--- a/bluebellport/src/router_test.go
+++ b/bluebellport/src/router_test.go
@@ -64,7 +64,7 @@
 		Accounts: map[bbunit.AccountID]bbticket.Numbered[bbticket.Account]{},
 	}
 	for id, limit := range map[bbunit.AccountID]bbticket.Limit{
-		"few": {Rate: 1, Burst: 1}, "one": {Open: 1}, "ten": {Rate: 10}, "many": {Rate: 1e9, Burst: 1e9, Open: 1 << 20},
+		"few": {Rate: 1, Burst: 1}, "one": {MaxInFlight: 1}, "ten": {Rate: 10}, "many": {Rate: 1e9, Burst: 1e9, MaxInFlight: 1 << 20},
 	} {
 		s.Accounts[id] = bbticket.Numbered[bbticket.Account]{Number: n, Object: bbticket.Account{ID: id, Limit: limit}}
 	}
--- a/bluebellport/src/seen.go
+++ b/bluebellport/src/seen.go
@@ -89,7 +89,7 @@
 
 // recorded asks the records.
 func (f *finder) recorded(ctx context.Context, c *call, owner string) bbunit.Outcome {
-	list, err := bbjournal.Bills(ctx, f.parts.Store, bbjournal.Filter{Account: c.account.ID, Request: c.id})
+	list, err := bbjournal.ListRecords(ctx, f.parts.Store, bbjournal.Filter{Account: c.account.ID, Request: c.id})
 	if err != nil {
 		return bbunit.OutcomeUnknown
 	}
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -177,7 +177,7 @@
 // ticket returns the next ticket, with the whole state of all.
 func (f *fleet) ticket() bbticket.Ticket {
 	k := bbticket.Ticket{Number: f.number + 1, Services: []bbticket.Service{
-		{ID: engineService, Kind: bbticket.KindEngine, Price: bbticket.Price{Input: 1, Output: 1}, Output: 64},
+		{ID: engineService, Kind: bbticket.KindEngine, Price: bbticket.Price{Input: 1, Output: 1}, DefaultMaxOutput: 64},
 		{ID: plainService, Kind: bbticket.KindPlain, Price: bbticket.Price{Call: callPrice}, Idempotent: []string{"GET"}},
 	}}
 	for _, c := range f.customers {
--- a/shared/bbjournal/book.go
+++ b/shared/bbjournal/chain.go
@@ -39,11 +39,11 @@
 	doubt bool
 }
 
-// Book is what one committer knows of a partition. It keeps the head whole and
+// ChainCache is what one committer knows of a partition. It keeps the head whole and
 // of sealed leaves only which requests they hold. It is not safe for concurrent
 // use, and it does no I/O: the committer reads what Plan needs, writes what Plan
 // says and reports how that went.
-type Book struct {
+type ChainCache struct {
 	Partition Partition
 	// Retention is how long a request id is remembered at least.
 	Retention time.Duration
@@ -78,7 +78,7 @@
 
 // Begin starts a commit: what was read before it may have changed since. After
 // a long rest the partition is listed anew, lest a deleted number is used again.
-func (b *Book) Begin(now time.Time) {
+func (b *ChainCache) Begin(now time.Time) {
 	if now.Sub(b.read) > b.Retention/2 {
 		b.loaded = false
 	}
@@ -89,10 +89,10 @@
 }
 
 // Loaded tells whether the partition was listed.
-func (b *Book) Loaded() bool { return b.loaded }
+func (b *ChainCache) Loaded() bool { return b.loaded }
 
 // Load takes a listing of the partition.
-func (b *Book) Load(entries []bbstore.Entry) error {
+func (b *ChainCache) Load(entries []bbstore.Entry) error {
 	leaves, err := decodeLeaves(entries)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 }
 
 // seal remembers which requests a sealed leaf holds and opens the next number.
-func (b *Book) seal(l *leaf) {
+func (b *ChainCache) seal(l *leaf) {
 	b.old[l.number] = &sealedLeaf{rev: l.rev, at: l.value.Sealedat}
 	for _, r := range l.value.Records {
 		b.sealed[b.hash(keyOf(r))] = l.number
@@ -139,7 +139,7 @@
 	}
 }
 
-func (b *Book) setHead(l *leaf) {
+func (b *ChainCache) setHead(l *leaf) {
 	l.index = indexOf(l.value)
 	l.fresh = true
 	b.head = *l
@@ -153,17 +153,17 @@
 	return index
 }
 
-func (b *Book) hash(key string) uint64 {
+func (b *ChainCache) hash(key string) uint64 {
 	d := xxhash.NewWithSeed(b.Seed)
 	_, _ = d.WriteString(key)
 	return d.Sum64()
 }
 
 // Key returns the key of a leaf.
-func (b *Book) Key(n LeafNumber) string { return b.Partition.leafKey(n) }
+func (b *ChainCache) Key(n LeafNumber) string { return b.Partition.leafKey(n) }
 
-// See takes what was read of leaf n.
-func (b *Book) See(n LeafNumber, e bbstore.Entry) error {
+// OnLeafRead takes what was read of leaf n.
+func (b *ChainCache) OnLeafRead(n LeafNumber, e bbstore.Entry) error {
 	l := &leaf{number: n, rev: e.Rev, value: &bbwire.Leaf{}, fresh: true}
 	if err := proto.Unmarshal(e.Value, l.value); err != nil {
 		return err
@@ -187,7 +187,7 @@
 	return nil
 }
 
-func (b *Book) seeSealed(l *leaf) {
+func (b *ChainCache) seeSealed(l *leaf) {
 	if l.rev != 0 {
 		l.index = indexOf(l.value)
 		b.open[l.number] = l
@@ -204,8 +204,8 @@
 	}
 }
 
-// Wrote reports that w took effect at revision rev.
-func (b *Book) Wrote(w Write, rev bbstore.Revision) {
+// OnWritten reports that w took effect at revision rev.
+func (b *ChainCache) OnWritten(w Write, rev bbstore.Revision) {
 	l := &leaf{number: w.Number, rev: rev, value: w.leaf, fresh: true}
 	switch {
 	case w.Value == nil:
@@ -222,9 +222,9 @@
 	}
 }
 
-// Lost reports that w met a conflict (unsure false) or that its outcome is not
+// OnWriteFailed reports that w met a conflict (unsure false) or that its outcome is not
 // known (unsure true): the leaf has to be read again.
-func (b *Book) Lost(w Write, unsure bool) {
+func (b *ChainCache) OnWriteFailed(w Write, unsure bool) {
 	if w.Number != b.head.number {
 		delete(b.open, w.Number)
 		return
@@ -235,7 +235,7 @@
 
 // Expired returns the deletions of leaves that are past the retention, at most
 // n.
-func (b *Book) Expired(now time.Time, n int) []Write {
+func (b *ChainCache) Expired(now time.Time, n int) []Write {
 	var out []Write
 	limit := now.Add(-b.Retention - skew).UnixMilli()
 	for number, l := range b.old {
--- a/shared/bbjournal/book_test.go
+++ b/shared/bbjournal/chain_test.go
@@ -53,7 +53,7 @@
 
 // committer is one instance that commits for the partition.
 type committer struct {
-	book    *Book
+	book    *ChainCache
 	queue   []*entry
 	plan    *Plan
 	planned []*entry
@@ -66,7 +66,7 @@
 }
 
 func newCommitter() *committer {
-	return &committer{book: &Book{Partition: 1, Retention: time.Hour, Seed: 5}}
+	return &committer{book: &ChainCache{Partition: 1, Retention: time.Hour, Seed: 5}}
 }
 
 // fate is what becomes of a write.
@@ -88,18 +88,18 @@
 	}
 	p := c.plan
 	switch {
-	case p.Load:
+	case p.NeedsListing:
 		if err := c.book.Load(s.list()); err != nil {
 			return err
 		}
 		c.replan(now)
-	case c.step < len(p.Need):
-		n := p.Need[c.step]
+	case c.step < len(p.Reads):
+		n := p.Reads[c.step]
 		cell := s.cells[c.book.Key(n)]
-		if err := c.book.See(n, bbstore.Entry{Value: cell.value, Rev: cell.rev}); err != nil {
+		if err := c.book.OnLeafRead(n, bbstore.Entry{Value: cell.value, Rev: cell.rev}); err != nil {
 			return err
 		}
-		if c.step++; c.step == len(p.Need) {
+		if c.step++; c.step == len(p.Reads) {
 			c.replan(now)
 		}
 	case c.step < len(p.Writes):
@@ -113,17 +113,17 @@
 func (c *committer) write(s *service, now time.Time, w Write, how fate) {
 	switch how {
 	case fateDropped:
-		c.book.Lost(w, true)
+		c.book.OnWriteFailed(w, true)
 	case fateLate:
 		s.flying = append(s.flying, w)
-		c.book.Lost(w, true)
+		c.book.OnWriteFailed(w, true)
 	default:
 		rev, ok := s.cas(w)
 		if how == fateLost || !ok {
-			c.book.Lost(w, how == fateLost)
+			c.book.OnWriteFailed(w, how == fateLost)
 			break
 		}
-		c.book.Wrote(w, rev)
+		c.book.OnWritten(w, rev)
 		c.step++
 		return
 	}
@@ -496,11 +496,11 @@
 	is.Equal(len(ws), 1)
 	rev, ok := s.cas(ws[0])
 	is.True(ok)
-	c.book.Wrote(ws[0], rev)
+	c.book.OnWritten(ws[0], rev)
 	is.Equal(run(c, s, now, claimOf("r", "i#1/4", now))[0], bbwire.Verdict_TAKEN)
 
 	id := uuid.Must(uuid.NewV7()).String()
-	made, ok := TimeOf(id)
+	made, ok := RequestIDTime(id)
 	is.True(ok)
 	is.Equal(run(c, s, made.Add(2*time.Hour), claimOf(id, "i#1/5", now))[0], bbwire.Verdict_LATE)
 	bill := claimOf("b", "i#1/6", now)
@@ -587,7 +587,7 @@
 		for _, w := range other.book.Expired(now, 9) {
 			rev, ok := s.cas(w)
 			is.True(ok)
-			other.book.Wrote(w, rev)
+			other.book.OnWritten(w, rev)
 		}
 		c.book.Begin(now) // a sweep
 	}
@@ -608,7 +608,7 @@
 		{Account: "a", Request: long},
 		{Account: "a", Request: "\xff"},
 	} {
-		is.True(errors.Is(Check(r), ErrRecord))
+		is.True(errors.Is(Check(r), ErrInvalidRecord))
 	}
 }
 
@@ -620,13 +620,13 @@
 	is.Equal(got, o)
 	for _, bad := range []string{"", "x", "#1/2", "a#1", "a#/1", "a#1/", "a/1#2"} {
 		_, err := ParseOwner(bad)
-		is.True(errors.Is(err, ErrRecord))
+		is.True(errors.Is(err, ErrInvalidRecord))
 	}
 }
 
 func BenchmarkPlan(b *testing.B) {
 	now := time.Unix(1e9, 0)
-	book := &Book{Partition: 1, Retention: time.Hour}
+	book := &ChainCache{Partition: 1, Retention: time.Hour}
 	v := &bbwire.Leaf{Made: now.UnixMilli()}
 	for i := range 500 {
 		v.Records = append(v.Records, claimOf(fmt.Sprint("r", i), "i#1/1", now))
--- a/shared/bbjournal/plan.go
+++ b/shared/bbjournal/plan.go
@@ -11,10 +11,10 @@
 
 // Plan is what a committer does next.
 type Plan struct {
-	// Load asks for a listing of the partition first.
-	Load bool
-	// Need lists leaves that have to be read first.
-	Need []LeafNumber
+	// NeedsListing asks for a listing of the partition first.
+	NeedsListing bool
+	// Reads lists leaves that have to be read first.
+	Reads []LeafNumber
 	// Writes are made in their order; the verdicts hold once all took effect.
 	Writes []Write
 	// Verdicts has one verdict for each record, in their order.
@@ -23,7 +23,7 @@
 
 // work is a plan in the making: changes on top of what the book knows.
 type work struct {
-	*Book
+	*ChainCache
 	now     time.Time
 	changes map[LeafNumber]map[string]*bbwire.Record // nil: removed
 	place   map[string]LeafNumber
@@ -34,14 +34,14 @@
 
 // Plan decides what becomes of the records. The verdicts are final only when
 // nothing is left to load, to read or to write.
-func (b *Book) Plan(records []*bbwire.Record, now time.Time) *Plan {
+func (b *ChainCache) Plan(records []*bbwire.Record, now time.Time) *Plan {
 	p := &Plan{}
 	if !b.loaded {
-		p.Load = true
+		p.NeedsListing = true
 		return p
 	}
 	w := &work{
-		Book: b, now: now, need: map[LeafNumber]bool{},
+		ChainCache: b, now: now, need: map[LeafNumber]bool{},
 		changes: map[LeafNumber]map[string]*bbwire.Record{}, place: map[string]LeafNumber{},
 		size: proto.Size(b.head.value),
 	}
@@ -55,9 +55,9 @@
 		p.Writes = w.writes()
 	}
 	for n := range w.need {
-		p.Need = append(p.Need, n)
+		p.Reads = append(p.Reads, n)
 	}
-	sort.Slice(p.Need, func(i, j int) bool { return p.Need[i] < p.Need[j] })
+	sort.Slice(p.Reads, func(i, j int) bool { return p.Reads[i] < p.Reads[j] })
 	return p
 }
 
@@ -128,7 +128,7 @@
 	limit := w.now.Add(-w.Retention)
 	switch r.Kind {
 	case bbwire.Record_CLAIM:
-		made, ok := TimeOf(r.Request)
+		made, ok := RequestIDTime(r.Request)
 		return ok && made.Before(limit)
 	case bbwire.Record_BILL, bbwire.Record_UNKNOWN:
 		return r.Made < limit.UnixMilli()
--- a/shared/bbjournal/bill.go
+++ b/shared/bbjournal/query.go
@@ -37,10 +37,10 @@
 	return out
 }
 
-// Bills returns the chosen records in order of their time, account and request
+// ListRecords returns the chosen records in order of their time, account and request
 // id, from one listing for each partition; a filter with account and request id
 // needs only one. It waits for the service, up to the context's deadline.
-func Bills(ctx context.Context, s bbstore.Store, f Filter) ([]*bbwire.Record, error) {
+func ListRecords(ctx context.Context, s bbstore.Store, f Filter) ([]*bbwire.Record, error) {
 	var out []*bbwire.Record
 	for _, p := range f.partitions() {
 		entries, _, err := s.List(ctx, p.Prefix())
--- a/shared/bbjournal/bill_test.go
+++ b/shared/bbjournal/query_test.go
@@ -16,7 +16,7 @@
 // put commits a record to a store, in its partition.
 func put(t *testing.T, m *bbstore.Mem, r *bbwire.Record, now time.Time) {
 	t.Helper()
-	b := &Book{Partition: PartitionOf(r.Account, r.Request), Retention: time.Hour}
+	b := &ChainCache{Partition: PartitionOf(r.Account, r.Request), Retention: time.Hour}
 	b.Begin(now)
 	es, _, err := m.List(context.Background(), b.Partition.Prefix())
 	if err == nil {
@@ -48,7 +48,7 @@
 			Amount: int64(i), Made: now.UnixMilli() + int64(i),
 		}, now)
 	}
-	all, err := Bills(context.Background(), m, Filter{})
+	all, err := ListRecords(context.Background(), m, Filter{})
 	is.NoErr(err)
 	is.Equal(len(all), 30)
 	for i, r := range all {
@@ -59,14 +59,14 @@
 		{Account: "acc1", Bills: 8, Amount: 4 + 7 + 13 + 16 + 19 + 22 + 25 + 28, Unknown: 1, Held: 10, Claims: 1},
 		{Account: "acc2", Bills: 8, Amount: 2 + 5 + 8 + 14 + 17 + 23 + 26 + 29, Unknown: 1, Held: 20, Claims: 1},
 	})
-	one, err := Bills(context.Background(), m, Filter{Account: "acc1", Request: "r4"})
+	one, err := ListRecords(context.Background(), m, Filter{Account: "acc1", Request: "r4"})
 	is.NoErr(err)
 	is.Equal(len(one), 1)
 	is.Equal(m.Counts().Reads, int64(30+Partitions+1))
-	unknown, err := Bills(context.Background(), m, Filter{Unknown: true})
+	unknown, err := ListRecords(context.Background(), m, Filter{Unknown: true})
 	is.NoErr(err)
 	is.Equal(len(unknown), 6)
 	m.SetFaults(bbstore.Faults{Down: true})
-	_, err = Bills(context.Background(), m, Filter{})
+	_, err = ListRecords(context.Background(), m, Filter{})
 	is.True(errors.Is(err, bbstore.ErrDown))
 }
--- a/shared/bbjournal/record.go
+++ b/shared/bbjournal/record.go
@@ -15,8 +15,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// ErrRecord means that a record is malformed; nothing was recorded.
-const ErrRecord = errors.ConstError("bad record")
+// ErrInvalidRecord means that a record is malformed; nothing was recorded.
+const ErrInvalidRecord = errors.ConstError("bad record")
 
 const (
 	// Partitions is how many chains of leaves there are. It is the same in the
@@ -24,9 +24,9 @@
 	Partitions = 16
 	// Prefix is what the keys of all leaves begin with.
 	Prefix = "/bb/leaf/"
-	// MaxID is the longest account, request, budget, holder, service, target or
+	// MaxIDBytes is the longest account, request, budget, holder, service, target or
 	// owner name, in bytes.
-	MaxID = 256
+	MaxIDBytes = 256
 )
 
 // Partition is the number of a chain of leaves.
@@ -40,8 +40,8 @@
 // Prefix returns what the keys of the partition's leaves begin with.
 func (p Partition) Prefix() string { return fmt.Sprintf("%s%04d/", Prefix, p) }
 
-// Home returns the key by which the partition's home is chosen.
-func (p Partition) Home() string { return fmt.Sprintf("leaf/%04d", p) }
+// HomeKey returns the key by which the partition's home is chosen.
+func (p Partition) HomeKey() string { return fmt.Sprintf("leaf/%04d", p) }
 
 // LeafNumber is the place of a leaf in its chain; the first is 1.
 type LeafNumber uint32
@@ -68,15 +68,15 @@
 func ParseOwner(s string) (Owner, error) {
 	hash, slash := strings.LastIndexByte(s, '#'), strings.LastIndexByte(s, '/')
 	if hash <= 0 || slash < hash {
-		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrRecord)
+		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrInvalidRecord)
 	}
 	inc, err := strconv.ParseUint(s[hash+1:slash], 36, 64)
 	if err != nil {
-		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrRecord)
+		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrInvalidRecord)
 	}
 	seq, err := strconv.ParseUint(s[slash+1:], 36, 64)
 	if err != nil {
-		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrRecord)
+		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrInvalidRecord)
 	}
 	return Owner{Instance: bbunit.InstanceID(s[:hash]), Inc: bbunit.Incarnation(inc), Seq: seq}, nil
 }
@@ -85,17 +85,17 @@
 // negative amount.
 func Check(r *bbwire.Record) error {
 	if r.Account == "" || r.Request == "" {
-		return errors.WithType(errors.New("account or request id missing"), ErrRecord)
+		return errors.WithType(errors.New("account or request id missing"), ErrInvalidRecord)
 	}
 	if r.Amount < 0 {
-		return errors.WithType(errors.Errorf("amount %d below 0", r.Amount), ErrRecord)
+		return errors.WithType(errors.Errorf("amount %d below 0", r.Amount), ErrInvalidRecord)
 	}
 	for _, s := range []string{r.Account, r.Request, r.Owner, r.Budget, r.Holder, r.Service, r.Target} {
-		if len(s) > MaxID {
-			return errors.WithType(errors.Errorf("name of %d bytes, at most %d", len(s), MaxID), ErrRecord)
+		if len(s) > MaxIDBytes {
+			return errors.WithType(errors.Errorf("name of %d bytes, at most %d", len(s), MaxIDBytes), ErrInvalidRecord)
 		}
 		if !utf8.ValidString(s) {
-			return errors.WithType(errors.Errorf("name %q is not UTF-8", s), ErrRecord)
+			return errors.WithType(errors.Errorf("name %q is not UTF-8", s), ErrInvalidRecord)
 		}
 	}
 	return nil
@@ -115,9 +115,9 @@
 	return bbunit.RequestID(uuid.Must(uuid.NewV7()).String())
 }
 
-// TimeOf returns when a request id was made, and false when the id does not
+// RequestIDTime returns when a request id was made, and false when the id does not
 // carry its time.
-func TimeOf(request string) (time.Time, bool) {
+func RequestIDTime(request string) (time.Time, bool) {
 	id, err := uuid.Parse(request)
 	if err != nil || id.Version() != 7 {
 		return time.Time{}, false
--- a/shared/bbledger/page.go
+++ b/shared/bbledger/page.go
@@ -218,7 +218,7 @@
 	changed := false
 	if o := st.Budgets.Get(bbunit.BudgetID(e.Budget)); uint64(o.Number) > e.Number {
 		paid := o.Object.Paid
-		if o.Object.Gone || CheckAmount(paid) != nil {
+		if o.Object.Deleted || CheckAmount(paid) != nil {
 			paid = 0
 		}
 		e.Paid, e.Number = int64(paid), uint64(o.Number)
--- a/shared/bbmember/codec.go
+++ b/shared/bbmember/codec.go
@@ -12,7 +12,7 @@
 	for i, r := range reports {
 		out[i] = &bbwire.Member{
 			Instance: string(r.ID), Inc: uint64(r.Inc), Domain: string(r.Domain),
-			Address: r.Address, Beat: r.Beat, Leaving: r.Leaving,
+			Address: r.Address, Beat: r.Heartbeat, Leaving: r.Leaving,
 		}
 		if i > 0 && out[i].Domain == out[0].Domain {
 			out[i].Domain = ""
@@ -30,7 +30,7 @@
 				ID: bbunit.InstanceID(m.GetInstance()), Inc: bbunit.Incarnation(m.GetInc()),
 				Domain: bbunit.DomainID(m.GetDomain()), Address: m.GetAddress(), Leaving: m.GetLeaving(),
 			},
-			Beat: m.GetBeat(),
+			Heartbeat: m.GetBeat(),
 		}
 		if i > 0 && out[i].Domain == "" {
 			out[i].Domain = out[0].Domain
--- a/shared/bbmember/fleet.go
+++ b/shared/bbmember/fleet.go
@@ -13,11 +13,11 @@
 // later life of the same id has the higher beats.
 type Report struct {
 	Member
-	Beat uint64
+	Heartbeat uint64
 }
 
-// Listed is one entry of the platform's list of instances, which lags.
-type Listed struct {
+// ListEntry is one entry of the platform's list of instances, which lags.
+type ListEntry struct {
 	ID      bbunit.InstanceID
 	Domain  bbunit.DomainID
 	Address string
@@ -90,7 +90,7 @@
 // NewFleet returns the fleet as seen by self, which starts at now.
 func NewFleet(self Member, cfg Config, now time.Time, rnd *rand.Rand) *Fleet {
 	f := &Fleet{
-		cfg: cfg, self: Report{Member: self, Beat: uint64(max(now.UnixMilli(), 1))}, rnd: rnd,
+		cfg: cfg, self: Report{Member: self, Heartbeat: uint64(max(now.UnixMilli(), 1))}, rnd: rnd,
 		entries: map[bbunit.InstanceID]*entry{}, graves: map[bbunit.InstanceID]grave{},
 		last: now, clock: time.Second,
 	}
@@ -117,8 +117,8 @@
 	f.clock += min(max(step, 0), 2*f.cfg.Period)
 }
 
-// Listed takes the platform's list.
-func (f *Fleet) Listed(now time.Time, list []Listed) Actions {
+// UpdateList takes the platform's list.
+func (f *Fleet) UpdateList(now time.Time, list []ListEntry) Actions {
 	f.pass(now)
 	for _, e := range f.entries {
 		e.listed = false
@@ -135,15 +135,15 @@
 		if !e.heard {
 			e.Address, e.Domain = l.Address, l.Domain
 		}
-		if l.Leaving && (!e.heard || l.Since >= int64(e.Beat)) {
+		if l.Leaving && (!e.heard || l.Since >= int64(e.Heartbeat)) {
 			e.leave(f.clock)
 		}
 	}
 	return f.finish(Actions{})
 }
 
-// Greeted takes what a member said of itself on a fresh connection.
-func (f *Fleet) Greeted(now time.Time, m Member) Actions {
+// HandleHello takes what a member said of itself on a fresh connection.
+func (f *Fleet) HandleHello(now time.Time, m Member) Actions {
 	f.pass(now)
 	if m.ID == f.self.ID || !validNames(m.ID, m.Domain) {
 		return Actions{Dropped: 1}
@@ -164,9 +164,9 @@
 	return f.finish(Actions{})
 }
 
-// Contact notes that traffic came from members; only their ids and
+// RecordContact notes that traffic came from members; only their ids and
 // incarnations are read.
-func (f *Fleet) Contact(now time.Time, from []Member) Actions {
+func (f *Fleet) RecordContact(now time.Time, from []Member) Actions {
 	f.pass(now)
 	for _, m := range from {
 		if e := f.entries[m.ID]; e != nil && e.Inc == m.Inc {
@@ -176,8 +176,8 @@
 	return f.finish(Actions{})
 }
 
-// Unreachable notes that no connection to a member could be made.
-func (f *Fleet) Unreachable(now time.Time, id bbunit.InstanceID) Actions {
+// RecordFailure notes that no connection to a member could be made.
+func (f *Fleet) RecordFailure(now time.Time, id bbunit.InstanceID) Actions {
 	f.pass(now)
 	if e := f.entries[id]; e != nil {
 		e.lost, f.failed = f.clock, true
@@ -185,9 +185,9 @@
 	return f.finish(Actions{})
 }
 
-// Told takes the reports of a message. News that a member leaves goes on at
+// HandleGossip takes the reports of a message. News that a member leaves goes on at
 // once.
-func (f *Fleet) Told(now time.Time, reports []Report) Actions {
+func (f *Fleet) HandleGossip(now time.Time, reports []Report) Actions {
 	f.pass(now)
 	var a Actions
 	var news []Report
@@ -196,7 +196,7 @@
 		case !f.valid(r):
 			a.Dropped++
 		case r.ID == f.self.ID:
-			a.Superseded = a.Superseded || (r.Inc != f.self.Inc && r.Beat > f.self.Beat)
+			a.Superseded = a.Superseded || (r.Inc != f.self.Inc && r.Heartbeat > f.self.Heartbeat)
 		case f.learn(r) && r.Leaving:
 			news = append(news, r)
 		}
@@ -212,7 +212,7 @@
 // learn merges one report; it returns whether the member just joined or began
 // to leave.
 func (f *Fleet) learn(r Report) bool {
-	if g, ok := f.graves[r.ID]; ok && r.Beat <= g.beat {
+	if g, ok := f.graves[r.ID]; ok && r.Heartbeat <= g.beat {
 		return false
 	}
 	e := f.entries[r.ID]
@@ -220,7 +220,7 @@
 		f.add(r).contact(f.clock)
 		return true
 	}
-	if r.Beat <= e.Beat {
+	if r.Heartbeat <= e.Heartbeat {
 		return false
 	}
 	joined, first := e.Inc != r.Inc, e.Inc == 0
@@ -240,9 +240,9 @@
 func (f *Fleet) Leave(now time.Time) Actions {
 	f.pass(now)
 	f.self.Leaving = true
-	f.self.Beat++
+	f.self.Heartbeat++
 	var a Actions
-	for _, to := range f.partners(f.cfg.DomainMax, f.cfg.SampleMax) {
+	for _, to := range f.partners(f.cfg.MaxDomainReports, f.cfg.MaxSampleReports) {
 		a.Send = append(a.Send, Message{To: to, Reports: []Report{f.self}})
 	}
 	return f.finish(a)
@@ -251,7 +251,7 @@
 // Tick runs one round; it is called each period.
 func (f *Fleet) Tick(now time.Time) Actions {
 	f.pass(now)
-	f.self.Beat++
+	f.self.Heartbeat++
 	f.bury()
 	var a Actions
 	for _, to := range f.contacts() {
@@ -266,21 +266,21 @@
 func (f *Fleet) bury() {
 	for _, id := range slices.Clone(f.order) {
 		e := f.entries[id]
-		gone := f.silence(e) > f.cfg.Forget
+		gone := f.silence(e) > f.cfg.ForgetTimeout
 		left := e.Leaving && f.silent(e)
 		switch {
 		case e.listed && gone && e.heard:
 			f.graves[id] = grave{inc: e.Inc, leaving: e.Leaving, at: f.clock}
-			e.Inc, e.Beat, e.heard = 0, 0, false
+			e.Inc, e.Heartbeat, e.heard = 0, 0, false
 		case !e.listed && (gone || left):
-			f.graves[id] = grave{inc: e.Inc, beat: e.Beat, leaving: e.Leaving, at: f.clock}
+			f.graves[id] = grave{inc: e.Inc, beat: e.Heartbeat, leaving: e.Leaving, at: f.clock}
 			delete(f.entries, id)
 			i, _ := slices.BinarySearch(f.order, id)
 			f.order = slices.Delete(f.order, i, i+1)
 		}
 	}
 	for id, g := range f.graves {
-		if f.clock-g.at > 4*f.cfg.Forget {
+		if f.clock-g.at > 4*f.cfg.ForgetTimeout {
 			delete(f.graves, id)
 		}
 	}
@@ -311,7 +311,7 @@
 
 func (f *Fleet) silence(e *entry) time.Duration { return f.clock - e.seen }
 
-func (f *Fleet) silent(e *entry) bool { return f.silence(e) > f.cfg.Suspicion }
+func (f *Fleet) silent(e *entry) bool { return f.silence(e) > f.cfg.SuspicionTimeout }
 
 // live tells whether a member belongs into the view: a silent one does until a
 // fresh connection to it has failed as well.
--- a/shared/bbmember/fleet_test.go
+++ b/shared/bbmember/fleet_test.go
@@ -85,8 +85,8 @@
 
 func testReport(id string, inc, beat uint64) Report {
 	return Report{
-		Member: Member{ID: bbunit.InstanceID(id), Inc: bbunit.Incarnation(inc), Domain: "d1", Address: "10.0.0.2:1"},
-		Beat:   beat,
+		Member:    Member{ID: bbunit.InstanceID(id), Inc: bbunit.Incarnation(inc), Domain: "d1", Address: "10.0.0.2:1"},
+		Heartbeat: beat,
 	}
 }
 
@@ -99,8 +99,8 @@
 		"long id":             func(r *Report) { r.ID = bbunit.InstanceID(strings.Repeat("x", 200)) },
 		"no failure domain":   func(r *Report) { r.Domain = "" },
 		"no incarnation":      func(r *Report) { r.Inc = 0 },
-		"no beat":             func(r *Report) { r.Beat = 0 },
-		"beat of the future":  func(r *Report) { r.Beat = math.MaxUint64 },
+		"no beat":             func(r *Report) { r.Heartbeat = 0 },
+		"beat of the future":  func(r *Report) { r.Heartbeat = math.MaxUint64 },
 		"address by name":     func(r *Report) { r.Address = "host:1" },
 		"unspecified address": func(r *Report) { r.Address = "0.0.0.0:1" },
 		"no port":             func(r *Report) { r.Address = "10.0.0.2:0" },
@@ -111,7 +111,7 @@
 			f := newTestFleet()
 			bad := good
 			spoil(&bad)
-			a := f.Told(simStart, []Report{bad, testReport("b", 1, beatAt(0))})
+			a := f.HandleGossip(simStart, []Report{bad, testReport("b", 1, beatAt(0))})
 			is.Equal(a.Dropped, 1)
 			is.Equal(len(f.View().Members), 2) // self and b: the rest of the message counts
 		})
@@ -125,21 +125,21 @@
 		want bbunit.Incarnation
 	}{
 		"a later life replaces the earlier": {func(f *Fleet) {
-			f.Told(simStart, []Report{testReport("a", old, beatAt(0))})
-			f.Told(simStart, []Report{testReport("a", young, beatAt(time.Minute))})
+			f.HandleGossip(simStart, []Report{testReport("a", old, beatAt(0))})
+			f.HandleGossip(simStart, []Report{testReport("a", young, beatAt(time.Minute))})
 		}, young},
 		"an earlier life that resumes does not come back": {func(f *Fleet) {
-			f.Told(simStart, []Report{testReport("a", young, beatAt(time.Minute))})
-			f.Told(simStart, []Report{testReport("a", old, beatAt(30*time.Second))})
-			f.Greeted(simStart, testReport("a", old, 0).Member)
+			f.HandleGossip(simStart, []Report{testReport("a", young, beatAt(time.Minute))})
+			f.HandleGossip(simStart, []Report{testReport("a", old, beatAt(30*time.Second))})
+			f.HandleHello(simStart, testReport("a", old, 0).Member)
 		}, young},
 		"a later life with a clock behind is taken once the earlier is forgotten": {func(f *Fleet) {
-			f.Told(simStart, []Report{testReport("a", old, beatAt(time.Minute))})
-			f.Listed(simStart, []Listed{{ID: "a", Domain: "d1", Address: "10.0.0.2:1"}})
+			f.HandleGossip(simStart, []Report{testReport("a", old, beatAt(time.Minute))})
+			f.UpdateList(simStart, []ListEntry{{ID: "a", Domain: "d1", Address: "10.0.0.2:1"}})
 			for i := range 70 {
 				f.Tick(simStart.Add(time.Duration(i) * time.Second))
 			}
-			f.Told(simStart, []Report{testReport("a", young, beatAt(0))})
+			f.HandleGossip(simStart, []Report{testReport("a", young, beatAt(0))})
 		}, young},
 	}
 	for name, c := range cases {
@@ -155,22 +155,22 @@
 	t.Run("an earlier life's greeting does not keep the later one in the view", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet()
-		f.Told(simStart, []Report{testReport("a", young, beatAt(0))})
+		f.HandleGossip(simStart, []Report{testReport("a", young, beatAt(0))})
 		at := simStart
 		for range 10 {
 			at = at.Add(time.Second)
 			f.Tick(at)
 		}
-		f.Unreachable(at, "a")
-		f.Greeted(at, testReport("a", old, 0).Member)
+		f.RecordFailure(at, "a")
+		f.HandleHello(at, testReport("a", old, 0).Member)
 		_, ok := f.View().Find("a")
 		is.True(!ok)
 	})
 	t.Run("an instance hears that it was replaced", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet()
-		is.True(f.Told(simStart, []Report{testReport("self", 10, beatAt(time.Minute))}).Superseded)
-		is.True(!f.Told(simStart, []Report{testReport("self", 8, beatAt(-time.Minute))}).Superseded)
+		is.True(f.HandleGossip(simStart, []Report{testReport("self", 10, beatAt(time.Minute))}).Superseded)
+		is.True(!f.HandleGossip(simStart, []Report{testReport("self", 8, beatAt(-time.Minute))}).Superseded)
 		is.Equal(f.View().Self.Inc, bbunit.Incarnation(9))
 	})
 }
@@ -178,24 +178,24 @@
 func TestLeavingGoesAheadOfTheList(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet()
-	live := []Listed{{ID: "a", Domain: "d1", Address: "10.0.0.2:1"}}
-	f.Listed(simStart, live)
-	f.Told(simStart, []Report{testReport("a", 1, beatAt(0))})
+	live := []ListEntry{{ID: "a", Domain: "d1", Address: "10.0.0.2:1"}}
+	f.UpdateList(simStart, live)
+	f.HandleGossip(simStart, []Report{testReport("a", 1, beatAt(0))})
 	r := testReport("a", 1, beatAt(0)+1)
 	r.Leaving = true
-	f.Told(simStart, []Report{r})
-	f.Listed(simStart, live) // the list still has it live
+	f.HandleGossip(simStart, []Report{r})
+	f.UpdateList(simStart, live) // the list still has it live
 	_, ok := f.View().Home("k", "d1")
 	is.True(ok)
 	m, _ := f.View().Find("a")
 	is.True(m.Leaving)
-	r.Leaving, r.Beat = false, r.Beat+1
-	f.Told(simStart, []Report{r})
+	r.Leaving, r.Heartbeat = false, r.Heartbeat+1
+	f.HandleGossip(simStart, []Report{r})
 	m, _ = f.View().Find("a")
 	is.True(m.Leaving) // a life that leaves doesn't come back
 
-	f.Told(simStart, []Report{testReport("a", 2, beatAt(time.Minute))})
-	f.Listed(simStart, []Listed{{ID: "a", Domain: "d1", Address: "10.0.0.2:1", Leaving: true, Since: simStart.UnixMilli()}})
+	f.HandleGossip(simStart, []Report{testReport("a", 2, beatAt(time.Minute))})
+	f.UpdateList(simStart, []ListEntry{{ID: "a", Domain: "d1", Address: "10.0.0.2:1", Leaving: true, Since: simStart.UnixMilli()}})
 	m, _ = f.View().Find("a")
 	is.True(!m.Leaving) // the mark was for the earlier life
 }
@@ -205,9 +205,9 @@
 		t.Run(jump.String(), func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet()
-			f.Told(simStart, []Report{testReport("a", 1, beatAt(0))})
+			f.HandleGossip(simStart, []Report{testReport("a", 1, beatAt(0))})
 			f.Tick(simStart.Add(time.Second))
-			f.Unreachable(simStart.Add(jump), "a")
+			f.RecordFailure(simStart.Add(jump), "a")
 			f.Tick(simStart.Add(jump))
 			f.Tick(simStart.Add(jump + time.Second))
 			_, ok := f.View().Find("a")
@@ -224,7 +224,7 @@
 func TestSuspicionNeedsAFailedConnection(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet()
-	f.Told(simStart, []Report{testReport("a", 1, beatAt(0))})
+	f.HandleGossip(simStart, []Report{testReport("a", 1, beatAt(0))})
 	probed := false
 	at := simStart
 	for range 10 {
@@ -235,10 +235,10 @@
 	is.True(probed)
 	_, ok := f.View().Find("a")
 	is.True(ok) // silent, but nobody tried a fresh connection in vain
-	f.Unreachable(at, "a")
+	f.RecordFailure(at, "a")
 	_, ok = f.View().Find("a")
 	is.True(!ok)
-	f.Greeted(at, testReport("a", 1, 0).Member)
+	f.HandleHello(at, testReport("a", 1, 0).Member)
 	_, ok = f.View().Find("a")
 	is.True(ok)
 }
@@ -279,17 +279,17 @@
 			r.Leaving = beat >= 5 // each life begins to leave at its fifth beat
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				f.Told(at, []Report{r})
+				f.HandleGossip(at, []Report{r})
 			case 1:
-				f.Listed(at, []Listed{{ID: r.ID, Domain: r.Domain, Address: r.Address}})
+				f.UpdateList(at, []ListEntry{{ID: r.ID, Domain: r.Domain, Address: r.Address}})
 			case 2:
 				hello := r.Member
 				hello.Leaving = false // a Hello does not tell
-				f.Greeted(at, hello)
+				f.HandleHello(at, hello)
 			case 3:
-				f.Unreachable(at, r.ID)
+				f.RecordFailure(at, r.ID)
 			case 4:
-				f.Contact(at, []Member{r.Member})
+				f.RecordContact(at, []Member{r.Member})
 			default:
 				f.Tick(at)
 			}
@@ -330,11 +330,11 @@
 		return Member{ID: id, Inc: 7, Domain: "d", Address: "10.0.0.1:80"}
 	}
 	f := NewFleet(member("a"), DefaultConfig(time.Second, 5*time.Second), now, rand.New(rand.NewPCG(1, 1)))
-	f.Greeted(now, member("b"))
-	f.Greeted(now, member("c"))
+	f.HandleHello(now, member("b"))
+	f.HandleHello(now, member("c"))
 	for _, m := range f.Tick(now.Add(time.Second)).Send {
 		for _, r := range m.Reports {
-			is.True(r.Beat > 0)
+			is.True(r.Heartbeat > 0)
 		}
 	}
 }
--- a/shared/bbmember/list.go
+++ b/shared/bbmember/list.go
@@ -9,9 +9,9 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ErrList marks an answer of the platform's list, or an entry, that can't be
+// ErrInvalidList marks an answer of the platform's list, or an entry, that can't be
 // read.
-const ErrList = errors.ConstError("bad list of instances")
+const ErrInvalidList = errors.ConstError("bad list of instances")
 
 // listedJSON is one entry as the platform sends it.
 type listedJSON struct {
@@ -24,13 +24,13 @@
 
 // ParseList reads the platform's list. Unknown fields are ignored. A bad entry
 // is left out and named in bad; the error means that nothing could be read.
-func ParseList(body []byte) (list []Listed, bad []error, err error) {
+func ParseList(body []byte) (list []ListEntry, bad []error, err error) {
 	var raw []json.RawMessage
 	if err := json.Unmarshal(body, &raw); err != nil {
-		return nil, nil, errors.WithType(err, ErrList)
+		return nil, nil, errors.WithType(err, ErrInvalidList)
 	}
 	if raw == nil {
-		return nil, nil, errors.WithType(errors.New("not a list"), ErrList)
+		return nil, nil, errors.WithType(errors.New("not a list"), ErrInvalidList)
 	}
 	seen := make(map[bbunit.InstanceID]bool, len(raw))
 	for i, r := range raw {
@@ -39,7 +39,7 @@
 			err = errors.Errorf("%q comes twice", l.ID)
 		}
 		if err != nil {
-			bad = append(bad, errors.WithType(errors.Annotatef(err, "entry %d", i), ErrList))
+			bad = append(bad, errors.WithType(errors.Annotatef(err, "entry %d", i), ErrInvalidList))
 			continue
 		}
 		seen[l.ID] = true
@@ -48,23 +48,23 @@
 	return list, bad, nil
 }
 
-func parseListed(r json.RawMessage) (Listed, error) {
+func parseListed(r json.RawMessage) (ListEntry, error) {
 	var j listedJSON
 	if err := json.Unmarshal(r, &j); err != nil {
-		return Listed{}, err
+		return ListEntry{}, err
 	}
 	since, err := parseSince(j.Since)
 	switch {
 	case err != nil:
-		return Listed{}, err
+		return ListEntry{}, err
 	case !validNames(j.ID, j.Domain):
-		return Listed{}, errors.Errorf("id %.40q, domain %.40q", j.ID, j.Domain)
+		return ListEntry{}, errors.Errorf("id %.40q, domain %.40q", j.ID, j.Domain)
 	case !ValidAddress(j.Address):
-		return Listed{}, errors.Errorf("address %.40q is not an IP number and port", j.Address)
+		return ListEntry{}, errors.Errorf("address %.40q is not an IP number and port", j.Address)
 	case j.State != "live" && j.State != "leaving":
-		return Listed{}, errors.Errorf("state %.40q", j.State)
+		return ListEntry{}, errors.Errorf("state %.40q", j.State)
 	}
-	return Listed{ID: j.ID, Domain: j.Domain, Address: j.Address, Leaving: j.State == "leaving", Since: since}, nil
+	return ListEntry{ID: j.ID, Domain: j.Domain, Address: j.Address, Leaving: j.State == "leaving", Since: since}, nil
 }
 
 // parseSince reads a time of RFC 3339 or a number of milliseconds since the
--- a/shared/bbmember/list_test.go
+++ b/shared/bbmember/list_test.go
@@ -38,7 +38,7 @@
 			is.Equal(len(bad), c.bad)
 			is.Equal(err != nil, c.err)
 			if err != nil {
-				is.True(errors.Is(err, ErrList))
+				is.True(errors.Is(err, ErrInvalidList))
 			}
 		})
 	}
--- a/shared/bbmember/partners.go
+++ b/shared/bbmember/partners.go
@@ -15,10 +15,10 @@
 	var stalest *entry
 	for _, id := range f.order {
 		e := f.entries[id]
-		if f.clock-e.probed < f.cfg.Suspicion/2 {
+		if f.clock-e.probed < f.cfg.SuspicionTimeout/2 {
 			continue
 		}
-		if e.Domain == f.self.Domain && len(out) < f.cfg.Fanout && f.silence(e) > f.cfg.Suspicion/2 {
+		if e.Domain == f.self.Domain && len(out) < f.cfg.Fanout && f.silence(e) > f.cfg.SuspicionTimeout/2 {
 			e.probed = f.clock
 			out = append(out, id)
 			continue
@@ -27,7 +27,7 @@
 			stalest = e
 		}
 	}
-	if stalest != nil && (f.failed || f.clock-f.ticked >= f.cfg.Suspicion/2) {
+	if stalest != nil && (f.failed || f.clock-f.ticked >= f.cfg.SuspicionTimeout/2) {
 		f.failed, f.ticked, stalest.probed = false, f.clock, f.clock
 		out = append(out, stalest.ID)
 	}
@@ -64,12 +64,12 @@
 	f.far = slices.DeleteFunc(f.far, func(id bbunit.InstanceID) bool {
 		return !slices.Contains(live, id) || f.entries[id].lost > f.entries[id].seen
 	})
-	if f.rounds%f.cfg.Redraw == 0 && len(f.far) == f.cfg.Far {
+	if f.rounds%f.cfg.RotationRounds == 0 && len(f.far) == f.cfg.RemotePartners {
 		i := f.rnd.IntN(len(f.far))
 		f.far = slices.Delete(f.far, i, i+1)
 	}
 	for _, id := range live {
-		if len(f.far) < f.cfg.Far && !slices.Contains(f.far, id) {
+		if len(f.far) < f.cfg.RemotePartners && !slices.Contains(f.far, id) {
 			f.far = append(f.far, id)
 		}
 	}
@@ -88,18 +88,18 @@
 // reports returns what a member is told: this instance first, then what
 // changed lately, then the failure domain and a sample of the others.
 func (f *Fleet) reports(to bbunit.InstanceID) []Report {
-	own := f.cfg.DomainMax
+	own := f.cfg.MaxDomainReports
 	if e := f.entries[to]; e == nil || e.Domain != f.self.Domain {
-		own = f.cfg.SampleMax
+		own = f.cfg.MaxSampleReports
 	}
 	var leaving, fresh, in, out []bbunit.InstanceID
 	for _, id := range f.order {
 		e := f.entries[id]
 		switch {
-		case id == to || !e.heard || !f.live(e) || e.Inc == 0 || e.Beat == 0:
-		case e.Leaving && f.clock-e.changed < f.cfg.Suspicion:
+		case id == to || !e.heard || !f.live(e) || e.Inc == 0 || e.Heartbeat == 0:
+		case e.Leaving && f.clock-e.changed < f.cfg.SuspicionTimeout:
 			leaving = append(leaving, id)
-		case f.clock-e.changed < f.cfg.Suspicion:
+		case f.clock-e.changed < f.cfg.SuspicionTimeout:
 			fresh = append(fresh, id)
 		case e.Domain == f.self.Domain:
 			in = append(in, id)
@@ -107,9 +107,9 @@
 			out = append(out, id)
 		}
 	}
-	ids := append(f.pick(leaving, f.cfg.SampleMax), f.pick(fresh, f.cfg.SampleMax)...)
+	ids := append(f.pick(leaving, f.cfg.MaxSampleReports), f.pick(fresh, f.cfg.MaxSampleReports)...)
 	ids = append(ids, f.freshest(in, own)...)
-	ids = append(ids, f.pick(out, f.cfg.SampleMax)...)
+	ids = append(ids, f.pick(out, f.cfg.MaxSampleReports)...)
 	reports := []Report{f.self}
 	for _, id := range ids {
 		reports = append(reports, f.entries[id].Report)
--- a/shared/bbmember/report.go
+++ b/shared/bbmember/report.go
@@ -29,8 +29,8 @@
 	switch {
 	case !validNames(r.ID, r.Domain), !ValidAddress(r.Address):
 		return false
-	case r.Inc == 0, r.Beat == 0:
+	case r.Inc == 0, r.Heartbeat == 0:
 		return false
 	}
-	return r.Beat <= uint64(max(f.last.Add(maxAhead).UnixMilli(), 0))
+	return r.Heartbeat <= uint64(max(f.last.Add(maxAhead).UnixMilli(), 0))
 }
--- a/shared/bbmember/sim_test.go
+++ b/shared/bbmember/sim_test.go
@@ -37,17 +37,17 @@
 		cfg: DefaultConfig(time.Second, 5*time.Second), rnd: rand.New(rand.NewPCG(seed, 1)),
 		now: simStart, byID: map[bbunit.InstanceID]*simNode{}, cut: func(_, _ *simNode) bool { return false },
 	}
-	var list []Listed
+	var list []ListEntry
 	for i := range n {
 		m := Member{
 			ID: bbunit.InstanceID(fmt.Sprintf("entry-%04d", i)), Inc: bbunit.Incarnation(s.rnd.Uint64()),
 			Domain: bbunit.DomainID(fmt.Sprintf("region-%c-%d", 'a'+i%domains%9, i%domains)), Address: fmt.Sprintf("10.1.%d.%d:8082", i/250, i%250+1),
 		}
 		s.start(m)
-		list = append(list, Listed{ID: m.ID, Domain: m.Domain, Address: m.Address})
+		list = append(list, ListEntry{ID: m.ID, Domain: m.Domain, Address: m.Address})
 	}
 	for _, d := range s.nodes {
-		s.act(d, d.Listed(s.now, list))
+		s.act(d, d.UpdateList(s.now, list))
 	}
 	return s
 }
@@ -65,21 +65,21 @@
 		to := s.byID[msg.To]
 		d.sent += proto.Size(&bbwire.Gossip{Number: 1 << 20, Members: Encode(msg.Reports)})
 		if s.reach(d, to) {
-			s.act(to, to.Told(s.now, msg.Reports))
-			s.act(to, to.Contact(s.now, []Member{d.Member}))
+			s.act(to, to.HandleGossip(s.now, msg.Reports))
+			s.act(to, to.RecordContact(s.now, []Member{d.Member}))
 			continue
 		}
-		s.act(d, d.Unreachable(s.now, msg.To))
+		s.act(d, d.RecordFailure(s.now, msg.To))
 	}
 	for _, id := range a.Probe {
 		s.probes++
 		to := s.byID[id]
 		if s.reach(d, to) {
-			s.act(d, d.Greeted(s.now, to.Member))
-			s.act(to, to.Greeted(s.now, d.Member))
+			s.act(d, d.HandleHello(s.now, to.Member))
+			s.act(to, to.HandleHello(s.now, d.Member))
 			continue
 		}
-		s.act(d, d.Unreachable(s.now, id))
+		s.act(d, d.RecordFailure(s.now, id))
 	}
 }
 
--- a/shared/bbroute/limiter.go
+++ b/shared/bbroute/limiter.go
@@ -43,7 +43,7 @@
 // Limited tells that the limit limits anything.
 func (l *Limiter) Limited() bool {
 	limit := l.limit.Load()
-	return limit.Rate > 0 || limit.Open > 0
+	return limit.Rate > 0 || limit.MaxInFlight > 0
 }
 
 // Acquire counts a request in, or returns a Refusal.
@@ -124,9 +124,9 @@
 	} else {
 		l.step.Store(0)
 	}
-	if limit.Open > 0 {
-		part := share(float64(own.InFlight), sumOpen(others), n, float64(limit.Open))
-		l.most.Store(int64(max(float64(limit.Open)*part, 1)))
+	if limit.MaxInFlight > 0 {
+		part := share(float64(own.InFlight), sumOpen(others), n, float64(limit.MaxInFlight))
+		l.most.Store(int64(max(float64(limit.MaxInFlight)*part, 1)))
 	} else {
 		l.most.Store(0)
 	}
--- a/shared/bbroute/limiter_test.go
+++ b/shared/bbroute/limiter_test.go
@@ -63,7 +63,7 @@
 
 func TestLimiterFollowsUsage(t *testing.T) {
 	is := is.New(t)
-	l := NewLimiter("k", bbticket.Limit{Rate: 100, Open: 10})
+	l := NewLimiter("k", bbticket.Limit{Rate: 100, MaxInFlight: 10})
 	rate := func() float64 { return float64(time.Second) / float64(l.step.Load()) }
 	l.UpdateShare(Usage{}, nil, 4)
 	is.True(math.Abs(rate()-25) < 1) // idle: a quarter each
@@ -76,7 +76,7 @@
 
 func TestLimiterOpen(t *testing.T) {
 	is := is.New(t)
-	l := NewLimiter("k", bbticket.Limit{Open: 1})
+	l := NewLimiter("k", bbticket.Limit{MaxInFlight: 1})
 	is.NoErr(l.Acquire(testNow))
 	is.True(errors.Is(l.Acquire(testNow), ErrLimit))
 	l.Release()
--- a/shared/bbroute/table.go
+++ b/shared/bbroute/table.go
@@ -78,7 +78,7 @@
 // WithState returns the table of a newer state, seen from failure domain home. What
 // is known of a target stays with it while its address stays.
 func (t *Table) WithState(state *bbticket.State, home bbunit.DomainID, rule AdmissionPolicy, now time.Time) *Table {
-	if t.State != nil && state.Routed > 0 && t.State.Routed == state.Routed {
+	if t.State != nil && state.LastRoutingChange > 0 && t.State.LastRoutingChange == state.LastRoutingChange {
 		return &Table{State: state, groups: t.groups, known: t.known, limits: t.limits}
 	}
 	next := &Table{
@@ -88,19 +88,19 @@
 		limits: make(map[bbunit.AccountID]*Limiter),
 	}
 	for id, s := range state.Services {
-		if !s.Object.Gone {
+		if !s.Object.Deleted {
 			next.groups[id] = t.group(s.Object, rule)
 		}
 	}
 	for id, a := range state.Accounts {
-		if !a.Object.Gone && (a.Object.Limit.Rate > 0 || a.Object.Limit.Open > 0) {
+		if !a.Object.Deleted && (a.Object.Limit.Rate > 0 || a.Object.Limit.MaxInFlight > 0) {
 			next.limits[id] = keepLimiter(t.limits[id], "account/"+string(id), a.Object.Limit)
 		}
 	}
 	for _, id := range sortedTargets(state) {
 		n := state.Targets[id]
 		g, ok := next.groups[n.Object.Service]
-		if n.Object.Gone || !ok {
+		if n.Object.Deleted || !ok {
 			continue
 		}
 		p := Candidate{Declared: n.Object, State: t.keep(next, n, now), gate: g.gate}
--- a/shared/bbroute/table_test.go
+++ b/shared/bbroute/table_test.go
@@ -38,7 +38,7 @@
 	is.NoErr(err)
 	var sent bbticket.State
 	is.NoErr(json.Unmarshal(v, &sent))
-	is.Equal(routed(kept.WithState(kept.State.Join(&sent), "d", AdmissionPolicy{}, now)), 2)
+	is.Equal(routed(kept.WithState(kept.State.Merge(&sent), "d", AdmissionPolicy{}, now)), 2)
 	s = s.Apply(bbticket.Ticket{Number: 4, Services: []bbticket.Service{{ID: "s2"}}})
 	_, ok := kept.WithState(s, "d", AdmissionPolicy{}, now).Group("s2")
 	is.True(ok)
--- a/shared/bbticket/apply.go
+++ b/shared/bbticket/apply.go
@@ -26,16 +26,16 @@
 	n.Services = merge(s.Services, t.Services, t.Number, func(v Service) bbunit.ServiceID { return v.ID })
 	n.Targets = merge(s.Targets, t.Targets, t.Number, func(g Target) bbunit.TargetID { return g.ID })
 	n.index(s, t)
-	n.Routed = s.Routed
+	n.LastRoutingChange = s.LastRoutingChange
 	if len(t.Accounts)+len(t.Services)+len(t.Targets) > 0 {
-		n.Routed = max(n.Routed, t.Number)
+		n.LastRoutingChange = max(n.LastRoutingChange, t.Number)
 	}
 	return n
 }
 
-// Join returns the newer of two states for each object, whatever order they
+// Merge returns the newer of two states for each object, whatever order they
 // come in.
-func (s *State) Join(o *State) *State {
+func (s *State) Merge(o *State) *State {
 	if s == nil {
 		s = &State{}
 	}
@@ -56,7 +56,7 @@
 	s.indexKeys()
 	s.indexBudgets()
 	s.indexTargets()
-	s.Routed = max(last(s.Accounts), last(s.Services), last(s.Targets))
+	s.LastRoutingChange = max(last(s.Accounts), last(s.Services), last(s.Targets))
 }
 
 // last is the highest ticket among the objects.
@@ -90,10 +90,10 @@
 	s.ByAccount = maps.Clone(s.ByAccount)
 	for _, b := range t.Budgets {
 		was, now := from.Budgets.Get(b.ID), s.Budgets.Get(b.ID)
-		if was.Number > 0 && !was.Object.Gone {
+		if was.Number > 0 && !was.Object.Deleted {
 			s.unlist(was.Object.Account, b.ID)
 		}
-		if !now.Object.Gone {
+		if !now.Object.Deleted {
 			s.unlist(now.Object.Account, b.ID)
 			list := s.ByAccount[now.Object.Account]
 			at, _ := slices.BinarySearch(list, b.ID)
@@ -119,7 +119,7 @@
 func (s *State) indexKeys() {
 	s.ByKey = make(map[string]bbunit.AccountID, len(s.Accounts))
 	for id, a := range s.Accounts {
-		if a.Object.Gone {
+		if a.Object.Deleted {
 			continue
 		}
 		for _, k := range a.Object.Keys {
@@ -131,7 +131,7 @@
 func (s *State) indexBudgets() {
 	s.ByAccount = make(map[bbunit.AccountID][]bbunit.BudgetID)
 	for _, id := range s.Budgets.Sorted() {
-		if b := s.Budgets.Get(id).Object; !b.Gone {
+		if b := s.Budgets.Get(id).Object; !b.Deleted {
 			s.ByAccount[b.Account] = append(s.ByAccount[b.Account], id)
 		}
 	}
@@ -140,7 +140,7 @@
 func (s *State) indexTargets() {
 	s.ByService = make(map[bbunit.ServiceID][]Target)
 	for _, id := range slices.Sorted(maps.Keys(s.Targets)) {
-		if t := s.Targets[id].Object; !t.Gone {
+		if t := s.Targets[id].Object; !t.Deleted {
 			s.ByService[t.Service] = append(s.ByService[t.Service], t)
 		}
 	}
--- a/shared/bbticket/apply_test.go
+++ b/shared/bbticket/apply_test.go
@@ -22,7 +22,7 @@
 			gone := rapid.Bool().Draw(t, "gone")
 			list = append(list, Ticket{
 				Number:  bbunit.TicketNumber(i + 1),
-				Budgets: []Budget{{ID: id, Account: account, Paid: bbunit.Tokens(paid), Gone: gone}},
+				Budgets: []Budget{{ID: id, Account: account, Paid: bbunit.Tokens(paid), Deleted: gone}},
 			})
 		}
 		ordered, mixed := &State{}, &State{}
--- a/shared/bbticket/log.go
+++ b/shared/bbticket/log.go
@@ -29,29 +29,29 @@
 	maxTail = 256 << 10
 	// maxPast is how many nonces of folded tickets the head keeps.
 	maxPast = 1024
-	// MaxTicket is the largest ticket, in bytes of JSON.
-	MaxTicket = 512 << 10
+	// MaxTicketBytes is the largest ticket, in bytes of JSON.
+	MaxTicketBytes = 512 << 10
 )
 
-// ErrNumber marks a ticket whose number is not the next one; it comes as a
+// ErrNumberTaken marks a ticket whose number is not the next one; it comes as a
 // *NumberError.
-const ErrNumber = errors.ConstError("ticket number taken")
+const ErrNumberTaken = errors.ConstError("ticket number taken")
 
 // NumberError tells which number the log's head has.
 type NumberError struct {
-	Asked, Head bbunit.TicketNumber
+	Requested, Head bbunit.TicketNumber
 }
 
 // Error implements error.
 func (e *NumberError) Error() string {
-	return fmt.Sprintf("ticket %d refused: ticket %d is in force, the next number is %d", e.Asked, e.Head, e.Head+1)
+	return fmt.Sprintf("ticket %d refused: ticket %d is in force, the next number is %d", e.Requested, e.Head, e.Head+1)
 }
 
 // Is makes errors.Is(err, ErrNumber) true.
-func (e *NumberError) Is(target error) bool { return target == ErrNumber }
+func (e *NumberError) Is(target error) bool { return target == ErrNumberTaken }
 
-// Accepted is one ticket of the tail.
-type Accepted struct {
+// LogEntry is one ticket of the tail.
+type LogEntry struct {
 	Ticket Ticket `json:"ticket"`
 	// Nonce tells two operators' tickets of one number apart.
 	Nonce string    `json:"nonce"`
@@ -61,16 +61,16 @@
 // Head is the value at HeadKey. The tail holds the tickets above Folded, in
 // order and without gaps; what lies below stands in the shards.
 type Head struct {
-	Number bbunit.TicketNumber `json:"number"`
-	Folded bbunit.TicketNumber `json:"folded"`
-	Tail   []Accepted          `json:"tail,omitempty"`
-	// Past keeps the nonces of tickets that left the tail lately, so that an
+	Number         bbunit.TicketNumber `json:"number"`
+	SnapshotNumber bbunit.TicketNumber `json:"folded"`
+	Tail           []LogEntry          `json:"tail,omitempty"`
+	// Compacted keeps the nonces of tickets that left the tail lately, so that an
 	// operator whose answer was lost still learns what became of its ticket.
-	Past []Past `json:"past,omitempty"`
+	Compacted []CompactedTicket `json:"past,omitempty"`
 }
 
-// Past is the number and nonce of a ticket that left the tail.
-type Past struct {
+// CompactedTicket is the number and nonce of a ticket that left the tail.
+type CompactedTicket struct {
 	Number bbunit.TicketNumber `json:"number"`
 	Nonce  string              `json:"nonce"`
 }
@@ -87,13 +87,13 @@
 	return h, nil
 }
 
-// Follow returns the state with the tail in force, and false when the state is
+// ApplyTail returns the state with the tail in force, and false when the state is
 // too old for the tail and has to be loaded whole.
-func (s *State) Follow(h Head) (*State, bool) {
+func (s *State) ApplyTail(h Head) (*State, bool) {
 	if s == nil {
 		s = &State{}
 	}
-	if s.Number < h.Folded {
+	if s.Number < h.SnapshotNumber {
 		return s, false
 	}
 	for _, a := range h.Tail {
@@ -131,13 +131,13 @@
 			return nil, errors.Trace(err)
 		}
 		s := &State{}
-		if h.Folded > 0 {
+		if h.SnapshotNumber > 0 {
 			if s, err = l.loadShards(ctx); err != nil {
 				return nil, errors.Trace(err)
 			}
-			s.Number = max(s.Number, h.Folded)
+			s.Number = max(s.Number, h.SnapshotNumber)
 		}
-		if next, ok := s.Follow(h); ok {
+		if next, ok := s.ApplyTail(h); ok {
 			return next, nil
 		}
 	}
@@ -154,7 +154,7 @@
 		if err := json.Unmarshal(e.Value, &part); err != nil {
 			return nil, errors.Annotatef(err, "shard %s", e.Key)
 		}
-		s = s.Join(&part)
+		s = s.Merge(&part)
 	}
 	// The shards may be ahead of the head while a fold is under way; the tail
 	// still has what is missing between.
@@ -167,8 +167,8 @@
 // store's error: after bbstore.ErrUnknown the same call with the same nonce
 // tells what became of it.
 func (l *Log) Accept(ctx context.Context, t Ticket, nonce string, now time.Time) error {
-	if b, err := json.Marshal(t); err != nil || len(b) > MaxTicket {
-		return errors.WithType(errors.Errorf("ticket %d: %d bytes, at most %d", t.Number, len(b), MaxTicket), ErrInvalid)
+	if b, err := json.Marshal(t); err != nil || len(b) > MaxTicketBytes {
+		return errors.WithType(errors.Errorf("ticket %d: %d bytes, at most %d", t.Number, len(b), MaxTicketBytes), ErrInvalid)
 	}
 	for {
 		h, rev, err := l.Head(ctx)
@@ -188,7 +188,7 @@
 		if err := s.Check(t); err != nil {
 			return err
 		}
-		err = l.append(ctx, h, rev, Accepted{Ticket: t, Nonce: nonce, At: now})
+		err = l.append(ctx, h, rev, LogEntry{Ticket: t, Nonce: nonce, At: now})
 		switch {
 		case err == nil:
 			return nil
@@ -213,18 +213,18 @@
 			return true, nil
 		}
 	}
-	for _, p := range h.Past {
+	for _, p := range h.Compacted {
 		if p.Number == n && p.Nonce == nonce {
 			return true, nil
 		}
 	}
-	return true, &NumberError{Asked: n, Head: h.Number}
+	return true, &NumberError{Requested: n, Head: h.Number}
 }
 
 // append writes the head with one more ticket, folding the tail first when it
 // has grown large.
-func (l *Log) append(ctx context.Context, h Head, rev bbstore.Revision, a Accepted) error {
-	next := Head{Number: a.Ticket.Number, Folded: h.Folded, Past: h.Past, Tail: append(h.Tail[:len(h.Tail):len(h.Tail)], a)}
+func (l *Log) append(ctx context.Context, h Head, rev bbstore.Revision, a LogEntry) error {
+	next := Head{Number: a.Ticket.Number, SnapshotNumber: h.SnapshotNumber, Compacted: h.Compacted, Tail: append(h.Tail[:len(h.Tail):len(h.Tail)], a)}
 	v, err := json.Marshal(next)
 	if err != nil {
 		return errors.Trace(err)
@@ -233,7 +233,7 @@
 		if err := l.fold(ctx, h); err != nil {
 			return errors.Annotate(err, "folding the ticket log")
 		}
-		next.Folded, next.Tail, next.Past = h.Number, []Accepted{a}, h.past()
+		next.SnapshotNumber, next.Tail, next.Compacted = h.Number, []LogEntry{a}, h.past()
 		if v, err = json.Marshal(next); err != nil {
 			return errors.Trace(err)
 		}
@@ -243,10 +243,10 @@
 }
 
 // past is what Past becomes when the whole tail is folded.
-func (h Head) past() []Past {
-	out := slices.Clone(h.Past)
+func (h Head) past() []CompactedTicket {
+	out := slices.Clone(h.Compacted)
 	for _, a := range h.Tail {
-		out = append(out, Past{Number: a.Ticket.Number, Nonce: a.Nonce})
+		out = append(out, CompactedTicket{Number: a.Ticket.Number, Nonce: a.Nonce})
 	}
 	return out[max(0, len(out)-maxPast):]
 }
@@ -281,7 +281,7 @@
 				return errors.Annotatef(err, "shard %s", key)
 			}
 		}
-		v, err := json.Marshal(old.Join(part))
+		v, err := json.Marshal(old.Merge(part))
 		if err != nil {
 			return errors.Trace(err)
 		}
--- a/shared/bbticket/parse.go
+++ b/shared/bbticket/parse.go
@@ -23,8 +23,8 @@
 // MaxPrice is the most tokens that a call or a token may cost.
 const MaxPrice bbunit.Tokens = 1 << 32
 
-// MaxID is the longest id, in bytes.
-const MaxID = 128
+// MaxIDBytes is the longest id, in bytes.
+const MaxIDBytes = 128
 
 var (
 	idForm  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
@@ -113,7 +113,7 @@
 	seen := map[string]bool{}
 	owner := map[string]bbunit.AccountID{}
 	for id, a := range next.Accounts {
-		if a.Number < next.Number && !a.Object.Gone {
+		if a.Number < next.Number && !a.Object.Deleted {
 			for _, k := range a.Object.Keys {
 				owner[k] = id
 			}
@@ -132,7 +132,7 @@
 			}
 			owner[k] = a.ID
 		}
-		if len(a.Keys) == 0 && !a.Gone {
+		if len(a.Keys) == 0 && !a.Deleted {
 			f.addf("%s: has no keys", at)
 		}
 	}
@@ -144,7 +144,7 @@
 		at := fmt.Sprintf("budgets[%d] %q", i, b.ID)
 		f.id(at, string(b.ID), seen)
 		f.amount(at+": paid", b.Paid, MaxPaid)
-		if !b.Gone {
+		if !b.Deleted {
 			found(f, at, "account", next.Accounts, b.Account)
 		}
 	}
@@ -159,14 +159,14 @@
 		f.amount(at+": price.call", v.Price.Call, MaxPrice)
 		f.amount(at+": price.input", v.Price.Input, MaxPrice)
 		f.amount(at+": price.output", v.Price.Output, MaxPrice)
-		f.amount(at+": output", v.Output, MaxPrice)
+		f.amount(at+": output", v.DefaultMaxOutput, MaxPrice)
 		for _, m := range v.Idempotent {
 			if m == "" || strings.ToUpper(m) != m {
 				f.addf("%s: idempotent: not an HTTP method: %q", at, m)
 			}
 		}
 		for _, a := range v.Accounts {
-			if !v.Gone {
+			if !v.Deleted {
 				found(f, at, "account", next.Accounts, a)
 			}
 		}
@@ -178,7 +178,7 @@
 	for i, t := range list {
 		at := fmt.Sprintf("targets[%d] %q", i, t.ID)
 		f.id(at, string(t.ID), seen)
-		if t.Gone {
+		if t.Deleted {
 			continue
 		}
 		found(f, at, "service", next.Services, t.Service)
@@ -197,12 +197,12 @@
 // orphans finds objects in force whose owner the ticket takes away.
 func (f *faults) orphans(next *State) {
 	for id, b := range next.Budgets.All() {
-		if a, ok := next.Accounts[b.Object.Account]; ok && a.Object.Gone && !b.Object.Gone {
+		if a, ok := next.Accounts[b.Object.Account]; ok && a.Object.Deleted && !b.Object.Deleted {
 			f.addf("account %q: gone, but budget %q is not", b.Object.Account, id)
 		}
 	}
 	for id, t := range next.Targets {
-		if v, ok := next.Services[t.Object.Service]; ok && v.Object.Gone && !t.Object.Gone {
+		if v, ok := next.Services[t.Object.Service]; ok && v.Object.Deleted && !t.Object.Deleted {
 			f.addf("service %q: gone, but target %q is not", t.Object.Service, id)
 		}
 	}
@@ -212,8 +212,8 @@
 	switch {
 	case !idForm.MatchString(id):
 		f.addf("%s: id: letters, digits, '.', '_' and '-' only", at)
-	case len(id) > MaxID:
-		f.addf("%s: id: longer than %d bytes", at, MaxID)
+	case len(id) > MaxIDBytes:
+		f.addf("%s: id: longer than %d bytes", at, MaxIDBytes)
 	case seen[id]:
 		f.addf("%s: id: stands twice", at)
 	}
@@ -227,7 +227,7 @@
 }
 
 func (f *faults) limit(at string, l Limit) {
-	if l.Rate < 0 || l.Burst < 0 || l.Open < 0 {
+	if l.Rate < 0 || l.Burst < 0 || l.MaxInFlight < 0 {
 		f.addf("%s: limit: must not be negative", at)
 	}
 }
--- a/shared/bbticket/state.go
+++ b/shared/bbticket/state.go
@@ -25,8 +25,8 @@
 	Rate float64 `yaml:"rate,omitempty" json:"rate,omitempty"`
 	// Burst is in requests; 0 means one second of Rate.
 	Burst float64 `yaml:"burst,omitempty" json:"burst,omitempty"`
-	// Open is the most requests in flight at once in a failure domain.
-	Open int `yaml:"open,omitempty" json:"open,omitempty"`
+	// MaxInFlight is the most requests in flight at once in a failure domain.
+	MaxInFlight int `yaml:"open,omitempty" json:"open,omitempty"`
 }
 
 // Price is what a request costs, in tokens.
@@ -46,7 +46,7 @@
 	Keys     []string        `yaml:"keys" json:"keys"`
 	Priority bbunit.Priority `yaml:"priority,omitempty" json:"priority,omitempty"`
 	Limit    Limit           `yaml:"limit,omitempty" json:"limit,omitempty"`
-	Gone     bool            `yaml:"gone,omitempty" json:"gone,omitempty"`
+	Deleted  bool            `yaml:"gone,omitempty" json:"gone,omitempty"`
 }
 
 // Budget is the whole state of a prepaid budget.
@@ -54,8 +54,8 @@
 	ID      bbunit.BudgetID  `yaml:"id" json:"id"`
 	Account bbunit.AccountID `yaml:"account" json:"account"`
 	// Paid is the total ever paid in, in tokens.
-	Paid bbunit.Tokens `yaml:"paid" json:"paid"`
-	Gone bool          `yaml:"gone,omitempty" json:"gone,omitempty"`
+	Paid    bbunit.Tokens `yaml:"paid" json:"paid"`
+	Deleted bool          `yaml:"gone,omitempty" json:"gone,omitempty"`
 }
 
 // Service is the whole state of a service.
@@ -67,12 +67,12 @@
 	// claimed and run at most once. Empty means GET, HEAD, OPTIONS for plain
 	// services. Chat completions are idempotent.
 	Idempotent []string `yaml:"idempotent,omitempty" json:"idempotent,omitempty"`
-	// Output is the most tokens an answer may have when the caller sets none.
-	Output bbunit.Tokens `yaml:"output,omitempty" json:"output,omitempty"`
+	// DefaultMaxOutput is the most tokens an answer may have when the caller sets none.
+	DefaultMaxOutput bbunit.Tokens `yaml:"output,omitempty" json:"output,omitempty"`
 	// Accounts that may use the service; empty means all.
 	Accounts []bbunit.AccountID `yaml:"accounts,omitempty" json:"accounts,omitempty"`
 	Limit    Limit              `yaml:"limit,omitempty" json:"limit,omitempty"`
-	Gone     bool               `yaml:"gone,omitempty" json:"gone,omitempty"`
+	Deleted  bool               `yaml:"gone,omitempty" json:"gone,omitempty"`
 }
 
 // Target is the whole state of a target.
@@ -88,7 +88,7 @@
 	Fence bool `yaml:"fence,omitempty" json:"fence,omitempty"`
 	// Leaving targets get no new requests.
 	Leaving bool `yaml:"leaving,omitempty" json:"leaving,omitempty"`
-	Gone    bool `yaml:"gone,omitempty" json:"gone,omitempty"`
+	Deleted bool `yaml:"gone,omitempty" json:"gone,omitempty"`
 }
 
 // Ticket is one numbered change: the whole new state of all that it touches.
@@ -116,9 +116,9 @@
 	Services map[bbunit.ServiceID]Numbered[Service] `json:"services"`
 	Targets  map[bbunit.TargetID]Numbered[Target]   `json:"targets"`
 
-	// Routed is the last ticket that touched an account, a service or a target:
+	// LastRoutingChange is the last ticket that touched an account, a service or a target:
 	// states in which it is the same route alike. 0 means unknown.
-	Routed bbunit.TicketNumber `json:"-"`
+	LastRoutingChange bbunit.TicketNumber `json:"-"`
 
 	// Derived indexes, rebuilt by Apply.
 	ByKey     map[string]bbunit.AccountID            `json:"-"`
