--- a/shared/bbcli/check.go
+++ b/shared/bbcli/check.go
@@ -7,9 +7,9 @@
 )
 
 // CheckAddress returns a line when the flag's value is not host:port.
-func CheckAddress(flag, v string) []string {
-	if _, _, err := net.SplitHostPort(v); err != nil {
-		return []string{fmt.Sprintf("%s: not host:port: %q", flag, v)}
+func CheckAddress(flag, value string) []string {
+	if _, _, err := net.SplitHostPort(value); err != nil {
+		return []string{fmt.Sprintf("%s: not host:port: %q", flag, value)}
 	}
 	return nil
 }
--- a/shared/bbcli/parse.go
+++ b/shared/bbcli/parse.go
@@ -20,8 +20,8 @@
 	ExitUsage  = 2
 )
 
-// exit stops kingpin where it would end the process.
-type exit int
+// exitCode stops kingpin where it would end the process.
+type exitCode int
 
 // New returns an application of that name with version, help, shell completion
 // and man page.
@@ -29,7 +29,7 @@
 	app := kingpin.New(name, help)
 	app.Version(bbunit.Version)
 	app.UsageWriter(stdout).ErrorWriter(stderr)
-	app.Terminate(func(code int) { panic(exit(code)) })
+	app.Terminate(func(code int) { panic(exitCode(code)) })
 	return app
 }
 
@@ -40,11 +40,11 @@
 func Parse(app *kingpin.Application, args []string, stderr io.Writer, check func() []string) (command string, code int, ok bool) {
 	defer func() {
 		if r := recover(); r != nil {
-			e, is := r.(exit)
-			if !is {
+			exited, isExit := r.(exitCode)
+			if !isExit {
 				panic(r)
 			}
-			command, code, ok = "", int(e), false
+			command, code, ok = "", int(exited), false
 		}
 	}()
 	if len(args) == 0 {
@@ -52,69 +52,69 @@
 		return "", ExitUsage, false
 	}
 	command, err := app.Parse(args)
-	bad := faults(app, args, err)
-	bad = merge(bad, check())
-	if len(bad) == 0 {
+	messages := flagErrors(app, args, err)
+	messages = mergeErrors(messages, check())
+	if len(messages) == 0 {
 		return command, ExitOK, true
 	}
-	for _, line := range bad {
+	for _, line := range messages {
 		fmt.Fprintf(stderr, "%s: %s\n", app.Name, line)
 	}
 	return "", ExitUsage, false
 }
 
-// merge adds the checked faults of flags that no parse fault names already.
-func merge(bad, checked []string) []string {
-	named := map[string]bool{}
-	for _, line := range bad {
+// mergeErrors adds the checked faults of flags that no parse fault names already.
+func mergeErrors(parseErrors, checkErrors []string) []string {
+	reported := map[string]bool{}
+	for _, line := range parseErrors {
 		flag, _, found := strings.Cut(line, ":")
-		named[flag] = true
+		reported[flag] = true
 		if !found || !strings.HasPrefix(flag, "--") {
-			return bad // the line was not understood; its settings mean nothing
+			return parseErrors // the line was not understood; its settings mean nothing
 		}
 	}
-	for _, line := range checked {
-		if flag, _, _ := strings.Cut(line, ":"); !named[flag] {
-			bad = append(bad, line)
+	for _, line := range checkErrors {
+		if flag, _, _ := strings.Cut(line, ":"); !reported[flag] {
+			parseErrors = append(parseErrors, line)
 		}
 	}
-	return bad
+	return parseErrors
 }
 
-// faults finds every flag whose value cannot be read, after kingpin stopped at
+// flagErrors finds every flag whose value cannot be read, after kingpin stopped at
 // the first.
-func faults(app *kingpin.Application, args []string, err error) []string {
+func flagErrors(app *kingpin.Application, args []string, err error) []string {
 	if err == nil {
 		return nil
 	}
-	ctx, perr := app.ParseContext(args)
-	if perr != nil || ctx.SelectedCommand == nil {
+	ctx, contextErr := app.ParseContext(args)
+	if contextErr != nil || ctx.SelectedCommand == nil {
 		return []string{err.Error()}
 	}
 	given := map[string][]string{}
-	for _, e := range ctx.Elements {
-		if f, ok := e.Clause.(*kingpin.FlagClause); ok && e.Value != nil {
+	for _, element := range ctx.Elements {
+		if f, ok := element.Clause.(*kingpin.FlagClause); ok && element.Value != nil {
 			name := f.Model().Name
-			given[name] = append(given[name], *e.Value)
+			given[name] = append(given[name], *element.Value)
 		}
 	}
-	var bad []string
+	var messages []string
 	for _, f := range append(app.Model().Flags, ctx.SelectedCommand.Model().Flags...) {
-		for _, v := range values(f, given[f.Name]) {
+		for _, v := range flagValues(f, given[f.Name]) {
 			if err := f.Value.Set(v); err != nil {
-				bad = append(bad, fmt.Sprintf("--%s: %q: %s", f.Name, v, strings.TrimPrefix(err.Error(), "time: ")))
+				messages = append(messages, fmt.Sprintf("--%s: %q: %s", f.Name, v, strings.TrimPrefix(err.Error(), "time: ")))
 			}
 		}
 	}
-	if len(bad) == 0 {
+	if len(messages) == 0 {
 		return []string{err.Error()}
 	}
-	return bad
+	return messages
 }
 
-// values is where a flag's value comes from: the command line, the environment
+// flagValues is where a flag's value comes from: the command line, the environment
 // or its default.
-func values(f *kingpin.FlagModel, given []string) []string {
+func flagValues(f *kingpin.FlagModel, given []string) []string {
 	if len(given) > 0 {
 		return given
 	}
--- a/shared/bblog/writer.go
+++ b/shared/bblog/writer.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// queueLines is how many lines wait for a slow reader.
-	queueLines = 1024
-	// tellEvery is the time between two lines that tell what was dropped.
-	tellEvery = time.Second
+	// maxQueuedLines is how many lines wait for a slow reader.
+	maxQueuedLines = 1024
+	// dropReportInterval is the time between two lines that tell what was dropped.
+	dropReportInterval = time.Second
 )
 
 // Writer is a log output that never blocks.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
-	budget  *rate.Limiter
+	limiter *rate.Limiter
 	dropped atomic.Int64
 	done    chan struct{}
 }
@@ -31,10 +31,10 @@
 // NewWriter returns a writer of at most so many lines a second, with bursts of
 // twice as many, and a function that writes what waits, for at most the given
 // time, and ends it.
-func NewWriter(out io.Writer, linesPerSecond float64) (*Writer, func(patience time.Duration)) {
+func NewWriter(out io.Writer, linesPerSecond float64) (*Writer, func(timeout time.Duration)) {
 	w := &Writer{
-		out: out, lines: make(chan []byte, queueLines), done: make(chan struct{}),
-		budget: rate.NewLimiter(rate.Limit(linesPerSecond), max(int(2*linesPerSecond), 1)),
+		out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}),
+		limiter: rate.NewLimiter(rate.Limit(linesPerSecond), max(int(2*linesPerSecond), 1)),
 	}
 	go w.run()
 	return w, w.close
@@ -42,7 +42,7 @@
 
 // Write queues one line. It does not block, and always says that it wrote.
 func (w *Writer) Write(line []byte) (int, error) {
-	if !w.budget.Allow() {
+	if !w.limiter.Allow() {
 		w.dropped.Add(1)
 		return len(line), nil
 	}
@@ -59,20 +59,20 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	told, last := int64(0), time.Now()
+	reported, reportedAt := int64(0), time.Now()
 	for line := range w.lines {
 		_, _ = w.out.Write(line) // there is nobody to tell of a log that is gone
-		if n := w.dropped.Load(); n > told && time.Since(last) > tellEvery {
-			_, _ = fmt.Fprintf(w.out, "{\"level\":\"warning\",\"event\":\"log-dropped\",\"lines\":%d}\n", n-told)
-			told, last = n, time.Now()
+		if dropped := w.dropped.Load(); dropped > reported && time.Since(reportedAt) > dropReportInterval {
+			_, _ = fmt.Fprintf(w.out, "{\"level\":\"warning\",\"event\":\"log-dropped\",\"lines\":%d}\n", dropped-reported)
+			reported, reportedAt = dropped, time.Now()
 		}
 	}
 }
 
-func (w *Writer) close(patience time.Duration) {
+func (w *Writer) close(timeout time.Duration) {
 	close(w.lines)
 	select {
 	case <-w.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
--- a/shared/bbplace/place.go
+++ b/shared/bbplace/place.go
@@ -17,69 +17,69 @@
 )
 
 const (
-	// reportKeep is how long a report of load is of use.
-	reportKeep = 1500 * time.Millisecond
-	// otherDomain is what it costs to leave the failure domain.
-	otherDomain = 3 * time.Millisecond
-	// slotsTime is what a target with all slots taken costs more than an empty
+	// reportMaxAge is how long a report of load is of use.
+	reportMaxAge = 1500 * time.Millisecond
+	// otherDomainCost is what it costs to leave the failure domain.
+	otherDomainCost = 3 * time.Millisecond
+	// fullLoadCost is what a target with all slots taken costs more than an empty
 	// one.
-	slotsTime = 60 * time.Millisecond
-	// failTime is the cost of a target all of whose answers fail.
-	failTime = 250 * time.Millisecond
-	// chanceTime bounds the part of chance in a cost, which keeps instances that
+	fullLoadCost = 60 * time.Millisecond
+	// failureCost is the cost of a target all of whose answers fail.
+	failureCost = 250 * time.Millisecond
+	// maxJitter bounds the part of chance in a cost, which keeps instances that
 	// know the same from all choosing the same target.
-	chanceTime = 2 * time.Millisecond
-	// resultWeight is how far one result moves the mean of failures.
-	resultWeight = 0.15
-	// full is the load above which a target gets nothing, in parts of its slots.
-	full = 1.6
+	maxJitter = 2 * time.Millisecond
+	// failureSmoothing is how far one result moves the mean of failures.
+	failureSmoothing = 0.15
+	// maxLoad is the load above which a target gets nothing, in parts of its slots.
+	maxLoad = 1.6
 	// defaultSlots is for targets that name none.
 	defaultSlots = 8
-	// prefillRate is how many tokens of a prompt an engine reads in a
+	// prefillTokensPerMilli is how many tokens of a prompt an engine reads in a
 	// millisecond.
-	prefillRate = 140
+	prefillTokensPerMilli = 140
 )
 
 // TargetState is what one instance knows of a target. The zero value knows nothing.
 type TargetState struct {
-	Circuit  bbroute.Circuit
-	inflight atomic.Int64
-	report   atomic.Pointer[report]
-	fails    atomic.Uint64 // bits of the mean of failures, 0 to 1
-	busy     atomic.Int64  // gets nothing until, in ns of the steady clock
-	prefill  atomic.Int64  // reads prompts until, in ns of the steady clock
+	Circuit      bbroute.Circuit
+	inFlight     atomic.Int64
+	lastReport   atomic.Pointer[loadReport]
+	failureRate  atomic.Uint64 // bits of the mean of failures, 0 to 1
+	backOffUntil atomic.Int64  // gets nothing until, in ns of the steady clock
+	prefillUntil atomic.Int64  // reads prompts until, in ns of the steady clock
 }
 
-type report struct {
+type loadReport struct {
 	running, waiting, slots int
-	own                     int64 // in flight from here when it was made
-	at                      time.Time
+	ownInFlight             int64 // in flight from here when it was made
+	receivedAt              time.Time
 }
 
 // Begin counts a request in flight; End takes it away.
-func (k *TargetState) Begin() { k.inflight.Add(1) }
+func (s *TargetState) Begin() { s.inFlight.Add(1) }
 
 // End takes away what Begin counted.
-func (k *TargetState) End() { k.inflight.Add(-1) }
+func (s *TargetState) End() { s.inFlight.Add(-1) }
 
 // InFlight returns how many requests of this instance the target has.
-func (k *TargetState) InFlight() int { return int(k.inflight.Load()) }
+func (s *TargetState) InFlight() int { return int(s.inFlight.Load()) }
 
 // ReportLoad takes what a target tells of its load.
-func (k *TargetState) ReportLoad(running, waiting, slots int, now time.Time) {
-	k.report.Store(&report{running: running, waiting: waiting, slots: slots, own: k.inflight.Load(), at: now})
+func (s *TargetState) ReportLoad(running, waiting, slots int, now time.Time) {
+	s.lastReport.Store(&loadReport{running: running, waiting: waiting, slots: slots, ownInFlight: s.inFlight.Load(), receivedAt: now})
 }
 
 // BackOffUntil keeps requests away until a time.
-func (k *TargetState) BackOffUntil(until time.Time) { k.busy.Store(until.UnixNano()) }
+func (s *TargetState) BackOffUntil(until time.Time) { s.backOffUntil.Store(until.UnixNano()) }
 
 // AddPrefill notes that the target has been sent a prompt of which it has to read
 // that many tokens.
-func (k *TargetState) AddPrefill(n bbunit.Tokens, now time.Time) {
-	took := int64(prefillTime(n))
+func (s *TargetState) AddPrefill(n bbunit.Tokens, now time.Time) {
+	duration := int64(prefillTime(n))
 	for {
-		old := k.prefill.Load()
-		if k.prefill.CompareAndSwap(old, max(old, now.UnixNano())+took) {
+		old := s.prefillUntil.Load()
+		if s.prefillUntil.CompareAndSwap(old, max(old, now.UnixNano())+duration) {
 			return
 		}
 	}
@@ -87,24 +87,24 @@
 
 // prefillTime is how long an engine reads that many tokens of a prompt.
 func prefillTime(n bbunit.Tokens) time.Duration {
-	return time.Duration(n) * time.Millisecond / prefillRate
+	return time.Duration(n) * time.Millisecond / prefillTokensPerMilli
 }
 
-// backlog is how long the target is still thought to read prompts.
-func (k *TargetState) backlog(now time.Time) time.Duration {
-	return max(time.Duration(k.prefill.Load()-now.UnixNano()), 0)
+// prefillBacklog is how long the target is still thought to read prompts.
+func (s *TargetState) prefillBacklog(now time.Time) time.Duration {
+	return max(time.Duration(s.prefillUntil.Load()-now.UnixNano()), 0)
 }
 
 // RecordResult notes whether a request that the target took ended well.
-func (k *TargetState) RecordResult(ok bool) {
-	v := 0.0
+func (s *TargetState) RecordResult(ok bool) {
+	result := 0.0
 	if !ok {
-		v = 1
+		result = 1
 	}
 	for {
-		old := k.fails.Load()
-		was := math.Float64frombits(old)
-		if k.fails.CompareAndSwap(old, math.Float64bits(was+resultWeight*(v-was))) {
+		old := s.failureRate.Load()
+		mean := math.Float64frombits(old)
+		if s.failureRate.CompareAndSwap(old, math.Float64bits(mean+failureSmoothing*(result-mean))) {
 			return
 		}
 	}
@@ -119,16 +119,16 @@
 // load returns the requests that the target is thought to have, in parts of its
 // slots.
 func (t *Target) load(now time.Time) float64 {
-	own := float64(t.State.inflight.Load())
+	own := float64(t.State.inFlight.Load())
 	slots := t.Slots
 	others := 0.0
-	if r := t.State.report.Load(); r != nil {
+	if r := t.State.lastReport.Load(); r != nil {
 		if r.slots > 0 {
 			slots = r.slots
 		}
-		if age := now.Sub(r.at); age < reportKeep {
-			part := 1 - float64(age)/float64(reportKeep)
-			others = part * max(float64(r.running+r.waiting)-float64(r.own), 0)
+		if age := now.Sub(r.receivedAt); age < reportMaxAge {
+			weight := 1 - float64(age)/float64(reportMaxAge)
+			others = weight * max(float64(r.running+r.waiting)-float64(r.ownInFlight), 0)
 		}
 	}
 	if slots <= 0 {
@@ -165,68 +165,68 @@
 // cost is a time: how long the target still reads other prompts, how long it
 // would read this one, and what its load, its failures and its failure domain
 // are counted as.
-func Choose(targets []*Target, ask *Request, now time.Time) (int, Reason) {
-	home := homeOf(targets, ask, now)
-	best, least := -1, time.Duration(math.MaxInt64)
-	why := ReasonNoneUsable
+func Choose(targets []*Target, req *Request, now time.Time) (int, Reason) {
+	cached := cacheTarget(targets, req, now)
+	best, minCost := -1, time.Duration(math.MaxInt64)
+	reason := ReasonNoneUsable
 	for i, t := range targets {
-		if !usable(t, ask, now) {
+		if !usable(t, req, now) {
 			continue
 		}
 		load := t.load(now)
-		if load >= full {
-			why = ReasonAllFull
+		if load >= maxLoad {
+			reason = ReasonAllFull
 			continue
 		}
-		cost := t.State.backlog(now) + prefillTime(ask.UncachedTokens(i == home)) + time.Duration(load*float64(slotsTime))
-		cost += time.Duration(float64(failTime) * math.Float64frombits(t.State.fails.Load()))
-		if t.Domain != ask.Domain {
-			cost += otherDomain
+		cost := t.State.prefillBacklog(now) + prefillTime(req.UncachedTokens(i == cached)) + time.Duration(load*float64(fullLoadCost))
+		cost += time.Duration(float64(failureCost) * math.Float64frombits(t.State.failureRate.Load()))
+		if t.Domain != req.Domain {
+			cost += otherDomainCost
 		}
-		cost += time.Duration(scramble(ask.Random+uint64(i)) % uint64(chanceTime))
-		if cost < least {
-			best, least = i, cost
+		cost += time.Duration(splitmix64(req.Random+uint64(i)) % uint64(maxJitter))
+		if cost < minCost {
+			best, minCost = i, cost
 		}
 	}
-	return best, why
+	return best, reason
 }
 
 // UncachedTokens returns how many tokens of the prompt a target has to read, which is
 // the prompt's home or not.
-func (a *Request) UncachedTokens(home bool) bbunit.Tokens {
-	if home {
-		return a.PromptTokens - a.SharedTokens
+func (r *Request) UncachedTokens(cached bool) bbunit.Tokens {
+	if cached {
+		return r.PromptTokens - r.SharedTokens
 	}
-	return a.PromptTokens
+	return r.PromptTokens
 }
 
 // IsCacheTarget tells whether a target is where the prompt's shared parts are kept.
-func IsCacheTarget(targets []*Target, i int, ask *Request, now time.Time) bool {
-	return i >= 0 && homeOf(targets, ask, now) == i
+func IsCacheTarget(targets []*Target, i int, req *Request, now time.Time) bool {
+	return i >= 0 && cacheTarget(targets, req, now) == i
 }
 
-// homeOf returns the index of the target that a prompt hashes to, -1 for none.
-func homeOf(targets []*Target, ask *Request, now time.Time) int {
-	home, high := -1, uint64(0)
-	if ask.PromptHash == 0 {
-		return home
+// cacheTarget returns the index of the target that a prompt hashes to, -1 for none.
+func cacheTarget(targets []*Target, req *Request, now time.Time) int {
+	best, maxHash := -1, uint64(0)
+	if req.PromptHash == 0 {
+		return best
 	}
 	for i, t := range targets {
 		if t.Leaving || !t.State.Circuit.Usable(now) {
 			continue
 		}
-		if h := scramble(ask.PromptHash ^ xxhash.Sum64String(string(t.ID))); home < 0 || h > high {
-			home, high = i, h
+		if hash := splitmix64(req.PromptHash ^ xxhash.Sum64String(string(t.ID))); best < 0 || hash > maxHash {
+			best, maxHash = i, hash
 		}
 	}
-	return home
+	return best
 }
 
-func usable(t *Target, ask *Request, now time.Time) bool {
-	if t.Leaving || !t.State.Circuit.Usable(now) || now.UnixNano() < t.State.busy.Load() {
+func usable(t *Target, req *Request, now time.Time) bool {
+	if t.Leaving || !t.State.Circuit.Usable(now) || now.UnixNano() < t.State.backOffUntil.Load() {
 		return false
 	}
-	for _, id := range ask.Excluded {
+	for _, id := range req.Excluded {
 		if id == t.ID {
 			return false
 		}
@@ -234,8 +234,8 @@
 	return true
 }
 
-// scramble mixes the bits of x (splitmix64).
-func scramble(x uint64) uint64 {
+// splitmix64 mixes the bits of x (splitmix64).
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/shared/bbplace/place_test.go
+++ b/shared/bbplace/place_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-func fleet(n int) []*Target {
+func newTargets(n int) []*Target {
 	out := make([]*Target, n)
 	for i := range out {
 		out[i] = &Target{
@@ -25,32 +25,32 @@
 }
 
 // Targets that are leaving, tried, busy or failing get nothing.
-func TestWhoGetsNothing(t *testing.T) {
+func TestExcludedTargets(t *testing.T) {
 	cases := []struct {
-		name string
-		set  func(x *Target, a *Request)
-		full Reason
+		name   string
+		setup  func(target *Target, req *Request)
+		reason Reason
 	}{
-		{"leaving", func(x *Target, _ *Request) { x.Leaving = true }, ReasonNoneUsable},
-		{"tried", func(x *Target, a *Request) { a.Excluded = append(a.Excluded, x.ID) }, ReasonNoneUsable},
-		{"busy", func(x *Target, _ *Request) { x.State.BackOffUntil(start.Add(time.Second)) }, ReasonNoneUsable},
-		{"full", func(x *Target, _ *Request) { x.State.ReportLoad(100, 10, 64, start) }, ReasonAllFull},
+		{"leaving", func(target *Target, _ *Request) { target.Leaving = true }, ReasonNoneUsable},
+		{"tried", func(target *Target, req *Request) { req.Excluded = append(req.Excluded, target.ID) }, ReasonNoneUsable},
+		{"busy", func(target *Target, _ *Request) { target.State.BackOffUntil(start.Add(time.Second)) }, ReasonNoneUsable},
+		{"full", func(target *Target, _ *Request) { target.State.ReportLoad(100, 10, 64, start) }, ReasonAllFull},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			targets := fleet(2)
-			ask := &Request{}
-			c.set(targets[0], ask)
-			for draw := range uint64(20) {
-				ask.Random = draw
-				i, _ := Choose(targets, ask, start)
+			targets := newTargets(2)
+			req := &Request{}
+			c.setup(targets[0], req)
+			for random := range uint64(20) {
+				req.Random = random
+				i, _ := Choose(targets, req, start)
 				is.Equal(i, 1)
 			}
-			c.set(targets[1], ask)
-			i, why := Choose(targets, ask, start)
+			c.setup(targets[1], req)
+			i, reason := Choose(targets, req, start)
 			is.Equal(i, -1)
-			is.Equal(why, c.full)
+			is.Equal(reason, c.reason)
 		})
 	}
 }
@@ -60,16 +60,16 @@
 // beside them pauses for two.
 func TestLargePromptsSpread(t *testing.T) {
 	is := is.New(t)
-	targets := fleet(9)
+	targets := newTargets(9)
 	now := start
 	for round := range 50 {
 		used := map[int]bool{}
 		for k := range 4 {
-			ask := &Request{Domain: "d0", PromptTokens: 20_000, Random: uint64(round*4 + k)}
-			i, _ := Choose(targets, ask, now)
+			req := &Request{Domain: "d0", PromptTokens: 20_000, Random: uint64(round*4 + k)}
+			i, _ := Choose(targets, req, now)
 			is.True(!used[i])
 			used[i] = true
-			targets[i].State.AddPrefill(ask.PromptTokens, now)
+			targets[i].State.AddPrefill(req.PromptTokens, now)
 		}
 		now = now.Add(400 * time.Millisecond)
 	}
@@ -77,44 +77,44 @@
 
 // The load: requests that share 5,000 of 6,000 tokens. They meet where these are
 // kept, until that target reads so much that another would be sooner.
-func TestSharedPromptsMeet(t *testing.T) {
+func TestSharedPromptsUseOneTarget(t *testing.T) {
 	is := is.New(t)
-	targets := fleet(9)
-	ask := &Request{PromptHash: 77, SharedTokens: 5000, PromptTokens: 6000}
-	first, _ := Choose(targets, ask, start)
+	targets := newTargets(9)
+	req := &Request{PromptHash: 77, SharedTokens: 5000, PromptTokens: 6000}
+	first, _ := Choose(targets, req, start)
 	for range 5 {
-		ask.Random++
-		i, _ := Choose(targets, ask, start)
+		req.Random++
+		i, _ := Choose(targets, req, start)
 		is.Equal(i, first)
-		is.True(IsCacheTarget(targets, i, ask, start))
+		is.True(IsCacheTarget(targets, i, req, start))
 	}
 	targets[first].State.AddPrefill(10_000, start)
-	i, _ := Choose(targets, ask, start)
+	i, _ := Choose(targets, req, start)
 	is.True(i != first)
 }
 
 // A target half of whose answers fail is left to others while they are good.
 func TestFailingTarget(t *testing.T) {
 	is := is.New(t)
-	targets := fleet(3)
+	targets := newTargets(3)
 	for k := range 30 {
 		targets[0].State.RecordResult(k%2 == 0)
 	}
-	for draw := range uint64(50) {
-		i, _ := Choose(targets, &Request{Domain: "d0", Random: draw}, start)
+	for random := range uint64(50) {
+		i, _ := Choose(targets, &Request{Domain: "d0", Random: random}, start)
 		is.True(i != 0)
 	}
 }
 
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{9, 64} {
-		targets := fleet(n)
+		targets := newTargets(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
-			ask := &Request{PromptHash: 5, SharedTokens: 100, PromptTokens: 2000}
+			req := &Request{PromptHash: 5, SharedTokens: 100, PromptTokens: 2000}
 			for b.Loop() {
-				ask.Random++
-				Choose(targets, ask, start)
+				req.Random++
+				Choose(targets, req, start)
 			}
 		})
 	}
--- a/shared/bbplan/plan.go
+++ b/shared/bbplan/plan.go
@@ -106,19 +106,19 @@
 	// KeyRequired tells that requests need a key, unless their route is open.
 	KeyRequired bool
 
-	keys  map[string]*Account
-	hosts map[string]map[string]*Route // host, prefix
+	accountsByKey map[string]*Account
+	routes        map[string]map[string]*Route // host, prefix
 }
 
 // New returns a plan of these parts. Keys maps each key to its account.
-func New(p Plan, routes []*Route, keys map[string]*Account) *Plan {
-	p.keys = keys
-	p.hosts = map[string]map[string]*Route{}
+func New(p Plan, routes []*Route, accountsByKey map[string]*Account) *Plan {
+	p.accountsByKey = accountsByKey
+	p.routes = map[string]map[string]*Route{}
 	for _, r := range routes {
-		if p.hosts[r.Host] == nil {
-			p.hosts[r.Host] = map[string]*Route{}
+		if p.routes[r.Host] == nil {
+			p.routes[r.Host] = map[string]*Route{}
 		}
-		p.hosts[r.Host][r.Prefix] = r
+		p.routes[r.Host][r.Prefix] = r
 	}
 	return &p
 }
@@ -126,7 +126,7 @@
 // FindRoute returns the route of a host and a path without its query, nil when there
 // is none: the longest prefix wins.
 func (p *Plan) FindRoute(host, path string) *Route {
-	prefixes := p.hosts[hostName(host)]
+	prefixes := p.routes[normalizeHost(host)]
 	if prefixes == nil {
 		return nil
 	}
@@ -144,10 +144,10 @@
 }
 
 // AccountByKey returns the account of a key, nil when no account has it.
-func (p *Plan) AccountByKey(key string) *Account { return p.keys[key] }
+func (p *Plan) AccountByKey(key string) *Account { return p.accountsByKey[key] }
 
-// hostName is a Host field without port, in lower case.
-func hostName(host string) string {
+// normalizeHost is a Host field without port, in lower case.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[i:], "]") {
 		host = host[:i]
 	}
@@ -155,17 +155,17 @@
 }
 
 // PickService returns the service of a route that a number in [0,1) draws.
-func (r *Route) PickService(draw float64) bbunit.ServiceID {
-	var sum float64
+func (r *Route) PickService(random float64) bbunit.ServiceID {
+	var total float64
 	for _, s := range r.Services {
-		sum += s.Weight
+		total += s.Weight
 	}
-	draw *= sum
+	random *= total
 	for _, s := range r.Services {
-		if draw < s.Weight {
+		if random < s.Weight {
 			return s.Service
 		}
-		draw -= s.Weight
+		random -= s.Weight
 	}
 	return r.Services[len(r.Services)-1].Service
 }
--- a/shared/bbserve/stop.go
+++ b/shared/bbserve/stop.go
@@ -14,8 +14,8 @@
 // Stop ends a server within the timeout, whether or not it has begun to serve: a
 // shutdown that comes before the server knows its listener does nothing, so the
 // listener is closed besides.
-func Stop(app Server, ln net.Listener, timeout time.Duration) error {
-	err := app.ShutdownWithTimeout(timeout)
+func Stop(server Server, ln net.Listener, timeout time.Duration) error {
+	err := server.ShutdownWithTimeout(timeout)
 	_ = ln.Close()
 	return err
 }
--- a/shared/bbshare/allocator.go
+++ b/shared/bbshare/allocator.go
@@ -40,36 +40,36 @@
 const HomeHorizon = 8 * time.Second
 
 // SetHorizon changes how long shares are to last.
-func (b *Allocator) SetHorizon(d time.Duration) { b.rule.Horizon = d }
+func (a *Allocator) SetHorizon(d time.Duration) { a.policy.Horizon = d }
 
 // DefaultPolicy draws for a few seconds of demand.
 func DefaultPolicy() Policy {
 	return Policy{Horizon: 15 * time.Second, RefillBelow: 0.7, MinShare: 0.005, MaxHeld: 0.25, LossLimit: 0.1, MinScale: 0.2, PriorSpent: 0.016, MaxRows: 32}
 }
 
-// unmetAhead is how many times what is asked for in vain is drawn ahead, while
+// unmetPrefetchFactor is how many times what is asked for in vain is drawn ahead, while
 // the demand is not yet known.
-const unmetAhead = 3
+const unmetPrefetchFactor = 3
 
-// rateWeight is how far one second of demand moves the mean.
-const rateWeight = 0.4
+// demandSmoothing is how far one second of demand moves the mean.
+const demandSmoothing = 0.4
 
 // Allocator holds an instance's accounts. All its methods but those of the purses
 // belong to one controller.
 type Allocator struct {
-	Holder bbunit.HolderID
-	rule   Policy
-	prefix string
-	lines  map[bbunit.AccountID]*AccountShare
-	// largest is the largest request of late, of any account.
-	largest int64
-	// leaving tells that nothing is drawn ahead any more.
-	leaving bool
+	Holder    bbunit.HolderID
+	policy    Policy
+	keyPrefix string
+	shares    map[bbunit.AccountID]*AccountShare
+	// largestRequest is the largest request of late, of any account.
+	largestRequest int64
+	// draining tells that nothing is drawn ahead any more.
+	draining bool
 }
 
 // NewAllocator returns an empty book whose rows stand under prefix.
-func NewAllocator(holder bbunit.HolderID, prefix string, rule Policy) *Allocator {
-	return &Allocator{Holder: holder, rule: rule, prefix: prefix, lines: map[bbunit.AccountID]*AccountShare{}}
+func NewAllocator(holder bbunit.HolderID, keyPrefix string, policy Policy) *Allocator {
+	return &Allocator{Holder: holder, policy: policy, keyPrefix: keyPrefix, shares: map[bbunit.AccountID]*AccountShare{}}
 }
 
 // AccountShare is one account in a book.
@@ -78,272 +78,272 @@
 	Balance *Balance
 	paid    bbunit.Tokens
 
-	row   Row
-	rev   bbstore.Revision
-	known bool          // the row has been read
-	ours  bbunit.Tokens // what this instance counts as granted
-	// away tells that the home of the account is elsewhere; left is what the
+	row       Row
+	rev       bbstore.Revision
+	rowLoaded bool          // the row has been read
+	granted   bbunit.Tokens // what this instance counts as granted
+	// remoteHome tells that the home of the account is elsewhere; left is what the
 	// home said that is free.
-	away bool
-	left bbunit.Tokens
-	// guest tells that the home is elsewhere and out of reach.
-	guest bool
+	remoteHome bool
+	homeFree   bbunit.Tokens
+	// homeUnreachable tells that the home is elsewhere and out of reach.
+	homeUnreachable bool
 	// lent is the sum of loans over this life.
 	lent bbunit.Tokens
 
-	fenced  bool    // this life has been closed
-	unsure  bool    // a write may have taken effect
-	rate    float64 // tokens a second that requests ask for
-	asked   int64
-	lastAt  time.Time
-	largest int64
+	fenced         bool    // this life has been closed
+	writeUncertain bool    // a write may have taken effect
+	demand         float64 // tokens a second that requests ask for
+	lastRequested  int64
+	measuredAt     time.Time
+	largestRequest int64
 }
 
 // Account returns an account's line, which it makes when there is none.
-func (b *Allocator) Account(id bbunit.AccountID) *AccountShare {
-	l := b.lines[id]
-	if l == nil {
-		l = &AccountShare{ID: id, Balance: &Balance{}}
-		b.lines[id] = l
+func (a *Allocator) Account(id bbunit.AccountID) *AccountShare {
+	s := a.shares[id]
+	if s == nil {
+		s = &AccountShare{ID: id, Balance: &Balance{}}
+		a.shares[id] = s
 	}
-	return l
+	return s
 }
 
 // SetPaid sets what an account has paid in all.
-func (b *Allocator) SetPaid(id bbunit.AccountID, paid bbunit.Tokens) { b.Account(id).paid = paid }
+func (a *Allocator) SetPaid(id bbunit.AccountID, paid bbunit.Tokens) { a.Account(id).paid = paid }
 
 // Free returns what no holder has been granted, as far as the row is known.
-func (l *AccountShare) Free() bbunit.Tokens { return l.paid - l.row.TotalGranted() }
+func (s *AccountShare) Free() bbunit.Tokens { return s.paid - s.row.TotalGranted() }
 
 // RowLoaded tells whether the row has been read.
-func (l *AccountShare) RowLoaded() bool { return l.known }
+func (s *AccountShare) RowLoaded() bool { return s.rowLoaded }
 
 // Covers tells whether the account may still cover n: as far as known, what is
 // free and what other holders may give back reach it.
-func (l *AccountShare) Covers(n bbunit.Tokens, holder bbunit.HolderID) bool {
-	return l.Free()+l.Balance.Available()+l.row.UnspentByOthers(holder) >= n
+func (s *AccountShare) Covers(n bbunit.Tokens, holder bbunit.HolderID) bool {
+	return s.Free()+s.Balance.Available()+s.row.UnspentByOthers(holder) >= n
 }
 
 // UnspentByOthers returns what other holders may still have, as far as known.
-func (l *AccountShare) UnspentByOthers(holder bbunit.HolderID) bbunit.Tokens {
-	return l.row.UnspentByOthers(holder)
+func (s *AccountShare) UnspentByOthers(holder bbunit.HolderID) bbunit.Tokens {
+	return s.row.UnspentByOthers(holder)
 }
 
 // ApplyRows takes rows as they stand in the store. Rows that cannot be read are left
 // out and named in bad.
-func (b *Allocator) ApplyRows(entries []bbstore.Entry) (bad []error) {
+func (a *Allocator) ApplyRows(entries []bbstore.Entry) (rowErrs []error) {
 	for _, e := range entries {
-		if len(e.Key) <= len(b.prefix) || e.Key[:len(b.prefix)] != b.prefix {
+		if len(e.Key) <= len(a.keyPrefix) || e.Key[:len(a.keyPrefix)] != a.keyPrefix {
 			continue
 		}
-		l := b.Account(bbunit.AccountID(e.Key[len(b.prefix):]))
-		if err := b.read(l, e); err != nil {
-			bad = append(bad, errors.Annotate(err, e.Key))
+		s := a.Account(bbunit.AccountID(e.Key[len(a.keyPrefix):]))
+		if err := a.applyRow(s, e); err != nil {
+			rowErrs = append(rowErrs, errors.Annotate(err, e.Key))
 		}
 	}
-	return bad
+	return rowErrs
 }
 
-func (b *Allocator) read(l *AccountShare, e bbstore.Entry) error {
-	if l.known && e.Rev < l.rev {
+func (a *Allocator) applyRow(s *AccountShare, e bbstore.Entry) error {
+	if s.rowLoaded && e.Rev < s.rev {
 		return nil // older than what is known
 	}
 	row, err := ParseRow(e.Value)
 	if err != nil {
 		return err
 	}
-	_, had := l.row.Holders[b.Holder]
-	l.row, l.rev, l.known = row, e.Rev, true
-	g, have := row.Holders[b.Holder]
-	if !have && l.ours != 0 && (had || l.unsure) {
-		l.fenced = true // closed, by this life or a later one
+	_, hadGrant := s.row.Holders[a.Holder]
+	s.row, s.rev, s.rowLoaded = row, e.Rev, true
+	grant, hasGrant := row.Holders[a.Holder]
+	if !hasGrant && s.granted != 0 && (hadGrant || s.writeUncertain) {
+		s.fenced = true // closed, by this life or a later one
 	}
-	l.unsure = false
-	if !l.fenced {
-		l.settle(g.Granted)
+	s.writeUncertain = false
+	if !s.fenced {
+		s.setGranted(grant.Granted)
 	}
 	return nil
 }
 
-// settle makes what is granted here what the row says: no earlier write can
+// setGranted makes what is granted here what the row says: no earlier write can
 // still take effect, since the row has moved on from what it expected.
-func (l *AccountShare) settle(granted bbunit.Tokens) {
-	l.Balance.avail.Add(int64(granted - l.ours))
-	l.ours = granted
+func (s *AccountShare) setGranted(granted bbunit.Tokens) {
+	s.Balance.available.Add(int64(granted - s.granted))
+	s.granted = granted
 }
 
 // Tick measures demand; it is called about once a second.
-func (b *Allocator) Tick(now time.Time) {
-	b.largest = b.largest * 95 / 100
-	for _, l := range b.lines {
-		l.tick(now)
-		b.largest = max(b.largest, l.largest)
+func (a *Allocator) Tick(now time.Time) {
+	a.largestRequest = a.largestRequest * 95 / 100
+	for _, s := range a.shares {
+		s.measureDemand(now)
+		a.largestRequest = max(a.largestRequest, s.largestRequest)
 	}
 }
 
-func (l *AccountShare) tick(now time.Time) {
-	asked := l.Balance.asked.Load()
-	if dt := now.Sub(l.lastAt).Seconds(); !l.lastAt.IsZero() && dt > 0 {
-		w := min(rateWeight*dt, 1)
-		l.rate += w * (float64(asked-l.asked)/dt - l.rate)
+func (s *AccountShare) measureDemand(now time.Time) {
+	requested := s.Balance.requested.Load()
+	if elapsed := now.Sub(s.measuredAt).Seconds(); !s.measuredAt.IsZero() && elapsed > 0 {
+		weight := min(demandSmoothing*elapsed, 1)
+		s.demand += weight * (float64(requested-s.lastRequested)/elapsed - s.demand)
 	}
-	l.asked, l.lastAt = asked, now
-	l.largest = max(l.Balance.most.Swap(0), l.largest*9/10)
+	s.lastRequested, s.measuredAt = requested, now
+	s.largestRequest = max(s.Balance.largestRequest.Swap(0), s.largestRequest*9/10)
 }
 
 // RowWrite is one write that a book asks for.
 type RowWrite struct {
-	Rows  []bbstore.Entry
-	moves []move
+	Rows    []bbstore.Entry
+	changes []grantChange
 }
 
-// move is what a write changes for one line.
-type move struct {
-	line *AccountShare
-	row  Row
-	to   bbunit.Tokens // granted
+// grantChange is what a write changes for one line.
+type grantChange struct {
+	share   *AccountShare
+	row     Row
+	granted bbunit.Tokens // granted
 }
 
 // NextWrite returns the write that is due, nil when none is. Holders is how many draw
 // from the accounts. Unless ahead, only a request that waits makes a write due;
 // it then serves the other accounts too. What the write gives back is set aside
 // at once.
-func (b *Allocator) NextWrite(holders int, ahead bool) *RowWrite {
-	type want struct {
-		l     *AccountShare
-		to    bbunit.Tokens
-		short int64
+func (a *Allocator) NextWrite(holders int, prefetch bool) *RowWrite {
+	type candidate struct {
+		s        *AccountShare
+		newGrant bbunit.Tokens
+		unmet    int64
 	}
-	var wants []want
-	for _, l := range b.lines {
-		if l.away {
+	var candidates []candidate
+	for _, s := range a.shares {
+		if s.remoteHome {
 			continue
 		}
-		unmet := l.Balance.unmet.Swap(0)
-		if to, ok := b.target(l, unmet, holders); ok {
-			wants = append(wants, want{l, to, unmet})
-			ahead = ahead || unmet > 0
+		unmet := s.Balance.unmet.Swap(0)
+		if newGrant, ok := a.targetGrant(s, unmet, holders); ok {
+			candidates = append(candidates, candidate{s, newGrant, unmet})
+			prefetch = prefetch || unmet > 0
 		}
 	}
-	if len(wants) == 0 || !ahead {
+	if len(candidates) == 0 || !prefetch {
 		return nil
 	}
-	slices.SortFunc(wants, func(a, c want) int {
-		return cmp.Or(cmp.Compare(c.short, a.short), cmp.Compare(a.l.ID, c.l.ID))
+	slices.SortFunc(candidates, func(x, y candidate) int {
+		return cmp.Or(cmp.Compare(y.unmet, x.unmet), cmp.Compare(x.s.ID, y.s.ID))
 	})
-	d := &RowWrite{}
-	for _, w := range wants[:min(len(wants), b.rule.MaxRows)] {
-		if back := w.l.ours - w.to; back > 0 {
-			w.l.ours -= bbunit.Tokens(w.l.Balance.takeUpTo(int64(back)))
-			w.to = w.l.ours
+	write := &RowWrite{}
+	for _, c := range candidates[:min(len(candidates), a.policy.MaxRows)] {
+		if surplus := c.s.granted - c.newGrant; surplus > 0 {
+			c.s.granted -= bbunit.Tokens(c.s.Balance.takeUpTo(int64(surplus)))
+			c.newGrant = c.s.granted
 		}
-		d.add(b, w.l, w.l.row.with(b.Holder, Grant{Granted: w.to, Spent: bbunit.Tokens(w.l.Balance.spent.Load())}), w.to)
+		write.add(a, c.s, c.s.row.withGrant(a.Holder, Grant{Granted: c.newGrant, Spent: bbunit.Tokens(c.s.Balance.spent.Load())}), c.newGrant)
 	}
-	return d
+	return write
 }
 
-func (d *RowWrite) add(b *Allocator, l *AccountShare, row Row, to bbunit.Tokens) {
-	d.Rows = append(d.Rows, bbstore.Entry{Key: b.prefix + string(l.ID), Value: row.Encode(), Rev: l.rev})
-	d.moves = append(d.moves, move{line: l, row: row, to: to})
+func (w *RowWrite) add(a *Allocator, s *AccountShare, row Row, granted bbunit.Tokens) {
+	w.Rows = append(w.Rows, bbstore.Entry{Key: a.keyPrefix + string(s.ID), Value: row.Encode(), Rev: s.rev})
+	w.changes = append(w.changes, grantChange{share: s, row: row, granted: granted})
 }
 
-// target returns what the line's grant should become, and whether a write is
+// targetGrant returns what the line's grant should become, and whether a write is
 // worth it.
-func (b *Allocator) target(l *AccountShare, unmet int64, holders int) (bbunit.Tokens, bool) {
-	if l.fenced || l.away || l.paid <= 0 && l.ours == 0 {
+func (a *Allocator) targetGrant(s *AccountShare, unmet int64, holders int) (bbunit.Tokens, bool) {
+	if s.fenced || s.remoteHome || s.paid <= 0 && s.granted == 0 {
 		return 0, false
 	}
-	free := max(l.Free(), 0)
-	if !l.known {
+	free := max(s.Free(), 0)
+	if !s.rowLoaded {
 		free = 0 // a write with the unknown row's revision reads it
 	}
-	share := l.rate * b.rule.Horizon.Seconds()
-	share = max(share, float64(b.largest), float64(l.paid)*b.rule.MinShare, unmetAhead*float64(unmet))
-	have := l.Balance.avail.Load()
-	share = min(share, b.part(l)*float64(free+bbunit.Tokens(max(have, 0)))*b.weight(l, holders))
-	if b.leaving || l.guest {
-		share = 0
+	desired := s.demand * a.policy.Horizon.Seconds()
+	desired = max(desired, float64(a.largestRequest), float64(s.paid)*a.policy.MinShare, unmetPrefetchFactor*float64(unmet))
+	available := s.Balance.available.Load()
+	desired = min(desired, a.maxHeldFraction(s)*float64(free+bbunit.Tokens(max(available, 0)))*a.spendingWeight(s, holders))
+	if a.draining || s.homeUnreachable {
+		desired = 0
 	}
-	goal := int64(share) + unmet
-	to := min(l.ours+bbunit.Tokens(goal-have), l.ours+free)
+	goal := int64(desired) + unmet
+	newGrant := min(s.granted+bbunit.Tokens(goal-available), s.granted+free)
 	switch {
 	case unmet > 0:
-		return to, !l.known || to > l.ours
-	case to > l.ours:
-		return to, float64(have) < b.rule.RefillBelow*share
-	case to < l.ours && l.guest:
-		return to, false
-	case to < l.ours:
-		return to, b.leaving || have > 3*goal+int64(l.largest)
+		return newGrant, !s.rowLoaded || newGrant > s.granted
+	case newGrant > s.granted:
+		return newGrant, float64(available) < a.policy.RefillBelow*desired
+	case newGrant < s.granted && s.homeUnreachable:
+		return newGrant, false
+	case newGrant < s.granted:
+		return newGrant, a.draining || available > 3*goal+int64(s.largestRequest)
 	}
-	return to, false
+	return newGrant, false
 }
 
-// part is how much of what is free all holders together may have: the less, the
+// maxHeldFraction is how much of what is free all holders together may have: the less, the
 // more kills have wasted of the account already.
-func (b *Allocator) part(l *AccountShare) float64 {
-	if l.paid <= 0 {
-		return b.rule.MaxHeld
+func (a *Allocator) maxHeldFraction(s *AccountShare) float64 {
+	if s.paid <= 0 {
+		return a.policy.MaxHeld
 	}
-	wasted := float64(l.row.Lost) / (b.rule.LossLimit * float64(l.paid))
-	return b.rule.MaxHeld * max(1-wasted, b.rule.MinScale)
+	lossRatio := float64(s.row.Lost) / (a.policy.LossLimit * float64(s.paid))
+	return a.policy.MaxHeld * max(1-lossRatio, a.policy.MinScale)
 }
 
-// weight is this instance's part of what has been spent, as the row tells.
-func (b *Allocator) weight(l *AccountShare, holders int) float64 {
-	sum := b.rule.PriorSpent * float64(l.paid)
-	prior := sum / float64(max(holders, 1))
-	for id, g := range l.row.Holders {
-		if id != b.Holder {
-			sum += float64(g.Spent)
+// spendingWeight is this instance's part of what has been spent, as the row tells.
+func (a *Allocator) spendingWeight(s *AccountShare, holders int) float64 {
+	others := a.policy.PriorSpent * float64(s.paid)
+	prior := others / float64(max(holders, 1))
+	for id, g := range s.row.Holders {
+		if id != a.Holder {
+			others += float64(g.Spent)
 		}
 	}
-	own := float64(l.Balance.spent.Load())
-	if sum+own <= 0 {
+	ownSpent := float64(s.Balance.spent.Load())
+	if others+ownSpent <= 0 {
 		return 1 / float64(max(holders, 1))
 	}
-	return (own + prior) / (sum + own)
+	return (ownSpent + prior) / (others + ownSpent)
 }
 
 // FinishWrite takes the outcome of a write: its revision, or the error and the rows
 // that the store returned with a conflict.
-func (b *Allocator) FinishWrite(d *RowWrite, rev bbstore.Revision, now []bbstore.Entry, err error) (bad []error) {
+func (a *Allocator) FinishWrite(w *RowWrite, rev bbstore.Revision, current []bbstore.Entry, err error) (rowErrs []error) {
 	switch {
 	case err == nil:
-		for _, m := range d.moves {
-			m.line.row, m.line.rev, m.line.known = m.row, rev, true
-			m.line.settle(m.to)
+		for _, c := range w.changes {
+			c.share.row, c.share.rev, c.share.rowLoaded = c.row, rev, true
+			c.share.setGranted(c.granted)
 		}
 	case errors.Is(err, bbstore.ErrConflict):
-		bad = b.ApplyRows(now)
+		rowErrs = a.ApplyRows(current)
 	default:
-		for _, m := range d.moves {
-			m.line.unsure = true
+		for _, c := range w.changes {
+			c.share.writeUncertain = true
 		}
 	}
-	return bad
+	return rowErrs
 }
 
 // Drain makes the book give back what lies unused, and draw no more than
 // requests ask for.
-func (b *Allocator) Drain() { b.leaving = true }
+func (a *Allocator) Drain() { a.draining = true }
 
 // Close returns the write that ends this holder and gives back what is unspent;
 // nil when there is nothing to end. Nothing may be reserved any more.
-func (b *Allocator) Close() *RowWrite {
-	d := &RowWrite{}
-	for _, l := range b.lines {
-		_, have := l.row.Holders[b.Holder]
-		if l.fenced || !have && l.Balance.Available() == 0 {
+func (a *Allocator) Close() *RowWrite {
+	w := &RowWrite{}
+	for _, s := range a.shares {
+		_, hasGrant := s.row.Holders[a.Holder]
+		if s.fenced || !hasGrant && s.Balance.Available() == 0 {
 			continue
 		}
-		l.ours -= bbunit.Tokens(l.Balance.takeUpTo(1 << 62))
-		d.add(b, l, l.row.without(b.Holder, l.ours), 0)
+		s.granted -= bbunit.Tokens(s.Balance.takeUpTo(1 << 62))
+		w.add(a, s, s.row.withClosed(a.Holder, s.granted), 0)
 	}
-	if len(d.Rows) == 0 {
+	if len(w.Rows) == 0 {
 		return nil
 	}
-	return d
+	return w
 }
 
 // Status is what one line holds.
@@ -360,15 +360,15 @@
 }
 
 // Status returns what each line holds, by account.
-func (b *Allocator) Status() []Status {
-	out := make([]Status, 0, len(b.lines))
-	for _, l := range b.lines {
+func (a *Allocator) Status() []Status {
+	out := make([]Status, 0, len(a.shares))
+	for _, s := range a.shares {
 		out = append(out, Status{
-			Account: l.ID, Paid: l.paid, Free: l.Free(), Available: l.Balance.Available(),
-			Spent: bbunit.Tokens(l.Balance.spent.Load()), Rate: bbunit.Tokens(l.rate),
-			Lent: l.lent, Granted: l.ours, Closed: l.row.Closed,
+			Account: s.ID, Paid: s.paid, Free: s.Free(), Available: s.Balance.Available(),
+			Spent: bbunit.Tokens(s.Balance.spent.Load()), Rate: bbunit.Tokens(s.demand),
+			Lent: s.lent, Granted: s.granted, Closed: s.row.Closed,
 		})
 	}
-	slices.SortFunc(out, func(a, c Status) int { return cmp.Compare(a.Account, c.Account) })
+	slices.SortFunc(out, func(x, y Status) int { return cmp.Compare(x.Account, y.Account) })
 	return out
 }
--- a/shared/bbshare/balance.go
+++ b/shared/bbshare/balance.go
@@ -14,56 +14,56 @@
 // Balance is what one instance may spend of one account. Reserve and End take no
 // lock and may be called at once. The zero value is empty.
 type Balance struct {
-	avail atomic.Int64 // granted here, neither spent nor set aside
-	spent atomic.Int64 // of requests that ended
-	asked atomic.Int64 // all that requests asked for
-	unmet atomic.Int64 // asked for in vain since the last draw
-	most  atomic.Int64 // largest request since the last draw
+	available      atomic.Int64 // granted here, neither spent nor set aside
+	spent          atomic.Int64 // of requests that ended
+	requested      atomic.Int64 // all that requests asked for
+	unmet          atomic.Int64 // asked for in vain since the last draw
+	largestRequest atomic.Int64 // largest request since the last draw
 }
 
 // Reserve sets n aside, or notes that it could not.
-func (p *Balance) Reserve(n bbunit.Tokens) bool {
-	if int64(n) > p.most.Load() {
-		p.most.Store(int64(n))
+func (b *Balance) Reserve(n bbunit.Tokens) bool {
+	if int64(n) > b.largestRequest.Load() {
+		b.largestRequest.Store(int64(n))
 	}
-	if p.take(int64(n)) {
-		p.asked.Add(int64(n))
+	if b.take(int64(n)) {
+		b.requested.Add(int64(n))
 		return true
 	}
-	p.unmet.Add(int64(n))
+	b.unmet.Add(int64(n))
 	return false
 }
 
 // Settle ends a reservation of n of which used was spent.
-func (p *Balance) Settle(n, used bbunit.Tokens) {
-	used = min(max(used, 0), n)
-	p.spent.Add(int64(used))
-	p.avail.Add(int64(n - used))
+func (b *Balance) Settle(reserved, used bbunit.Tokens) {
+	used = min(max(used, 0), reserved)
+	b.spent.Add(int64(used))
+	b.available.Add(int64(reserved - used))
 }
 
 // Available returns what may be set aside now.
-func (p *Balance) Available() bbunit.Tokens { return bbunit.Tokens(p.avail.Load()) }
+func (b *Balance) Available() bbunit.Tokens { return bbunit.Tokens(b.available.Load()) }
 
 // take removes n from what is available if there is that much.
-func (p *Balance) take(n int64) bool {
+func (b *Balance) take(n int64) bool {
 	for {
-		have := p.avail.Load()
-		if have < n {
+		available := b.available.Load()
+		if available < n {
 			return false
 		}
-		if p.avail.CompareAndSwap(have, have-n) {
+		if b.available.CompareAndSwap(available, available-n) {
 			return true
 		}
 	}
 }
 
 // takeUpTo removes at most n and returns how much.
-func (p *Balance) takeUpTo(n int64) int64 {
+func (b *Balance) takeUpTo(n int64) int64 {
 	for {
-		have := p.avail.Load()
-		part := max(min(have, n), 0)
-		if part == 0 || p.avail.CompareAndSwap(have, have-part) {
-			return part
+		available := b.available.Load()
+		taken := max(min(available, n), 0)
+		if taken == 0 || b.available.CompareAndSwap(available, available-taken) {
+			return taken
 		}
 	}
 }
--- a/shared/bbshare/home.go
+++ b/shared/bbshare/home.go
@@ -24,13 +24,13 @@
 // SetHome tells where the home of an account is: here, or at another instance,
 // which can be reached or not. While it can, nothing is drawn for the account
 // here; while it cannot, only what requests need.
-func (b *Allocator) SetHome(id bbunit.AccountID, here, reached bool) {
-	l := b.Account(id)
-	l.away, l.guest = !here && reached, !here && !reached
+func (a *Allocator) SetHome(id bbunit.AccountID, local, reachable bool) {
+	s := a.Account(id)
+	s.remoteHome, s.homeUnreachable = !local && reachable, !local && !reachable
 }
 
 // UsesRemoteHome tells whether the account has its home elsewhere.
-func (l *AccountShare) UsesRemoteHome() bool { return l.away }
+func (s *AccountShare) UsesRemoteHome() bool { return s.remoteHome }
 
 // LoanRequest is what an instance asks of an account's home.
 type LoanRequest struct {
@@ -41,58 +41,58 @@
 
 // LoanRequests returns what is to be borrowed from homes. Instances is how many share the
 // accounts.
-func (b *Allocator) LoanRequests(rule HomePolicy, instances int) []LoanRequest {
+func (a *Allocator) LoanRequests(policy HomePolicy, instances int) []LoanRequest {
 	var out []LoanRequest
-	for _, l := range b.lines {
-		if !l.away || l.paid <= 0 {
+	for _, s := range a.shares {
+		if !s.remoteHome || s.paid <= 0 {
 			continue
 		}
-		unmet := l.Balance.unmet.Swap(0)
-		have := l.Balance.avail.Load()
-		share := 0.0
-		if !b.leaving {
-			share = b.memberShare(l, rule, instances)
+		unmet := s.Balance.unmet.Swap(0)
+		available := s.Balance.available.Load()
+		target := 0.0
+		if !a.draining {
+			target = a.memberTarget(s, policy, instances)
 		}
-		if unmet > 0 || float64(have) < rule.RefillBelow*share {
-			out = append(out, LoanRequest{Account: l.ID, Need: bbunit.Tokens(unmet), Prefetch: bbunit.Tokens(max(int64(share)-have, 0))})
+		if unmet > 0 || float64(available) < policy.RefillBelow*target {
+			out = append(out, LoanRequest{Account: s.ID, Need: bbunit.Tokens(unmet), Prefetch: bbunit.Tokens(max(int64(target)-available, 0))})
 		}
 	}
 	return out
 }
 
-// memberShare is what an instance that is not the home wants to have: its demand
+// memberTarget is what an instance that is not the home wants to have: its demand
 // for a while, bounded by its part of what is free.
-func (b *Allocator) memberShare(l *AccountShare, rule HomePolicy, instances int) float64 {
-	share := l.rate * rule.Horizon.Seconds()
-	if l.rate > 0 {
-		share = max(share, float64(l.largest))
+func (a *Allocator) memberTarget(s *AccountShare, policy HomePolicy, instances int) float64 {
+	desired := s.demand * policy.Horizon.Seconds()
+	if s.demand > 0 {
+		desired = max(desired, float64(s.largestRequest))
 	}
-	prior := b.rule.PriorSpent * float64(l.paid)
-	own := float64(l.Balance.spent.Load())
-	all := max(float64(l.paid-l.left), own) + prior
-	if all <= 0 {
+	prior := a.policy.PriorSpent * float64(s.paid)
+	ownSpent := float64(s.Balance.spent.Load())
+	allSpent := max(float64(s.paid-s.homeFree), ownSpent) + prior
+	if allSpent <= 0 {
 		return 0
 	}
-	return min(share, b.rule.MaxHeld*float64(l.left)*(own+prior/float64(max(instances, 1)))/all)
+	return min(desired, a.policy.MaxHeld*float64(s.homeFree)*(ownSpent+prior/float64(max(instances, 1)))/allSpent)
 }
 
 // SetHomeFree takes what the home tells of an account: how much no holder has been
 // granted.
-func (l *AccountShare) SetHomeFree(left bbunit.Tokens) { l.left = left }
+func (s *AccountShare) SetHomeFree(free bbunit.Tokens) { s.homeFree = free }
 
 // GrantLoan gives a member what it asks for, as far as it is available: the need
 // whole, what is ahead only up to a part of the rest. A need that cannot be met
 // is counted as asked for, so that the next draw brings it.
-func (l *AccountShare) GrantLoan(a LoanRequest) bbunit.Tokens {
-	given := l.LendUpTo(a.Need)
-	if rest := l.Balance.Available(); given == a.Need && rest > 0 {
-		given += l.LendUpTo(min(a.Prefetch, rest*lendPart/100))
+func (s *AccountShare) GrantLoan(req LoanRequest) bbunit.Tokens {
+	lent := s.LendUpTo(req.Need)
+	if available := s.Balance.Available(); lent == req.Need && available > 0 {
+		lent += s.LendUpTo(min(req.Prefetch, available*maxPrefetchPercent/100))
 	}
-	l.Balance.asked.Add(int64(given))
-	l.Balance.unmet.Add(int64(max(a.Need-given, 0)))
-	return given
+	s.Balance.requested.Add(int64(lent))
+	s.Balance.unmet.Add(int64(max(req.Need-lent, 0)))
+	return lent
 }
 
-// lendPart is the part of a home's purse that one loan ahead of need may take, in
+// maxPrefetchPercent is the part of a home's purse that one loan ahead of need may take, in
 // percent.
-const lendPart = 80
+const maxPrefetchPercent = 80
--- a/shared/bbshare/loan.go
+++ b/shared/bbshare/loan.go
@@ -13,35 +13,37 @@
 // on its way stays counted as spent.
 
 // LendUpTo takes up to n out of what is available here, and returns how much.
-func (l *AccountShare) LendUpTo(n bbunit.Tokens) bbunit.Tokens {
-	part := l.Balance.takeUpTo(int64(n))
-	l.Balance.spent.Add(part)
-	l.lent += bbunit.Tokens(part)
-	return bbunit.Tokens(part)
+func (s *AccountShare) LendUpTo(n bbunit.Tokens) bbunit.Tokens {
+	taken := s.Balance.takeUpTo(int64(n))
+	s.Balance.spent.Add(taken)
+	s.lent += bbunit.Tokens(taken)
+	return bbunit.Tokens(taken)
 }
 
 // AddLoan adds what another holder has lent. It must be called once for a loan.
-func (l *AccountShare) AddLoan(n bbunit.Tokens) {
-	l.Balance.avail.Add(int64(n))
+func (s *AccountShare) AddLoan(n bbunit.Tokens) {
+	s.Balance.available.Add(int64(n))
 }
 
 // Lenders returns the addresses of other holders that may have something left,
 // those with most first.
-func (l *AccountShare) Lenders(holder bbunit.HolderID) []bbunit.InstanceID {
-	type left struct {
-		at bbunit.InstanceID
-		n  bbunit.Tokens
+func (s *AccountShare) Lenders(holder bbunit.HolderID) []bbunit.InstanceID {
+	type lender struct {
+		address bbunit.InstanceID
+		unspent bbunit.Tokens
 	}
-	var all []left
-	for id, g := range l.row.Holders {
-		if n := g.Granted - g.Spent; id != holder && n > 0 && addressOf(id) != "" {
-			all = append(all, left{addressOf(id), n})
+	var lenders []lender
+	for id, g := range s.row.Holders {
+		if unspent := g.Granted - g.Spent; id != holder && unspent > 0 && addressOf(id) != "" {
+			lenders = append(lenders, lender{addressOf(id), unspent})
 		}
 	}
-	slices.SortFunc(all, func(a, b left) int { return cmp.Or(cmp.Compare(b.n, a.n), cmp.Compare(a.at, b.at)) })
-	out := make([]bbunit.InstanceID, len(all))
-	for i, a := range all {
-		out[i] = a.at
+	slices.SortFunc(lenders, func(x, y lender) int {
+		return cmp.Or(cmp.Compare(y.unspent, x.unspent), cmp.Compare(x.address, y.address))
+	})
+	addresses := make([]bbunit.InstanceID, len(lenders))
+	for i, x := range lenders {
+		addresses[i] = x.address
 	}
-	return out
+	return addresses
 }
--- a/shared/bbshare/row.go
+++ b/shared/bbshare/row.go
@@ -75,9 +75,9 @@
 	return sum
 }
 
-// with returns a copy in which the holder has the grant, and earlier lives of
+// withGrant returns a copy in which the holder has the grant, and earlier lives of
 // its instance are closed at all that they were granted.
-func (r Row) with(id bbunit.HolderID, g Grant) Row {
+func (r Row) withGrant(id bbunit.HolderID, g Grant) Row {
 	next := Row{Closed: r.Closed, Lost: r.Lost, Holders: maps.Clone(r.Holders)}
 	if next.Holders == nil {
 		next.Holders = map[bbunit.HolderID]Grant{}
@@ -93,9 +93,9 @@
 	return next
 }
 
-// without returns a copy in which the holder is closed at what it has spent.
-func (r Row) without(id bbunit.HolderID, spent bbunit.Tokens) Row {
-	next := r.with(id, Grant{})
+// withClosed returns a copy in which the holder is closed at what it has spent.
+func (r Row) withClosed(id bbunit.HolderID, spent bbunit.Tokens) Row {
+	next := r.withGrant(id, Grant{})
 	delete(next.Holders, id)
 	next.Closed += spent
 	return next
@@ -103,8 +103,8 @@
 
 // NewHolderID returns the id of one life of an instance, which its peers reach at
 // an address.
-func NewHolderID(instance, address bbunit.InstanceID, life string) bbunit.HolderID {
-	return bbunit.HolderID(string(instance) + "@" + string(address) + "/" + life)
+func NewHolderID(instance, address bbunit.InstanceID, incarnation string) bbunit.HolderID {
+	return bbunit.HolderID(string(instance) + "@" + string(address) + "/" + incarnation)
 }
 
 // addressOf returns where the peers of a holder reach it.
