--- a/bluebellport/src/options.go
+++ b/bluebellport/src/options.go
@@ -340,7 +340,7 @@
 	return bbroute.PoisonPolicy{CrashThreshold: o.PoisonCrashes, SuspectTTL: suspectKeep, MaxFingerprints: poisonsMost}
 }
 
-// badAddress is bbcli.BadAddress for a value that may be left out.
+// badAddress is bbcli.CheckAddress for a value that may be left out.
 func badAddress(flag, v string, needed bool) []string {
 	if v == "" && !needed {
 		return nil
--- a/shared/bbcli/check.go
+++ b/shared/bbcli/check.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// CheckAddress returns a line when the flag's value is not host:port.
+// CheckAddress returns an error message if the value of the flag is not host:port.
 func CheckAddress(flag, value string) []string {
 	if _, _, err := net.SplitHostPort(value); err != nil {
 		return []string{fmt.Sprintf("%s: not host:port: %q", flag, value)}
@@ -14,7 +14,7 @@
 	return nil
 }
 
-// CheckDuration returns a line when the flag's value is not above zero.
+// CheckDuration returns an error message if the value of the flag is not positive.
 func CheckDuration(flag string, d time.Duration) []string {
 	if d <= 0 {
 		return []string{fmt.Sprintf("%s: must be above 0, is %s", flag, d)}
--- a/shared/bbcli/parse.go
+++ b/shared/bbcli/parse.go
@@ -1,5 +1,5 @@
-// Package bbcli parses the command lines of the programs and names every bad
-// setting at once.
+// Package bbcli parses the command lines of the programs. It reports all invalid
+// flags at once instead of only the first.
 package bbcli
 
 import (
@@ -20,11 +20,11 @@
 	ExitUsage  = 2
 )
 
-// exitCode stops kingpin where it would end the process.
+// exitCode is the panic value that unwinds kingpin where it would end the process.
 type exitCode int
 
-// New returns an application of that name with version, help, shell completion
-// and man page.
+// New returns an application with the flags for version, help, shell completion and
+// man page.
 func New(name, help string, stdout, stderr io.Writer) *kingpin.Application {
 	app := kingpin.New(name, help)
 	app.Version(bbunit.Version)
@@ -33,10 +33,10 @@
 	return app
 }
 
-// Parse parses the arguments. It returns the command chosen, or false with the
-// exit code when there is nothing to run: help was asked for, or the input is
-// bad and each fault has been printed. Check returns a line for each bad value
-// among all settings, beginning with its flag.
+// Parse parses the arguments and returns the selected command. If there is nothing
+// to run, it returns false and the exit code: help or version was printed, or the
+// arguments are invalid and all errors were printed to stderr. Check returns a
+// message for each invalid value of the parsed flags, in the form "--flag: text".
 func Parse(app *kingpin.Application, args []string, stderr io.Writer, check func() []string) (command string, code int, ok bool) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -63,14 +63,15 @@
 	return "", ExitUsage, false
 }
 
-// mergeErrors adds the checked faults of flags that no parse fault names already.
+// mergeErrors appends the check errors of those flags that have no parse error. It
+// drops all check errors if the command line as a whole could not be parsed.
 func mergeErrors(parseErrors, checkErrors []string) []string {
 	reported := map[string]bool{}
 	for _, line := range parseErrors {
 		flag, _, found := strings.Cut(line, ":")
 		reported[flag] = true
 		if !found || !strings.HasPrefix(flag, "--") {
-			return parseErrors // the line was not understood; its settings mean nothing
+			return parseErrors // not parsed as a whole, so the checked values mean nothing
 		}
 	}
 	for _, line := range checkErrors {
@@ -81,8 +82,8 @@
 	return parseErrors
 }
 
-// flagErrors finds every flag whose value cannot be read, after kingpin stopped at
-// the first.
+// flagErrors returns a message for every flag with an invalid value, whereas err,
+// from kingpin, covers only the first. Other errors are returned as they are.
 func flagErrors(app *kingpin.Application, args []string, err error) []string {
 	if err == nil {
 		return nil
@@ -112,8 +113,8 @@
 	return messages
 }
 
-// flagValues is where a flag's value comes from: the command line, the environment
-// or its default.
+// flagValues returns the values of a flag: from the command line, else from the
+// environment variable, else the default.
 func flagValues(f *kingpin.FlagModel, given []string) []string {
 	if len(given) > 0 {
 		return given
--- a/shared/bbcli/parse_test.go
+++ b/shared/bbcli/parse_test.go
@@ -18,14 +18,14 @@
 	run.Flag("wait", "Wait.").Envar("BBCLI_TEST_WAIT").Default("1s").DurationVar(&d)
 	run.Flag("count", "Count.").Default("1").IntVar(&n)
 	return app, func() []string {
-		var bad []string
+		var messages []string
 		if d <= 0 {
-			bad = append(bad, fmt.Sprintf("--wait: must be above 0, is %s", d))
+			messages = append(messages, fmt.Sprintf("--wait: must be above 0, is %s", d))
 		}
 		if n <= 0 {
-			bad = append(bad, fmt.Sprintf("--count: must be above 0, is %d", n))
+			messages = append(messages, fmt.Sprintf("--count: must be above 0, is %d", n))
 		}
-		return bad
+		return messages
 	}
 }
 
@@ -37,13 +37,13 @@
 		code int
 		ok   bool
 	}{
-		"good":      {[]string{"run", "--wait", "2s"}, "", "", ExitOK, true},
-		"two":       {[]string{"run", "--wait", "soon", "--count", "many"}, "", "prog: --wait: \"soon\": invalid duration \"soon\"\nprog: --count: \"many\": strconv.ParseFloat: parsing \"many\": invalid syntax\n", ExitUsage, false},
-		"mixed":     {[]string{"run", "--wait", "soon", "--count=-1"}, "", "prog: --wait: \"soon\": invalid duration \"soon\"\nprog: --count: must be above 0, is -1\n", ExitUsage, false},
-		"env":       {[]string{"run"}, "never", "prog: --wait: \"never\": invalid duration \"never\"\n", ExitUsage, false},
-		"unknown":   {[]string{"run", "--colour"}, "", "prog: unknown long flag '--colour'\n", ExitUsage, false},
-		"nothing":   {nil, "", "", ExitUsage, false},
-		"with-help": {[]string{"run", "--help"}, "", "", ExitOK, false},
+		"valid":                          {[]string{"run", "--wait", "2s"}, "", "", ExitOK, true},
+		"two-invalid-values":             {[]string{"run", "--wait", "soon", "--count", "many"}, "", "prog: --wait: \"soon\": invalid duration \"soon\"\nprog: --count: \"many\": strconv.ParseFloat: parsing \"many\": invalid syntax\n", ExitUsage, false},
+		"invalid-value-and-failed-check": {[]string{"run", "--wait", "soon", "--count=-1"}, "", "prog: --wait: \"soon\": invalid duration \"soon\"\nprog: --count: must be above 0, is -1\n", ExitUsage, false},
+		"invalid-environment-variable":   {[]string{"run"}, "never", "prog: --wait: \"never\": invalid duration \"never\"\n", ExitUsage, false},
+		"unknown-flag":                   {[]string{"run", "--colour"}, "", "prog: unknown long flag '--colour'\n", ExitUsage, false},
+		"no-arguments":                   {nil, "", "", ExitUsage, false},
+		"help":                           {[]string{"run", "--help"}, "", "", ExitOK, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/shared/bbclock/wait.go
+++ b/shared/bbclock/wait.go
@@ -1,4 +1,4 @@
-// Package bbclock waits.
+// Package bbclock provides waits that end with a context.
 package bbclock
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Wait waits for d, or until ctx ends; then it returns false.
+// Wait waits for d and returns true, or returns false as soon as ctx is done.
 func Wait(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/shared/bblog/writer.go
+++ b/shared/bblog/writer.go
@@ -1,6 +1,6 @@
-// Package bblog writes log lines without ever holding up who logs: lines wait in
-// a bounded queue, and what does not fit, or is above the budget of lines a
-// second, is dropped, counted and told.
+// Package bblog provides a log output that never blocks the caller. Lines wait in a
+// bounded queue. Lines that exceed the queue or the rate limit are dropped, and the
+// number of dropped lines is logged.
 package bblog
 
 import (
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxQueuedLines is how many lines wait for a slow reader.
+	// maxQueuedLines is how many lines can wait for a slow output.
 	maxQueuedLines = 1024
-	// dropReportInterval is the time between two lines that tell what was dropped.
+	// dropReportInterval is the least time between two log lines about dropped lines.
 	dropReportInterval = time.Second
 )
 
@@ -28,9 +28,9 @@
 	done    chan struct{}
 }
 
-// NewWriter returns a writer of at most so many lines a second, with bursts of
-// twice as many, and a function that writes what waits, for at most the given
-// time, and ends it.
+// NewWriter returns a writer to out with a rate limit in lines per second; bursts
+// may have twice as many lines. The returned function closes the writer: it writes
+// the queued lines, for at most the timeout. Nothing may be written after that.
 func NewWriter(out io.Writer, linesPerSecond float64) (*Writer, func(timeout time.Duration)) {
 	w := &Writer{
 		out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}),
@@ -40,7 +40,7 @@
 	return w, w.close
 }
 
-// Write queues one line. It does not block, and always says that it wrote.
+// Write queues one line, or drops it. It never blocks and always reports success.
 func (w *Writer) Write(line []byte) (int, error) {
 	if !w.limiter.Allow() {
 		w.dropped.Add(1)
@@ -61,7 +61,7 @@
 	defer close(w.done)
 	reported, reportedAt := int64(0), time.Now()
 	for line := range w.lines {
-		_, _ = w.out.Write(line) // there is nobody to tell of a log that is gone
+		_, _ = w.out.Write(line) // a failed log output cannot be logged
 		if dropped := w.dropped.Load(); dropped > reported && time.Since(reportedAt) > dropReportInterval {
 			_, _ = fmt.Fprintf(w.out, "{\"level\":\"warning\",\"event\":\"log-dropped\",\"lines\":%d}\n", dropped-reported)
 			reported, reportedAt = dropped, time.Now()
--- a/shared/bblog/writer_test.go
+++ b/shared/bblog/writer_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// A reader that stops reading holds nobody up.
+// Write must not block while nobody reads the output.
 func TestBlockedReader(t *testing.T) {
 	is := is.New(t)
 	r, out := io.Pipe()
@@ -27,7 +27,7 @@
 	closeWriter(10 * time.Millisecond)
 }
 
-// Above its budget lines are dropped, counted and told.
+// Lines above the rate limit must be dropped and counted.
 func TestRateLimit(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
--- a/shared/bbplace/place.go
+++ b/shared/bbplace/place.go
@@ -1,7 +1,7 @@
-// Package bbplace decides which target of a service gets a request, from what
-// this instance has in flight, what targets last told of their load, and where
-// the shared parts of the prompt are cached. It keeps no clock and does no input
-// or output; choosing takes no lock.
+// Package bbplace chooses the target of a request among the targets of a service.
+// It considers the requests that this instance has in flight, the last load reports
+// and failures of the targets, and where the shared prefix of the prompt is cached.
+// The package reads no clock and does no I/O. Choosing takes no lock.
 package bbplace
 
 import (
@@ -17,64 +17,71 @@
 )
 
 const (
-	// reportMaxAge is how long a report of load is of use.
+	// reportMaxAge is the age at which a load report is no longer used. Its weight
+	// falls linearly to 0 until then.
 	reportMaxAge = 1500 * time.Millisecond
-	// otherDomainCost is what it costs to leave the failure domain.
+	// otherDomainCost is the cost of a target in another failure domain.
 	otherDomainCost = 3 * time.Millisecond
-	// fullLoadCost is what a target with all slots taken costs more than an empty
-	// one.
+	// fullLoadCost is the cost of a target whose slots are all in use. It scales
+	// linearly with the load.
 	fullLoadCost = 60 * time.Millisecond
-	// failureCost is the cost of a target all of whose answers fail.
+	// failureCost is the cost of a target whose answers all fail. It scales linearly
+	// with the failure rate.
 	failureCost = 250 * time.Millisecond
-	// maxJitter bounds the part of chance in a cost, which keeps instances that
-	// know the same from all choosing the same target.
+	// maxJitter bounds the random part of a cost, which keeps instances with the
+	// same load reports from all choosing the same target.
 	maxJitter = 2 * time.Millisecond
-	// failureSmoothing is how far one result moves the mean of failures.
+	// failureSmoothing is the weight of one result in the moving average of
+	// failures.
 	failureSmoothing = 0.15
-	// maxLoad is the load above which a target gets nothing, in parts of its slots.
+	// maxLoad is the load from which a target gets no more requests, as a multiple of
+	// its slots.
 	maxLoad = 1.6
-	// defaultSlots is for targets that name none.
+	// defaultSlots is assumed for targets that state no number of slots.
 	defaultSlots = 8
-	// prefillTokensPerMilli is how many tokens of a prompt an engine reads in a
-	// millisecond.
+	// prefillTokensPerMilli is the assumed number of prompt tokens that an engine
+	// processes per millisecond.
 	prefillTokensPerMilli = 140
 )
 
-// TargetState is what one instance knows of a target. The zero value knows nothing.
+// TargetState is what one instance has observed of a target. It is safe for
+// concurrent use. The zero value has no observations.
 type TargetState struct {
 	Circuit      bbroute.Circuit
 	inFlight     atomic.Int64
 	lastReport   atomic.Pointer[loadReport]
-	failureRate  atomic.Uint64 // bits of the mean of failures, 0 to 1
-	backOffUntil atomic.Int64  // gets nothing until, in ns of the steady clock
-	prefillUntil atomic.Int64  // reads prompts until, in ns of the steady clock
+	failureRate  atomic.Uint64 // float64 bits of the moving average, 0 to 1
+	backOffUntil atomic.Int64  // Unix ns of the caller's steady clock
+	prefillUntil atomic.Int64  // estimated end of queued prefills, on the same clock
 }
 
+// loadReport is a load report of a target.
 type loadReport struct {
 	running, waiting, slots int
-	ownInFlight             int64 // in flight from here when it was made
+	ownInFlight             int64 // requests of this instance in flight at receivedAt
 	receivedAt              time.Time
 }
 
-// Begin counts a request in flight; End takes it away.
+// Begin counts a request as in flight until End.
 func (s *TargetState) Begin() { s.inFlight.Add(1) }
 
-// End takes away what Begin counted.
+// End ends a request that Begin counted.
 func (s *TargetState) End() { s.inFlight.Add(-1) }
 
-// InFlight returns how many requests of this instance the target has.
+// InFlight returns the number of this instance's requests in flight at the target.
 func (s *TargetState) InFlight() int { return int(s.inFlight.Load()) }
 
-// ReportLoad takes what a target tells of its load.
+// ReportLoad records a load report of the target: requests running, requests
+// waiting, and slots (0 if the target does not state them).
 func (s *TargetState) ReportLoad(running, waiting, slots int, now time.Time) {
 	s.lastReport.Store(&loadReport{running: running, waiting: waiting, slots: slots, ownInFlight: s.inFlight.Load(), receivedAt: now})
 }
 
-// BackOffUntil keeps requests away until a time.
+// BackOffUntil excludes the target until the given time.
 func (s *TargetState) BackOffUntil(until time.Time) { s.backOffUntil.Store(until.UnixNano()) }
 
-// AddPrefill notes that the target has been sent a prompt of which it has to read
-// that many tokens.
+// AddPrefill records that the target has been sent a prompt of which it must
+// process n tokens, those not in its cache.
 func (s *TargetState) AddPrefill(n bbunit.Tokens, now time.Time) {
 	duration := int64(prefillTime(n))
 	for {
@@ -85,17 +92,18 @@
 	}
 }
 
-// prefillTime is how long an engine reads that many tokens of a prompt.
+// prefillTime returns how long an engine takes to process n prompt tokens.
 func prefillTime(n bbunit.Tokens) time.Duration {
 	return time.Duration(n) * time.Millisecond / prefillTokensPerMilli
 }
 
-// prefillBacklog is how long the target is still thought to read prompts.
+// prefillBacklog returns how long the target is estimated to be busy with the
+// prompts already sent.
 func (s *TargetState) prefillBacklog(now time.Time) time.Duration {
 	return max(time.Duration(s.prefillUntil.Load()-now.UnixNano()), 0)
 }
 
-// RecordResult notes whether a request that the target took ended well.
+// RecordResult records whether a request that the target accepted succeeded.
 func (s *TargetState) RecordResult(ok bool) {
 	result := 0.0
 	if !ok {
@@ -110,14 +118,14 @@
 	}
 }
 
-// Target is one target with what is known of it.
+// Target is a target and its observed state.
 type Target struct {
 	bbplan.Target
 	State *TargetState
 }
 
-// load returns the requests that the target is thought to have, in parts of its
-// slots.
+// load returns the estimated number of requests at the target, as a multiple of its
+// slots: those of this instance plus those of others from the last report.
 func (t *Target) load(now time.Time) float64 {
 	own := float64(t.State.inFlight.Load())
 	slots := t.Slots
@@ -137,34 +145,36 @@
 	return (own + others) / float64(slots)
 }
 
-// Request is what a request asks of a placement.
+// Request holds the properties of a request that matter for the choice.
 type Request struct {
 	Domain bbunit.DomainID
-	// PromptHash is a hash of the parts that the prompt shares with others; 0 for
-	// none. Shared is how many tokens they have, of Tokens in all.
+	// PromptHash is the hash of the prefix that the prompt shares with other
+	// prompts, 0 for none. The prefix has SharedTokens tokens, the whole prompt
+	// PromptTokens.
 	PromptHash                 uint64
 	SharedTokens, PromptTokens bbunit.Tokens
-	// Excluded are targets that are not to be used again.
+	// Excluded lists targets that must not be used, such as those already tried.
 	Excluded []bbunit.TargetID
-	// Random breaks ties.
+	// Random seeds the random part of the costs.
 	Random uint64
 }
 
-// Reason tells why no target was chosen.
+// Reason is why no target was chosen.
 type Reason int
 
-// Reasons for no target.
+// Reasons why no target was chosen.
 const (
-	// ReasonNoneUsable means that no usable target is known.
+	// ReasonNoneUsable means that every target is leaving, excluded, backing off or
+	// behind an open circuit breaker.
 	ReasonNoneUsable Reason = iota
-	// ReasonAllFull means that all usable ones have as much as they may have.
+	// ReasonAllFull means that all usable targets have reached maxLoad.
 	ReasonAllFull
 )
 
-// Choose returns the index of the target with the least cost, or -1 and why. The
-// cost is a time: how long the target still reads other prompts, how long it
-// would read this one, and what its load, its failures and its failure domain
-// are counted as.
+// Choose returns the index of the target with the lowest cost, or -1 and the reason
+// if there is none. The cost is a duration: the time until the target has processed
+// the prompts already sent, the time to process this one, and penalties for its
+// load, its failures and another failure domain.
 func Choose(targets []*Target, req *Request, now time.Time) (int, Reason) {
 	cached := cacheTarget(targets, req, now)
 	best, minCost := -1, time.Duration(math.MaxInt64)
@@ -191,8 +201,8 @@
 	return best, reason
 }
 
-// UncachedTokens returns how many tokens of the prompt a target has to read, which is
-// the prompt's home or not.
+// UncachedTokens returns how many tokens of the prompt a target must process, given
+// whether it has the shared prefix cached.
 func (r *Request) UncachedTokens(cached bool) bbunit.Tokens {
 	if cached {
 		return r.PromptTokens - r.SharedTokens
@@ -200,12 +210,14 @@
 	return r.PromptTokens
 }
 
-// IsCacheTarget tells whether a target is where the prompt's shared parts are kept.
+// IsCacheTarget reports whether the target at index i is the one that caches the
+// shared prefix of the prompt.
 func IsCacheTarget(targets []*Target, i int, req *Request, now time.Time) bool {
 	return i >= 0 && cacheTarget(targets, req, now) == i
 }
 
-// cacheTarget returns the index of the target that a prompt hashes to, -1 for none.
+// cacheTarget returns the index of the target that caches the shared prefix of the
+// prompt, chosen by rendezvous hashing, or -1 if there is none.
 func cacheTarget(targets []*Target, req *Request, now time.Time) int {
 	best, maxHash := -1, uint64(0)
 	if req.PromptHash == 0 {
@@ -222,6 +234,7 @@
 	return best
 }
 
+// usable reports whether a target may get the request, apart from its load.
 func usable(t *Target, req *Request, now time.Time) bool {
 	if t.Leaving || !t.State.Circuit.Usable(now) || now.UnixNano() < t.State.backOffUntil.Load() {
 		return false
@@ -234,7 +247,7 @@
 	return true
 }
 
-// splitmix64 mixes the bits of x (splitmix64).
+// splitmix64 returns the output of the SplitMix64 generator at state x.
 func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/shared/bbplace/place_test.go
+++ b/shared/bbplace/place_test.go
@@ -24,7 +24,7 @@
 	return out
 }
 
-// Targets that are leaving, tried, busy or failing get nothing.
+// Targets that are leaving, already tried, backing off or full get no requests.
 func TestExcludedTargets(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -32,8 +32,8 @@
 		reason Reason
 	}{
 		{"leaving", func(target *Target, _ *Request) { target.Leaving = true }, ReasonNoneUsable},
-		{"tried", func(target *Target, req *Request) { req.Excluded = append(req.Excluded, target.ID) }, ReasonNoneUsable},
-		{"busy", func(target *Target, _ *Request) { target.State.BackOffUntil(start.Add(time.Second)) }, ReasonNoneUsable},
+		{"already tried", func(target *Target, req *Request) { req.Excluded = append(req.Excluded, target.ID) }, ReasonNoneUsable},
+		{"backing off", func(target *Target, _ *Request) { target.State.BackOffUntil(start.Add(time.Second)) }, ReasonNoneUsable},
 		{"full", func(target *Target, _ *Request) { target.State.ReportLoad(100, 10, 64, start) }, ReasonAllFull},
 	}
 	for _, c := range cases {
@@ -55,9 +55,9 @@
 	}
 }
 
-// The load: prompts of 20,000 tokens come four at a time at an instance whose nine
-// targets report nothing. None of them waits behind another, so that no stream
-// beside them pauses for two.
+// Four prompts of 20,000 tokens at a time must go to four different targets, even
+// if the nine targets send no load reports. A target that processes two of them in
+// a row pauses its other streams for both.
 func TestLargePromptsSpread(t *testing.T) {
 	is := is.New(t)
 	targets := newTargets(9)
@@ -75,8 +75,8 @@
 	}
 }
 
-// The load: requests that share 5,000 of 6,000 tokens. They meet where these are
-// kept, until that target reads so much that another would be sooner.
+// Requests that share 5,000 of 6,000 prompt tokens must go to the target that
+// caches them, until its prefill backlog makes another target faster.
 func TestSharedPromptsUseOneTarget(t *testing.T) {
 	is := is.New(t)
 	targets := newTargets(9)
@@ -93,7 +93,8 @@
 	is.True(i != first)
 }
 
-// A target half of whose answers fail is left to others while they are good.
+// A target that fails every second request must get none while the other targets
+// succeed.
 func TestFailingTarget(t *testing.T) {
 	is := is.New(t)
 	targets := newTargets(3)
--- a/shared/bbplan/plan.go
+++ b/shared/bbplan/plan.go
@@ -1,5 +1,6 @@
-// Package bbplan holds what the operators have declared: routes, services,
-// client accounts and limits, as one immutable state with a version.
+// Package bbplan holds the configuration that operators have declared: routes,
+// services, client accounts and limits, as one immutable plan with a version. It
+// also holds the targets.
 package bbplan
 
 import (
@@ -9,13 +10,14 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Version orders the states that operators declare.
+// Version is the version of a plan; later plans have higher versions.
 type Version int64
 
 // RouteID names a route.
 type RouteID string
 
-// Kind tells how a request may be repeated and how its answer comes.
+// Kind is the kind of requests of a route: whether they may be repeated, and how
+// the answer is sent.
 type Kind int
 
 // Kinds of requests.
@@ -24,93 +26,96 @@
 	KindNonIdempotent Kind = iota
 	// KindIdempotent is an idempotent request.
 	KindIdempotent
-	// KindStream is a generation whose answer is a stream of events; it may run
-	// once, unless its route lets streams resume.
+	// KindStream is a generation whose answer is a stream of events. It must run at
+	// most once, unless the route is Resumable.
 	KindStream
 )
 
-// WeightedService is a service's part of the traffic of a route.
+// WeightedService is a service with its relative weight in the traffic of a route.
 type WeightedService struct {
 	Service bbunit.ServiceID
 	Weight  float64
 }
 
-// Route sends requests of one host and path prefix to services.
+// Route sends the requests of one host and path prefix to services.
 type Route struct {
 	ID     RouteID
 	Host   string // lower case
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the longest time that a request may take; 0 means no limit of the
+	// route.
 	Timeout time.Duration
-	// LatencyObjective is the time within which an answer, or the first event, is on time.
+	// LatencyObjective is the target latency of the answer, or of the first event of
+	// a stream.
 	LatencyObjective time.Duration
-	// EventGapObjective is the longest pause between events of a stream that is on time.
+	// EventGapObjective is the longest acceptable pause between events of a stream.
 	EventGapObjective time.Duration
 	Priority          int // 0 is the most urgent
 	Services          []WeightedService
-	// MaxAttempts is the most targets that one request may be sent to.
+	// MaxAttempts is how many times one request may be sent to a target.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public means that requests need no API key.
 	Public bool
-	// Resumable lets a broken stream go on at another target.
+	// Resumable means that a broken stream may be resumed at another target.
 	Resumable bool
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
-// Service is a model service or a plain one.
+// Service is a model service or a plain HTTP service.
 type Service struct {
 	ID bbunit.ServiceID
-	// MaxConns is the most connections that one target takes from all callers.
+	// MaxConns is how many connections one target accepts from all callers together.
 	MaxConns int
 	// Engine is set for model services.
 	Engine *Engine
 }
 
-// Engine tells what the targets of a model service are.
+// Engine holds the capacity of each target of a model service.
 type Engine struct {
-	Slots          int           // requests that run at once
-	CacheTokens    bbunit.Tokens // of running requests and cached parts
-	MaxEventTokens bbunit.Tokens // most tokens of one event
+	Slots          int           // requests that can run at once
+	CacheTokens    bbunit.Tokens // size of the KV cache, for running requests and cached prefixes
+	MaxEventTokens bbunit.Tokens // most tokens in one event of a stream
 }
 
 // Account is a client account.
 type Account struct {
 	ID bbunit.AccountID
-	// Priority goes before the route's where set; -1 is none.
+	// Priority overrides the priority of the route; -1 means that none is set.
 	Priority int
-	// Paid is what the account may consume; Metered tells that it is bounded.
+	// Paid is the total that the account may spend if it is Prepaid. Other accounts
+	// have no limit.
 	Paid    bbunit.Tokens
 	Prepaid bool
 }
 
-// Limits bound what a client may send.
+// Limits holds the limits of client connections and requests.
 type Limits struct {
-	MaxHeaderBytes, MaxBodyBytes int // bytes
-	// HeaderTimeout is how long a client may take to send a head.
+	MaxHeaderBytes, MaxBodyBytes int
+	// HeaderTimeout is how long a client may take to send the request header.
 	HeaderTimeout time.Duration
 	// IdleTimeout is how long a connection may stay idle.
 	IdleTimeout time.Duration
 }
 
-// Plan is a whole declared state. It is immutable.
+// Plan is the whole declared configuration. It is immutable.
 type Plan struct {
 	Version  Version
 	Limits   Limits
 	Services map[bbunit.ServiceID]*Service
 	Accounts map[bbunit.AccountID]*Account
-	// KeyRequired tells that requests need a key, unless their route is open.
+	// KeyRequired means that requests need an API key, unless their route is Public.
 	KeyRequired bool
 
 	accountsByKey map[string]*Account
-	routes        map[string]map[string]*Route // host, prefix
+	routes        map[string]map[string]*Route // by host, then path prefix
 }
 
-// New returns a plan of these parts. Keys maps each key to its account.
+// New returns a copy of p with routes and with accounts by API key.
 func New(p Plan, routes []*Route, accountsByKey map[string]*Account) *Plan {
 	p.accountsByKey = accountsByKey
 	p.routes = map[string]map[string]*Route{}
@@ -123,8 +128,8 @@
 	return &p
 }
 
-// FindRoute returns the route of a host and a path without its query, nil when there
-// is none: the longest prefix wins.
+// FindRoute returns the route of the host with the longest prefix of path, or nil if
+// there is none. Path has no query.
 func (p *Plan) FindRoute(host, path string) *Route {
 	prefixes := p.routes[normalizeHost(host)]
 	if prefixes == nil {
@@ -143,10 +148,10 @@
 	return nil
 }
 
-// AccountByKey returns the account of a key, nil when no account has it.
+// AccountByKey returns the account with the given API key, or nil if there is none.
 func (p *Plan) AccountByKey(key string) *Account { return p.accountsByKey[key] }
 
-// normalizeHost is a Host field without port, in lower case.
+// normalizeHost returns the value of a Host header without its port, in lower case.
 func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[i:], "]") {
 		host = host[:i]
@@ -154,7 +159,8 @@
 	return strings.ToLower(host)
 }
 
-// PickService returns the service of a route that a number in [0,1) draws.
+// PickService chooses a service of the route by weight. Random must be uniform in
+// [0,1).
 func (r *Route) PickService(random float64) bbunit.ServiceID {
 	var total float64
 	for _, s := range r.Services {
--- a/shared/bbserve/port.go
+++ b/shared/bbserve/port.go
@@ -9,18 +9,19 @@
 	"github.com/juju/errors"
 )
 
-// Ports below those that systems give to outgoing connections.
+// The range of ports to try. It lies below the ephemeral ports that operating
+// systems use for outgoing connections.
 const (
 	firstPort = 12_000
 	lastPort  = 32_000
 )
 
-// lastAllocated is the last port that was given out.
+// lastAllocated is the last port that FreeAddress tried; 0 before the first call.
 var lastAllocated atomic.Int64
 
-// FreeAddress returns an address on loopback at which nobody listens and that
-// this process has not got before, for tests that start a program there.
-// Outgoing connections do not take its port, since it is below their range.
+// FreeAddress returns a loopback address on which nothing listens, for tests that
+// start a program there. It never returns an address twice in one process. Outgoing
+// connections cannot take the port, because it lies below the ephemeral range.
 func FreeAddress() (string, error) {
 	lastAllocated.CompareAndSwap(0, int64(firstPort+rand.IntN((lastPort-firstPort)/2)))
 	for port := lastAllocated.Add(1); port < lastPort; port = lastAllocated.Add(1) {
@@ -29,5 +30,5 @@
 			return address, ln.Close()
 		}
 	}
-	return "", errors.New("no free port")
+	return "", errors.Errorf("no free port up to %d", lastPort-1)
 }
--- a/shared/bbserve/stop.go
+++ b/shared/bbserve/stop.go
@@ -1,4 +1,4 @@
-// Package bbserve stops HTTP servers.
+// Package bbserve stops HTTP servers and finds free addresses for tests.
 package bbserve
 
 import (
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Server is a server that runs on a listener.
+// Server is an HTTP server that can be shut down.
 type Server interface {
 	ShutdownWithTimeout(timeout time.Duration) error
 }
 
-// Stop ends a server within the timeout, whether or not it has begun to serve: a
-// shutdown that comes before the server knows its listener does nothing, so the
-// listener is closed besides.
+// Stop shuts the server down within the timeout and closes its listener. Shutdown
+// alone does nothing if the server has not begun to serve, because it does not know
+// its listener yet.
 func Stop(server Server, ln net.Listener, timeout time.Duration) error {
 	err := server.ShutdownWithTimeout(timeout)
 	_ = ln.Close()
--- a/shared/bbshare/allocator.go
+++ b/shared/bbshare/allocator.go
@@ -11,68 +11,73 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Policy sets how much an instance draws.
+// Policy sets how much of each account an instance reserves for itself.
 type Policy struct {
-	// Horizon is the demand that a share is to last for.
+	// Horizon is how long a share should last at the measured demand.
 	Horizon time.Duration
-	// RefillBelow is the part of that below which more is drawn.
+	// RefillBelow is the fraction of the desired share below which the instance
+	// requests a larger grant.
 	RefillBelow float64
-	// MinShare is the least share of an account without demand, in parts of what
-	// it has paid, so that a request that comes while the store is out of reach
-	// finds some.
+	// MinShare is the share of an account without demand, as a fraction of what
+	// the account has paid. It lets a request succeed while the store is
+	// unreachable.
 	MinShare float64
-	// MaxHeld bounds the shares of all holders together, in parts of what is free;
-	// each gets of it as much as its part of what was spent.
+	// MaxHeld bounds the shares of all holders together, as a fraction of the free
+	// tokens. Each holder's part of it is proportional to what it has spent.
 	MaxHeld float64
-	// LossLimit is how much kills may waste, in parts of what the account has paid,
-	// before Part shrinks to its Least part: where instances keep dying, their
-	// shares are small.
+	// MaxHeld shrinks in proportion to the tokens lost with killed instances, down
+	// to MinScale of its value as the loss nears LossLimit, a fraction of what the
+	// account has paid. Instances that keep crashing thus get small shares.
 	LossLimit, MinScale float64
-	// PriorSpent is what all holders together count as having spent before they have,
-	// in parts of what the account has paid.
+	// PriorSpent is the spending that all holders together are assumed to have
+	// before any is recorded, as a fraction of what the account has paid.
 	PriorSpent float64
-	// MaxRows is the most accounts in one write.
+	// MaxRows is the largest number of accounts in one write.
 	MaxRows int
 }
 
-// HomeHorizon is the demand that the share of a home is to last for: its members
-// hold shares of their own.
+// HomeHorizon is the Policy.Horizon in a large fleet, where homes serve the other
+// instances of their failure domain. It is shorter than the default because the
+// borrowing instances hold shares of their own.
 const HomeHorizon = 8 * time.Second
 
-// SetHorizon changes how long shares are to last.
+// SetHorizon changes how long shares should last.
 func (a *Allocator) SetHorizon(d time.Duration) { a.policy.Horizon = d }
 
-// DefaultPolicy draws for a few seconds of demand.
+// DefaultPolicy returns the policy of a small fleet, where no account has a home
+// and each instance gets its grants from the store.
 func DefaultPolicy() Policy {
 	return Policy{Horizon: 15 * time.Second, RefillBelow: 0.7, MinShare: 0.005, MaxHeld: 0.25, LossLimit: 0.1, MinScale: 0.2, PriorSpent: 0.016, MaxRows: 32}
 }
 
-// unmetPrefetchFactor is how many times what is asked for in vain is drawn ahead, while
-// the demand is not yet known.
+// unmetPrefetchFactor multiplies the unmet demand to get the desired share while
+// the measured demand is still too low.
 const unmetPrefetchFactor = 3
 
-// demandSmoothing is how far one second of demand moves the mean.
+// demandSmoothing is the weight of one second in the moving average of demand.
 const demandSmoothing = 0.4
 
-// Allocator holds an instance's accounts. All its methods but those of the purses
-// belong to one controller.
+// Allocator holds an instance's shares of all accounts and decides which rows to
+// write. It is not safe for concurrent use; only the Balance of an AccountShare
+// is.
 type Allocator struct {
 	Holder    bbunit.HolderID
 	policy    Policy
 	keyPrefix string
 	shares    map[bbunit.AccountID]*AccountShare
-	// largestRequest is the largest request of late, of any account.
+	// largestRequest is the largest recent request of any account, in tokens.
 	largestRequest int64
-	// draining tells that nothing is drawn ahead any more.
+	// draining means that only unmet requests are still served.
 	draining bool
 }
 
-// NewAllocator returns an empty book whose rows stand under prefix.
+// NewAllocator returns an allocator without accounts. Its rows are stored under
+// keyPrefix followed by the account id.
 func NewAllocator(holder bbunit.HolderID, keyPrefix string, policy Policy) *Allocator {
 	return &Allocator{Holder: holder, policy: policy, keyPrefix: keyPrefix, shares: map[bbunit.AccountID]*AccountShare{}}
 }
 
-// AccountShare is one account in a book.
+// AccountShare is an instance's share of one account.
 type AccountShare struct {
 	ID      bbunit.AccountID
 	Balance *Balance
@@ -80,26 +85,28 @@
 
 	row       Row
 	rev       bbstore.Revision
-	rowLoaded bool          // the row has been read
-	granted   bbunit.Tokens // what this instance counts as granted
-	// remoteHome tells that the home of the account is elsewhere; left is what the
-	// home said that is free.
+	rowLoaded bool
+	// granted is what this instance may rely on. It can be below the row's grant
+	// while a write that returns tokens is pending.
+	granted bbunit.Tokens
+	// remoteHome means that another instance is the home and can be reached.
+	// homeFree is the free amount that it last reported.
 	remoteHome bool
 	homeFree   bbunit.Tokens
-	// homeUnreachable tells that the home is elsewhere and out of reach.
+	// homeUnreachable means that another instance is the home and cannot be reached.
 	homeUnreachable bool
-	// lent is the sum of loans over this life.
+	// lent is the sum of the loans made by this incarnation.
 	lent bbunit.Tokens
 
-	fenced         bool    // this life has been closed
-	writeUncertain bool    // a write may have taken effect
-	demand         float64 // tokens a second that requests ask for
-	lastRequested  int64
+	fenced         bool    // a later incarnation or Close has closed this holder
+	writeUncertain bool    // the outcome of the last write is unknown
+	demand         float64 // moving average of requested tokens per second
+	lastRequested  int64   // Balance.requested at measuredAt
 	measuredAt     time.Time
 	largestRequest int64
 }
 
-// Account returns an account's line, which it makes when there is none.
+// Account returns the share of an account and creates it if necessary.
 func (a *Allocator) Account(id bbunit.AccountID) *AccountShare {
 	s := a.shares[id]
 	if s == nil {
@@ -109,28 +116,30 @@
 	return s
 }
 
-// SetPaid sets what an account has paid in all.
+// SetPaid sets the total that an account has paid.
 func (a *Allocator) SetPaid(id bbunit.AccountID, paid bbunit.Tokens) { a.Account(id).paid = paid }
 
-// Free returns what no holder has been granted, as far as the row is known.
+// Free returns what no holder has been granted, according to the last known row.
 func (s *AccountShare) Free() bbunit.Tokens { return s.paid - s.row.TotalGranted() }
 
-// RowLoaded tells whether the row has been read.
+// RowLoaded reports whether the account's row has been read.
 func (s *AccountShare) RowLoaded() bool { return s.rowLoaded }
 
-// Covers tells whether the account may still cover n: as far as known, what is
-// free and what other holders may give back reach it.
+// Covers reports whether the account may still be able to pay for n: the free
+// tokens, those available here, and those that other holders may give back add up
+// to at least n.
 func (s *AccountShare) Covers(n bbunit.Tokens, holder bbunit.HolderID) bool {
 	return s.Free()+s.Balance.Available()+s.row.UnspentByOthers(holder) >= n
 }
 
-// UnspentByOthers returns what other holders may still have, as far as known.
+// UnspentByOthers returns what holders other than the given one may still have,
+// according to the last known row.
 func (s *AccountShare) UnspentByOthers(holder bbunit.HolderID) bbunit.Tokens {
 	return s.row.UnspentByOthers(holder)
 }
 
-// ApplyRows takes rows as they stand in the store. Rows that cannot be read are left
-// out and named in bad.
+// ApplyRows updates the shares from rows read from the store. Malformed rows are
+// skipped; rowErrs has an error for each, annotated with the row's key.
 func (a *Allocator) ApplyRows(entries []bbstore.Entry) (rowErrs []error) {
 	for _, e := range entries {
 		if len(e.Key) <= len(a.keyPrefix) || e.Key[:len(a.keyPrefix)] != a.keyPrefix {
@@ -146,7 +155,7 @@
 
 func (a *Allocator) applyRow(s *AccountShare, e bbstore.Entry) error {
 	if s.rowLoaded && e.Rev < s.rev {
-		return nil // older than what is known
+		return nil // older than the last known row
 	}
 	row, err := ParseRow(e.Value)
 	if err != nil {
@@ -156,7 +165,7 @@
 	s.row, s.rev, s.rowLoaded = row, e.Rev, true
 	grant, hasGrant := row.Holders[a.Holder]
 	if !hasGrant && s.granted != 0 && (hadGrant || s.writeUncertain) {
-		s.fenced = true // closed, by this life or a later one
+		s.fenced = true
 	}
 	s.writeUncertain = false
 	if !s.fenced {
@@ -165,14 +174,15 @@
 	return nil
 }
 
-// setGranted makes what is granted here what the row says: no earlier write can
-// still take effect, since the row has moved on from what it expected.
+// setGranted sets this instance's grant to the row's. An earlier write whose
+// outcome is unknown can no longer take effect, because the row's revision is
+// past the one that the write expects.
 func (s *AccountShare) setGranted(granted bbunit.Tokens) {
 	s.Balance.available.Add(int64(granted - s.granted))
 	s.granted = granted
 }
 
-// Tick measures demand; it is called about once a second.
+// Tick measures demand. It is meant to be called about once a second.
 func (a *Allocator) Tick(now time.Time) {
 	a.largestRequest = a.largestRequest * 95 / 100
 	for _, s := range a.shares {
@@ -191,23 +201,25 @@
 	s.largestRequest = max(s.Balance.largestRequest.Swap(0), s.largestRequest*9/10)
 }
 
-// RowWrite is one write that a book asks for.
+// RowWrite is a compare-and-swap write of one or several rows. Its outcome must be
+// passed to Allocator.FinishWrite.
 type RowWrite struct {
 	Rows    []bbstore.Entry
 	changes []grantChange
 }
 
-// grantChange is what a write changes for one line.
+// grantChange is the state of one share once its RowWrite succeeds.
 type grantChange struct {
 	share   *AccountShare
 	row     Row
-	granted bbunit.Tokens // granted
+	granted bbunit.Tokens
 }
 
-// NextWrite returns the write that is due, nil when none is. Holders is how many draw
-// from the accounts. Unless ahead, only a request that waits makes a write due;
-// it then serves the other accounts too. What the write gives back is set aside
-// at once.
+// NextWrite returns the next write, or nil if none is needed. Holders is the number
+// of instances that hold shares of the accounts. Without prefetch, there is a
+// write only if a request could not be reserved, but it then covers other accounts
+// as well. Tokens that the write gives back are removed from the balance at once,
+// so that they cannot be spent while the write is pending.
 func (a *Allocator) NextWrite(holders int, prefetch bool) *RowWrite {
 	type candidate struct {
 		s        *AccountShare
@@ -247,15 +259,15 @@
 	w.changes = append(w.changes, grantChange{share: s, row: row, granted: granted})
 }
 
-// targetGrant returns what the line's grant should become, and whether a write is
-// worth it.
+// targetGrant returns what the grant of a share should become, and whether that
+// is worth a write.
 func (a *Allocator) targetGrant(s *AccountShare, unmet int64, holders int) (bbunit.Tokens, bool) {
 	if s.fenced || s.remoteHome || s.paid <= 0 && s.granted == 0 {
 		return 0, false
 	}
 	free := max(s.Free(), 0)
 	if !s.rowLoaded {
-		free = 0 // a write with the unknown row's revision reads it
+		free = 0 // the write at revision 0 either creates the row or returns it with a conflict
 	}
 	desired := s.demand * a.policy.Horizon.Seconds()
 	desired = max(desired, float64(a.largestRequest), float64(s.paid)*a.policy.MinShare, unmetPrefetchFactor*float64(unmet))
@@ -279,8 +291,8 @@
 	return newGrant, false
 }
 
-// maxHeldFraction is how much of what is free all holders together may have: the less, the
-// more kills have wasted of the account already.
+// maxHeldFraction returns the fraction of the free tokens that all holders
+// together may hold. It falls with the tokens already lost with killed instances.
 func (a *Allocator) maxHeldFraction(s *AccountShare) float64 {
 	if s.paid <= 0 {
 		return a.policy.MaxHeld
@@ -289,7 +301,8 @@
 	return a.policy.MaxHeld * max(1-lossRatio, a.policy.MinScale)
 }
 
-// spendingWeight is this instance's part of what has been spent, as the row tells.
+// spendingWeight returns this instance's fraction of what all current holders have
+// spent, including the assumed prior spending.
 func (a *Allocator) spendingWeight(s *AccountShare, holders int) float64 {
 	others := a.policy.PriorSpent * float64(s.paid)
 	prior := others / float64(max(holders, 1))
@@ -305,8 +318,11 @@
 	return (ownSpent + prior) / (others + ownSpent)
 }
 
-// FinishWrite takes the outcome of a write: its revision, or the error and the rows
-// that the store returned with a conflict.
+// FinishWrite applies the outcome of a write: the new revision on success, or the
+// error. Current holds the rows that the store returned with ErrConflict; rowErrs
+// has an error for each of them that is malformed. After any other error the
+// write may or may not have taken effect, so the shares stay as they are until
+// the rows are read again.
 func (a *Allocator) FinishWrite(w *RowWrite, rev bbstore.Revision, current []bbstore.Entry, err error) (rowErrs []error) {
 	switch {
 	case err == nil:
@@ -324,12 +340,13 @@
 	return rowErrs
 }
 
-// Drain makes the book give back what lies unused, and draw no more than
-// requests ask for.
+// Drain makes the following writes give back unused tokens and request only what
+// unmet requests need.
 func (a *Allocator) Drain() { a.draining = true }
 
-// Close returns the write that ends this holder and gives back what is unspent;
-// nil when there is nothing to end. Nothing may be reserved any more.
+// Close returns the write that removes this holder from all rows and gives back
+// what it has not spent, or nil if no row needs a change. Nothing may be reserved
+// after Close.
 func (a *Allocator) Close() *RowWrite {
 	w := &RowWrite{}
 	for _, s := range a.shares {
@@ -346,20 +363,20 @@
 	return w
 }
 
-// Status is what one line holds.
+// Status is the state of one account at this instance.
 type Status struct {
 	Account   bbunit.AccountID `json:"account"`
 	Paid      bbunit.Tokens    `json:"paid"`
 	Free      bbunit.Tokens    `json:"free"`
-	Available bbunit.Tokens    `json:"here"` // available to this instance
+	Available bbunit.Tokens    `json:"here"` // available to reserve at this instance
 	Spent     bbunit.Tokens    `json:"spent"`
-	Rate      bbunit.Tokens    `json:"rate"` // asked for here, a second
+	Rate      bbunit.Tokens    `json:"rate"` // requested at this instance, per second
 	Lent      bbunit.Tokens    `json:"lent,omitempty"`
 	Granted   bbunit.Tokens    `json:"granted"`
-	Closed    bbunit.Tokens    `json:"closed"` // of holders that are no more
+	Closed    bbunit.Tokens    `json:"closed"` // of holders that have ended
 }
 
-// Status returns what each line holds, by account.
+// Status returns the state of all accounts, sorted by account id.
 func (a *Allocator) Status() []Status {
 	out := make([]Status, 0, len(a.shares))
 	for _, s := range a.shares {
--- a/shared/bbshare/allocator_test.go
+++ b/shared/bbshare/allocator_test.go
@@ -15,8 +15,8 @@
 
 const account bbunit.AccountID = "a"
 
-// fakeStore is the store: rows under compare-and-swap, and writes whose answer was
-// lost and that may still take effect.
+// fakeStore is an in-memory store with compare-and-swap writes. Delayed holds
+// writes whose answer was lost and that may still take effect.
 type fakeStore struct {
 	rows    map[string]bbstore.Entry
 	rev     bbstore.Revision
@@ -46,15 +46,16 @@
 	return out
 }
 
-// instance is one instance with the requests that it has under way. Spent is what
-// its targets truly ran, over all its lives.
+// instance is an instance of the fleet with the reservations of its requests in
+// flight.
 type instance struct {
 	allocator   *Allocator
 	inFlight    []bbunit.Tokens
 	incarnation int
 }
 
-// simulation is several instances, the store between them, and the truth.
+// simulation is a fleet with a shared store. Spent is what targets actually ran, by
+// all incarnations of all instances.
 type simulation struct {
 	store     fakeStore
 	instances []*instance
@@ -81,8 +82,8 @@
 	return s
 }
 
-// write lets an instance write once; fate tells whether the answer is lost, and
-// whether the write takes effect at once, later or never.
+// write carries out one write of an instance. Outcome selects whether the answer is
+// lost, and whether the write takes effect at once, later or never.
 func (s *simulation) write(i int, w *RowWrite, outcome int) {
 	a := s.instances[i].allocator
 	if w == nil {
@@ -95,7 +96,7 @@
 	case 2: // may take effect later
 		s.store.delayed = append(s.store.delayed, w)
 		a.FinishWrite(w, 0, nil, bbstore.ErrUnknown)
-	case 3: // nothing was done
+	case 3: // never takes effect
 		a.FinishWrite(w, 0, nil, bbstore.ErrDown)
 	default:
 		rev, current, err := s.store.apply(w)
@@ -103,9 +104,9 @@
 	}
 }
 
-// TestNoAccountIsOverspent plays requests, draws with every fate of a write,
-// kills, restarts, stops, top-ups and loans of which some get lost, in any order:
-// what targets ran never exceeds what was paid.
+// Requests, writes with every outcome, kills, restarts, graceful stops, top-ups and
+// loans, some of them lost, happen in any order. What targets ran must never exceed
+// what was paid.
 func TestNoAccountIsOverspent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.IntRange(1, 4).Draw(t, "instances"), bbunit.Tokens(rapid.IntRange(0, 800).Draw(t, "paid")))
@@ -129,13 +130,13 @@
 				s.spent += used
 				in.allocator.Account(account).Balance.Settle(n, used)
 			},
-			"draw": func(t *rapid.T) {
+			"write": func(t *rapid.T) {
 				i := pick(t)
 				s.now = s.now.Add(time.Second)
 				s.instances[i].allocator.Tick(s.now)
-				s.write(i, s.instances[i].allocator.NextWrite(len(s.instances), true), rapid.IntRange(0, 5).Draw(t, "fate"))
+				s.write(i, s.instances[i].allocator.NextWrite(len(s.instances), true), rapid.IntRange(0, 5).Draw(t, "outcome"))
 			},
-			"late": func(_ *rapid.T) {
+			"delayed write": func(_ *rapid.T) {
 				if len(s.store.delayed) > 0 {
 					_, _, _ = s.store.apply(s.store.delayed[0])
 					s.store.delayed = s.store.delayed[1:]
@@ -144,7 +145,7 @@
 			"kill": func(t *rapid.T) {
 				i := pick(t)
 				for _, n := range s.instances[i].inFlight {
-					s.spent += n // at worst all of it ran
+					s.spent += n // worst case: the target ran all of it
 				}
 				s.start(i)
 			},
@@ -157,8 +158,8 @@
 				}
 				in.inFlight = nil
 				in.allocator.Drain()
-				s.write(i, in.allocator.NextWrite(1, true), rapid.IntRange(0, 5).Draw(t, "fate"))
-				s.write(i, in.allocator.Close(), rapid.IntRange(0, 5).Draw(t, "fate"))
+				s.write(i, in.allocator.NextWrite(1, true), rapid.IntRange(0, 5).Draw(t, "outcome"))
+				s.write(i, in.allocator.Close(), rapid.IntRange(0, 5).Draw(t, "outcome"))
 				s.start(i)
 			},
 			"loan": func(t *rapid.T) {
@@ -174,7 +175,7 @@
 			"topup": func(t *rapid.T) {
 				s.paid += bbunit.Tokens(rapid.IntRange(0, 500).Draw(t, "more"))
 				for _, in := range s.instances {
-					if rapid.Bool().Draw(t, "heard") {
+					if rapid.Bool().Draw(t, "instance sees it") {
 						in.allocator.SetPaid(account, s.paid)
 					}
 				}
@@ -194,8 +195,8 @@
 	})
 }
 
-// reserve draws until n can be reserved, and tells whether it could; the first
-// write finds the row.
+// reserve writes until n can be reserved, at most four times, and reports whether
+// it was. The first write may fail with a conflict, which loads the row.
 func (s *simulation) reserve(i int, n bbunit.Tokens) bool {
 	a := s.instances[i].allocator
 	for range 4 {
@@ -207,7 +208,8 @@
 	return false
 }
 
-// A stop gives back what is unspent, so that another instance can spend it.
+// A graceful stop must return unspent tokens, so that another instance can spend
+// them.
 func TestStopGivesBack(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(2, 1000)
@@ -218,8 +220,8 @@
 	is.True(s.reserve(1, 800))
 }
 
-// What a killed instance was granted stays spent; a new life of it draws from
-// the rest only.
+// The whole grant of a killed instance must count as used: its next incarnation
+// gets only the rest.
 func TestKillLosesWhatWasGranted(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(1, 1000)
@@ -230,27 +232,28 @@
 	a = s.instances[0].allocator
 	is.True(!s.reserve(0, 1000-granted+1))
 	is.Equal(a.Account(account).Free()+a.Account(account).Balance.Available(), 1000-granted)
-	is.True(!a.Account(account).Covers(1000-granted+1, a.Holder)) // a truthful 402
+	is.True(!a.Account(account).Covers(1000-granted+1, a.Holder)) // the request is refused with 402
 }
 
-// After a lost answer only what is certain is spent, until the row tells.
+// After a write with a lost answer, the instance must not spend the new grant until
+// it has read the row.
 func TestLostAnswerOfAWrite(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(1, 1000)
 	a := s.instances[0].allocator
-	is.True(s.reserve(0, 1)) // the row is known
+	is.True(s.reserve(0, 1)) // loads the row
 	balance := a.Account(account).Balance
 	before := balance.Available()
 	balance.Reserve(400)
 	s.write(0, a.NextWrite(1, true), 1)
 	is.Equal(balance.Available(), before)
 	balance.Reserve(400)
-	s.write(0, a.NextWrite(1, true), 0) // a conflict, which shows the row
+	s.write(0, a.NextWrite(1, true), 0) // fails with a conflict, which loads the row
 	is.True(balance.Reserve(400))
 }
 
-// Shares follow what each instance has spent, so that the only instance of a
-// busy failure domain is not held to an equal part.
+// Shares must follow what each instance has spent: the only instance of a busy
+// failure domain must not be limited to an equal part.
 func TestSharesFollowSpending(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(8, 1_000_000)
@@ -270,10 +273,10 @@
 		busy.Tick(s.now)
 		s.write(0, busy.NextWrite(8, true), 0)
 	}
-	is.True(busy.Account(account).Balance.Available() >= 80_000) // 8 s of its demand
+	is.True(busy.Account(account).Balance.Available() >= 80_000) // 8 s of its demand of 10,000 tokens per second
 }
 
-// Nothing is drawn from a row that cannot be read.
+// A malformed row must be reported and not used.
 func TestMalformedRow(t *testing.T) {
 	is := is.New(t)
 	a := NewAllocator("i@i/1", "m/", DefaultPolicy())
@@ -297,16 +300,16 @@
 	})
 }
 
-// A life that is closed by the next one of its instance may have wasted what it
-// was not known to have spent. The more kills have wasted, the less of what is free
-// is handed out; where nothing was wasted, as much as ever.
+// When the next incarnation closes a killed holder, whatever the holder was not
+// known to have spent counts as lost. The larger the loss, the less of the free
+// tokens may be held in shares; without losses, the full MaxHeld may.
 func TestLossesShrinkShares(t *testing.T) {
 	is := is.New(t)
 	first, second := NewHolderID("i1", "i1:1", "a"), NewHolderID("i1", "i1:1", "b")
 	row := Row{}.withGrant(first, Grant{Granted: 300, Spent: 100}).withGrant(second, Grant{Granted: 50})
 	is.Equal(row.Closed, bbunit.Tokens(300))
 	is.Equal(row.Lost, bbunit.Tokens(200))
-	is.Equal(row.withClosed(second, 20).Lost, bbunit.Tokens(200)) // an end in order wastes nothing
+	is.Equal(row.withClosed(second, 20).Lost, bbunit.Tokens(200)) // a graceful end loses nothing
 	decoded, err := ParseRow(row.Encode())
 	is.NoErr(err)
 	is.Equal(decoded.Lost, row.Lost)
--- a/shared/bbshare/balance.go
+++ b/shared/bbshare/balance.go
@@ -1,8 +1,9 @@
-// Package bbshare decides how one instance draws shares of prepaid sums from
-// rows in the platform's store, by compare-and-swap alone. What a row grants to
-// all holders never exceeds what the account has paid, and an instance never
-// spends more than it was granted: so no cut, pause, kill or lost answer can
-// overspend. It keeps no clock and does no input or output.
+// Package bbshare divides prepaid client accounts among the instances of a fleet.
+// The platform's store has one row per account, which records how many tokens each
+// holder has been granted. Rows change by compare-and-swap only. The grants of a
+// row never exceed what the account has paid, and an instance never spends more
+// than it was granted, so network partitions, pauses, crashes and lost answers
+// cannot cause overspending. The package reads no clock and does no I/O.
 package bbshare
 
 import (
@@ -11,17 +12,19 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Balance is what one instance may spend of one account. Reserve and End take no
-// lock and may be called at once. The zero value is empty.
+// Balance is what one instance may spend of one account, in tokens. Reserve,
+// Settle and Available are lock-free and safe for concurrent use. The zero value is
+// an empty balance.
 type Balance struct {
-	available      atomic.Int64 // granted here, neither spent nor set aside
-	spent          atomic.Int64 // of requests that ended
-	requested      atomic.Int64 // all that requests asked for
-	unmet          atomic.Int64 // asked for in vain since the last draw
-	largestRequest atomic.Int64 // largest request since the last draw
+	available      atomic.Int64 // granted here, neither spent nor reserved
+	spent          atomic.Int64 // by requests that have ended, and lent to other holders
+	requested      atomic.Int64 // total of successful reservations and granted loans
+	unmet          atomic.Int64 // refused reservations and loans since the last NextWrite or LoanRequests
+	largestRequest atomic.Int64 // since the last Tick
 }
 
-// Reserve sets n aside, or notes that it could not.
+// Reserve reserves n and returns true, or counts n as unmet and returns false if
+// less than n is available.
 func (b *Balance) Reserve(n bbunit.Tokens) bool {
 	if int64(n) > b.largestRequest.Load() {
 		b.largestRequest.Store(int64(n))
@@ -34,17 +37,17 @@
 	return false
 }
 
-// Settle ends a reservation of n of which used was spent.
+// Settle ends a reservation: used counts as spent, the rest is available again.
 func (b *Balance) Settle(reserved, used bbunit.Tokens) {
 	used = min(max(used, 0), reserved)
 	b.spent.Add(int64(used))
 	b.available.Add(int64(reserved - used))
 }
 
-// Available returns what may be set aside now.
+// Available returns what can be reserved now.
 func (b *Balance) Available() bbunit.Tokens { return bbunit.Tokens(b.available.Load()) }
 
-// take removes n from what is available if there is that much.
+// take removes n from the available tokens and reports whether there were enough.
 func (b *Balance) take(n int64) bool {
 	for {
 		available := b.available.Load()
@@ -57,7 +60,7 @@
 	}
 }
 
-// takeUpTo removes at most n and returns how much.
+// takeUpTo removes at most n from the available tokens and returns the amount.
 func (b *Balance) takeUpTo(n int64) int64 {
 	for {
 		available := b.available.Load()
--- a/shared/bbshare/home.go
+++ b/shared/bbshare/home.go
@@ -6,41 +6,46 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// In a large fleet each account has one home in each failure domain, which draws
-// from the store for all instances there; the others borrow from it. Then a row
-// has as many holders as there are failure domains, and few writes meet in it.
+// In a large fleet, each account has one home instance per failure domain. Only
+// the home gets grants from the store; the other instances of the domain borrow
+// from the home. A row then has only one holder per failure domain, which keeps
+// write conflicts rare.
 
-// HomePolicy sets what an instance borrows from a home.
+// HomePolicy sets how much an instance borrows from a home.
 type HomePolicy struct {
-	// Horizon is the demand that a loan is to last for.
+	// Horizon is how long the borrowed share should last at the measured demand.
 	Horizon time.Duration
-	// RefillBelow is the part of that below which more is borrowed.
+	// RefillBelow is the fraction of the desired share below which the instance
+	// borrows more.
 	RefillBelow float64
 }
 
-// DefaultHomePolicy borrows for a cut of some seconds.
+// DefaultHomePolicy returns a policy whose shares outlast several seconds without
+// contact to the home.
 func DefaultHomePolicy() HomePolicy { return HomePolicy{Horizon: 14 * time.Second, RefillBelow: 0.85} }
 
-// SetHome tells where the home of an account is: here, or at another instance,
-// which can be reached or not. While it can, nothing is drawn for the account
-// here; while it cannot, only what requests need.
+// SetHome sets whether this instance is the home of an account, and whether the
+// home can be reached if it is another instance. While a remote home is reachable,
+// this instance writes no row for the account. While it is unreachable, the
+// instance gets grants from the store, but only for unmet requests.
 func (a *Allocator) SetHome(id bbunit.AccountID, local, reachable bool) {
 	s := a.Account(id)
 	s.remoteHome, s.homeUnreachable = !local && reachable, !local && !reachable
 }
 
-// UsesRemoteHome tells whether the account has its home elsewhere.
+// UsesRemoteHome reports whether the account is borrowed from another instance,
+// which is its home and reachable.
 func (s *AccountShare) UsesRemoteHome() bool { return s.remoteHome }
 
-// LoanRequest is what an instance asks of an account's home.
+// LoanRequest asks the home of an account for tokens.
 type LoanRequest struct {
 	Account bbunit.AccountID
-	// Need is asked for by requests that wait, Ahead for those to come.
+	// Need is for requests that could not be reserved, Prefetch for future ones.
 	Need, Prefetch bbunit.Tokens
 }
 
-// LoanRequests returns what is to be borrowed from homes. Instances is how many share the
-// accounts.
+// LoanRequests returns what to borrow from remote homes now. Instances is the
+// number of instances that share the accounts.
 func (a *Allocator) LoanRequests(policy HomePolicy, instances int) []LoanRequest {
 	var out []LoanRequest
 	for _, s := range a.shares {
@@ -60,8 +65,9 @@
 	return out
 }
 
-// memberTarget is what an instance that is not the home wants to have: its demand
-// for a while, bounded by its part of what is free.
+// memberTarget returns the desired share of an instance that is not the home: its
+// demand over the horizon, limited to a part of the free tokens that follows what
+// the instance has spent.
 func (a *Allocator) memberTarget(s *AccountShare, policy HomePolicy, instances int) float64 {
 	desired := s.demand * policy.Horizon.Seconds()
 	if s.demand > 0 {
@@ -76,13 +82,14 @@
 	return min(desired, a.policy.MaxHeld*float64(s.homeFree)*(ownSpent+prior/float64(max(instances, 1)))/allSpent)
 }
 
-// SetHomeFree takes what the home tells of an account: how much no holder has been
-// granted.
+// SetHomeFree sets the free amount of the account as last reported by its home:
+// what no holder has been granted.
 func (s *AccountShare) SetHomeFree(free bbunit.Tokens) { s.homeFree = free }
 
-// GrantLoan gives a member what it asks for, as far as it is available: the need
-// whole, what is ahead only up to a part of the rest. A need that cannot be met
-// is counted as asked for, so that the next draw brings it.
+// GrantLoan lends from the balance of the home and returns the amount. It serves
+// Need first, then Prefetch up to maxPrefetchPercent of the remainder. Any part of
+// Need that is not available is counted as unmet, so that the next write requests
+// it from the store.
 func (s *AccountShare) GrantLoan(req LoanRequest) bbunit.Tokens {
 	lent := s.LendUpTo(req.Need)
 	if available := s.Balance.Available(); lent == req.Need && available > 0 {
@@ -93,6 +100,6 @@
 	return lent
 }
 
-// maxPrefetchPercent is the part of a home's purse that one loan ahead of need may take, in
-// percent.
+// maxPrefetchPercent is the percentage of a home's balance that the Prefetch of
+// one loan may take.
 const maxPrefetchPercent = 80
--- a/shared/bbshare/loan.go
+++ b/shared/bbshare/loan.go
@@ -7,12 +7,13 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// A loan moves money from one holder's purse to another's without the store. The
-// lender counts it as spent from then on, so that it cannot be spent twice; the
-// borrower gives back in the store what it does not need. A loan that gets lost
-// on its way stays counted as spent.
+// A loan moves tokens from one holder's balance to another's without a write to the
+// store. The lender counts the loan as spent, so that it cannot be spent twice. The
+// borrower returns to the store what it does not need. A loan that is lost in
+// transit stays counted as spent.
 
-// LendUpTo takes up to n out of what is available here, and returns how much.
+// LendUpTo removes up to n from the available balance, counts it as spent and
+// returns the amount.
 func (s *AccountShare) LendUpTo(n bbunit.Tokens) bbunit.Tokens {
 	taken := s.Balance.takeUpTo(int64(n))
 	s.Balance.spent.Add(taken)
@@ -20,13 +21,14 @@
 	return bbunit.Tokens(taken)
 }
 
-// AddLoan adds what another holder has lent. It must be called once for a loan.
+// AddLoan adds a loan from another holder to the balance. Each loan must be added
+// only once.
 func (s *AccountShare) AddLoan(n bbunit.Tokens) {
 	s.Balance.available.Add(int64(n))
 }
 
-// Lenders returns the addresses of other holders that may have something left,
-// those with most first.
+// Lenders returns the addresses of other holders that may have unspent tokens, in
+// descending order of the amount.
 func (s *AccountShare) Lenders(holder bbunit.HolderID) []bbunit.InstanceID {
 	type lender struct {
 		address bbunit.InstanceID
--- a/shared/bbshare/row.go
+++ b/shared/bbshare/row.go
@@ -10,31 +10,34 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ErrMalformedRow marks a row that cannot be read. Nothing is drawn from it.
-const ErrMalformedRow = errors.ConstError("bad money row")
+// ErrMalformedRow is the error of a row that cannot be decoded. Such a row is not
+// used.
+const ErrMalformedRow = errors.ConstError("malformed account row")
 
-// Grant is what one holder has of an account. Both only concern its life: a
-// holder's id is never used twice.
+// Grant is one holder's entry in a row. A holder is one incarnation of an instance;
+// its id is never used again.
 type Grant struct {
-	// Granted is all that the holder may spend, what it has spent included and
-	// less what it was lent: it is below 0 once a holder gives back borrowed
-	// money, which its lender counts as spent.
+	// Granted is the total that the holder may spend, including what it has spent
+	// but not what it has borrowed. It becomes negative when the holder returns
+	// borrowed tokens, which the lender counts as spent.
 	Granted bbunit.Tokens `json:"granted"`
-	// Spent is what it is known to have spent, at least.
+	// Spent is a lower bound of what the holder has spent.
 	Spent bbunit.Tokens `json:"spent"`
 }
 
-// Row is one account's state in the store.
+// Row is the state of one account in the store.
 type Row struct {
-	// Closed is what holders had that are no more.
+	// Closed is what ended holders have used up: the spending of those that were
+	// closed in order, and the whole grant of those that were killed.
 	Closed bbunit.Tokens `json:"closed"`
-	// Lost is the part of that which was not known to be spent when its holder
-	// died: kills have wasted at most so much.
+	// Lost is the part of Closed that killed holders were not known to have spent:
+	// an upper bound of the tokens wasted by kills.
 	Lost    bbunit.Tokens             `json:"lost,omitempty"`
 	Holders map[bbunit.HolderID]Grant `json:"holders,omitempty"`
 }
 
-// ParseRow reads a row; an empty value is a new row.
+// ParseRow decodes a row. An empty value is a new row. The error is an
+// ErrMalformedRow.
 func ParseRow(value []byte) (Row, error) {
 	var r Row
 	if len(value) == 0 {
@@ -46,16 +49,16 @@
 	return r, nil
 }
 
-// Encode returns the row as it stands in the store.
+// Encode returns the row's value in the store.
 func (r Row) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // maps of named strings and numbers always encode
+		panic(err) // cannot happen: the fields are integers and a map with string keys
 	}
 	return b
 }
 
-// TotalGranted returns what the row grants in all.
+// TotalGranted returns the sum of all grants, ended holders included.
 func (r Row) TotalGranted() bbunit.Tokens {
 	sum := r.Closed
 	for _, g := range r.Holders {
@@ -75,8 +78,8 @@
 	return sum
 }
 
-// withGrant returns a copy in which the holder has the grant, and earlier lives of
-// its instance are closed at all that they were granted.
+// withGrant returns a copy in which the holder has the grant. Earlier incarnations
+// of its instance are closed; their whole grants count as used.
 func (r Row) withGrant(id bbunit.HolderID, g Grant) Row {
 	next := Row{Closed: r.Closed, Lost: r.Lost, Holders: maps.Clone(r.Holders)}
 	if next.Holders == nil {
@@ -93,7 +96,8 @@
 	return next
 }
 
-// withClosed returns a copy in which the holder is closed at what it has spent.
+// withClosed returns a copy without the holder, in which only what it has spent
+// counts as used.
 func (r Row) withClosed(id bbunit.HolderID, spent bbunit.Tokens) Row {
 	next := r.withGrant(id, Grant{})
 	delete(next.Holders, id)
@@ -101,18 +105,20 @@
 	return next
 }
 
-// NewHolderID returns the id of one life of an instance, which its peers reach at
-// an address.
+// NewHolderID returns the holder id of one incarnation of an instance. Address is
+// where peers reach it.
 func NewHolderID(instance, address bbunit.InstanceID, incarnation string) bbunit.HolderID {
 	return bbunit.HolderID(string(instance) + "@" + string(address) + "/" + incarnation)
 }
 
-// addressOf returns where the peers of a holder reach it.
+// addressOf returns the address at which peers reach a holder.
 func addressOf(id bbunit.HolderID) bbunit.InstanceID {
 	_, address, _ := strings.Cut(instanceOf(id), "@")
 	return bbunit.InstanceID(address)
 }
 
+// instanceOf returns the part of a holder id that all incarnations of an instance
+// share: instance@address.
 func instanceOf(id bbunit.HolderID) string {
 	s := string(id)
 	if i := strings.LastIndexByte(s, '/'); i >= 0 {
