--- a/shared/bbplace/place.go
+++ b/shared/bbplace/place.go
@@ -55,7 +55,7 @@
 	prefillUntil atomic.Int64  // estimated end of queued prefills, on the same clock
 }
 
-// loadReport is a load report of a target.
+// loadReport is the last load report of a target.
 type loadReport struct {
 	running, waiting, slots int
 	ownInFlight             int64 // requests of this instance in flight at receivedAt
--- a/shared/bbshare/allocator.go
+++ b/shared/bbshare/allocator.go
@@ -25,9 +25,10 @@
 	// MaxHeld bounds the shares of all holders together, as a fraction of the free
 	// tokens. Each holder's part of it is proportional to what it has spent.
 	MaxHeld float64
-	// MaxHeld shrinks in proportion to the tokens lost with killed instances, down
-	// to MinScale of its value as the loss nears LossLimit, a fraction of what the
-	// account has paid. Instances that keep crashing thus get small shares.
+	// MaxHeld shrinks linearly with the tokens lost with killed instances. It would
+	// reach 0 at a loss of LossLimit, a fraction of what the account has paid, but
+	// keeps at least MinScale of its value. Instances that keep crashing thus get
+	// small shares.
 	LossLimit, MinScale float64
 	// PriorSpent is the spending that all holders together are assumed to have
 	// before any is recorded, as a fraction of what the account has paid.
@@ -50,8 +51,8 @@
 	return Policy{Horizon: 15 * time.Second, RefillBelow: 0.7, MinShare: 0.005, MaxHeld: 0.25, LossLimit: 0.1, MinScale: 0.2, PriorSpent: 0.016, MaxRows: 32}
 }
 
-// unmetPrefetchFactor multiplies the unmet demand to get the desired share while
-// the measured demand is still too low.
+// unmetPrefetchFactor is the least desired share as a multiple of the unmet demand.
+// It matters while the measured demand lags behind the real one.
 const unmetPrefetchFactor = 3
 
 // demandSmoothing is the weight of one second in the moving average of demand.
--- a/shared/bbshare/balance.go
+++ b/shared/bbshare/balance.go
@@ -2,7 +2,7 @@
 // The platform's store has one row per account, which records how many tokens each
 // holder has been granted. Rows change by compare-and-swap only. The grants of a
 // row never exceed what the account has paid, and an instance never spends more
-// than it was granted, so network partitions, pauses, crashes and lost answers
+// than it was granted or lent, so network partitions, pauses, crashes and lost answers
 // cannot cause overspending. The package reads no clock and does no I/O.
 package bbshare
 
--- a/shared/bbshare/home.go
+++ b/shared/bbshare/home.go
@@ -21,7 +21,7 @@
 }
 
 // DefaultHomePolicy returns a policy whose shares outlast several seconds without
-// contact to the home.
+// contact with the home.
 func DefaultHomePolicy() HomePolicy { return HomePolicy{Horizon: 14 * time.Second, RefillBelow: 0.85} }
 
 // SetHome sets whether this instance is the home of an account, and whether the
