--- a/shared/bbplace/place.go
+++ b/shared/bbplace/place.go
@@ -164,8 +164,8 @@
 
 // Reasons why no target was chosen.
 const (
-	// ReasonNoneUsable means that every target is leaving, excluded, backing off or
-	// behind an open circuit breaker.
+	// ReasonNoneUsable means that there are no targets, or that every target is
+	// leaving, excluded, backing off or behind an open circuit breaker.
 	ReasonNoneUsable Reason = iota
 	// ReasonAllFull means that all usable targets have reached maxLoad.
 	ReasonAllFull
