--- a/shared/bbledger/allocator.go
+++ b/shared/bbledger/allocator.go
@@ -71,245 +71,245 @@
 // instances. Several keepers of a page, also of one failure domain, are safe
 // together: each hands out only what the page says that it has drawn.
 type Allocator struct {
-	page   int
-	self   bbmember.Member
-	peer   Peer
-	policy Policy
-	next   func() uint64
+	pageNumber       int
+	self             bbmember.Member
+	peer             Peer
+	policy           Policy
+	nextHolderNumber func() uint64
 
-	now   time.Time
-	out   []any
-	view  *bbmember.View
-	state *bbticket.State
+	now     time.Time
+	actions []any
+	view    *bbmember.View
+	state   *bbticket.State
 
-	holder   bbunit.HolderID
-	opened   bool // the page is known to name the holder
-	maybe    bool // a write that opens the holder may have landed
-	accounts map[bbunit.BudgetID]*account
-	order    []*account // by budget
-	wants    []*want
+	holder         bbunit.HolderID
+	onPage         bool // the page is known to name the holder
+	maybeOnPage    bool // a write that opens the holder may have landed
+	allocations    map[bbunit.BudgetID]*allocation
+	allocationList []*allocation // by budget
+	wants          []*want
 
-	cache *bbwire.Page
-	rev   bbstore.Revision
-	read  time.Time
-	stale bool
-	limbo bool // a write at rev may still land
-	busy  bool // a Load or Save is out
-	save  *bbwire.Page
-	retry time.Time
-	pause time.Duration
+	page           *bbwire.Page
+	rev            bbstore.Revision
+	lastReadAt     time.Time
+	needsRead      bool
+	writeUncertain bool // a write at rev may still land
+	callInFlight   bool // a Load or Save is out
+	pendingPage    *bbwire.Page
+	retryAt        time.Time
+	backoff        time.Duration
 
-	witness Peer
-	seq     uint64
-	mark    *pendingMark
-	move    *move
-	suspect map[Peer]time.Time
+	witness       Peer
+	markSeq       uint64
+	pendingMark   *pendingMark
+	witnessChange *witnessChange
+	suspectedAt   map[Peer]time.Time
 
-	jobs     map[bbunit.HolderID]*job
-	retired  map[bbunit.HolderID][]*bbwire.Slice
-	finals   map[finalKey][]*bbwire.Slice
-	place    place
-	scan     *scan
-	asked    time.Time      // when stuck grantees were last asked
-	away     time.Time      // since when the keeper is not home
-	watched  *bbmember.View // by which the grantees were last looked at
-	missing  bool           // a grantee that has money is gone
-	strands  bool           // such a one has been gone for long
-	retiring bool
+	closings       map[bbunit.HolderID]*holderClosing
+	retiredSlices  map[bbunit.HolderID][]*bbwire.Slice
+	finalReports   map[granteeKey][]*bbwire.Slice
+	viewCache      viewSummary
+	summaryCache   *pageSummary
+	stuckAskedAt   time.Time      // when stuck grantees were last asked
+	notHomeSince   time.Time      // since when the keeper is not home
+	checkedView    *bbmember.View // by which the grantees were last looked at
+	granteeMissing bool           // a grantee that has money is gone
+	granteeLost    bool           // such a one has been gone for long
+	retiring       bool
 }
 
 // want is a grantee's open want of one budget.
 type want struct {
-	peer     Peer
-	budget   bbunit.BudgetID
-	amount   bbunit.Tokens
-	least    bbunit.Tokens
-	at       time.Time
-	urgent   bool      // requests wait for it
-	recalled time.Time // when others were asked for what they have free
-	scraped  bool      // lowered to the last that there is
+	grantee    Peer
+	budget     bbunit.BudgetID
+	amount     bbunit.Tokens
+	least      bbunit.Tokens
+	queuedAt   time.Time
+	urgent     bool      // requests wait for it
+	recalledAt time.Time // when others were asked for what they have free
+	partial    bool      // lowered to the last that there is
 }
 
 // NewAllocator returns a keeper of a page. next numbers holders: it must not give
 // a number twice in the life of the instance.
-func NewAllocator(page int, self bbmember.Member, policy Policy, next func() uint64) *Allocator {
-	k := &Allocator{
-		page: page, self: self, peer: PeerOf(self), policy: policy, next: next,
-		view:     &bbmember.View{Self: self, Members: []bbmember.Member{self}},
-		state:    &bbticket.State{},
-		accounts: map[bbunit.BudgetID]*account{},
-		suspect:  map[Peer]time.Time{},
-		jobs:     map[bbunit.HolderID]*job{},
-		retired:  map[bbunit.HolderID][]*bbwire.Slice{},
-		finals:   map[finalKey][]*bbwire.Slice{},
+func NewAllocator(page int, self bbmember.Member, policy Policy, nextHolderNumber func() uint64) *Allocator {
+	al := &Allocator{
+		pageNumber: page, self: self, peer: PeerOf(self), policy: policy, nextHolderNumber: nextHolderNumber,
+		view:          &bbmember.View{Self: self, Members: []bbmember.Member{self}},
+		state:         &bbticket.State{},
+		allocations:   map[bbunit.BudgetID]*allocation{},
+		suspectedAt:   map[Peer]time.Time{},
+		closings:      map[bbunit.HolderID]*holderClosing{},
+		retiredSlices: map[bbunit.HolderID][]*bbwire.Slice{},
+		finalReports:  map[granteeKey][]*bbwire.Slice{},
 	}
-	k.holder = NewHolder(k.peer, page, next())
-	return k
+	al.holder = NewHolder(al.peer, page, nextHolderNumber())
+	return al
 }
 
 // Step takes one event and returns what to do: Load, Save and Send values. At
 // most one Load or Save is out at a time.
-func (k *Allocator) Step(now time.Time, ev any) []any {
-	k.now = now
+func (al *Allocator) Step(now time.Time, ev any) []any {
+	al.now = now
 	switch e := ev.(type) {
 	case Tick:
-		k.tick(e)
+		al.handleTick(e)
 	case GrantRequested:
-		k.ask(e)
+		al.handleRequest(e)
 	case Loaded:
-		k.loaded(e)
+		al.handleLoaded(e)
 	case Saved:
-		k.saved(e)
+		al.handleSaved(e)
 	case MarkAcked:
-		k.acked(e)
+		al.handleMarkAck(e)
 	case Frozen:
-		k.frozen(e)
+		al.handleFrozen(e)
 	case Surrendered:
-		k.surrendered(e)
+		al.handleSurrendered(e)
 	case Refresh:
-		k.stale = true
+		al.needsRead = true
 	case Retire:
-		k.retiring = true
-		k.retire()
+		al.retiring = true
+		al.retireHolder()
 	}
-	k.serve()
-	k.raise()
-	k.store()
-	out := k.out
-	k.out = nil
+	al.serveWants()
+	al.sendMarks()
+	al.startStoreCall()
+	out := al.actions
+	al.actions = nil
 	return out
 }
 
 // Page returns the number of the keeper's page.
-func (k *Allocator) Page() int { return k.page }
+func (al *Allocator) Page() int { return al.pageNumber }
 
 // Holder returns the id that the keeper holds under now.
-func (k *Allocator) Holder() bbunit.HolderID { return k.holder }
+func (al *Allocator) Holder() bbunit.HolderID { return al.holder }
 
 // Closed tells whether a retired keeper has nothing left on the page. Holders of
 // other instances that it was closing are left to the next keeper.
-func (k *Allocator) Closed() bool {
-	for _, j := range k.jobs {
-		if j.own {
+func (al *Allocator) Closed() bool {
+	for _, c := range al.closings {
+		if c.own {
 			return false
 		}
 	}
-	return k.retiring && !k.opened && !k.maybe && !k.busy && !k.limbo
+	return al.retiring && !al.onPage && !al.maybeOnPage && !al.callInFlight && !al.writeUncertain
 }
 
 // Idle tells whether a tick would change nothing.
-func (k *Allocator) Idle() bool {
-	return !k.opened && !k.maybe && !k.busy && !k.limbo && !k.stale && len(k.jobs) == 0 && len(k.wants) == 0 && !k.hasStuck() && !k.hasDead()
+func (al *Allocator) Idle() bool {
+	return !al.onPage && !al.maybeOnPage && !al.callInFlight && !al.writeUncertain && !al.needsRead && len(al.closings) == 0 && len(al.wants) == 0 && !al.hasStuck() && !al.hasDeadHolder()
 }
 
-func (k *Allocator) send(to bbunit.InstanceID, body any) {
-	k.out = append(k.out, Send{To: to, Body: body})
+func (al *Allocator) send(to bbunit.InstanceID, body any) {
+	al.actions = append(al.actions, Send{To: to, Body: body})
 }
 
-func (k *Allocator) tick(t Tick) {
+func (al *Allocator) handleTick(t Tick) {
 	if t.View != nil {
-		k.view = t.View
+		al.view = t.View
 	}
 	if t.State != nil {
-		k.state = t.State
+		al.state = t.State
 	}
-	for _, a := range k.ordered() {
-		a.rate.tick(k.now, k.horizon())
+	for _, a := range al.sortedAllocations() {
+		a.demand.update(al.now, al.drawHorizon())
 	}
-	k.expire()
-	k.watchHome()
-	k.watchWitness()
-	k.watchGrantees()
-	k.watchHolders()
-	k.watchStuck()
+	al.expireWants()
+	al.checkHome()
+	al.checkWitness()
+	al.checkGrantees()
+	al.closeDeadHolders()
+	al.requestStuckReports()
 }
 
-// watchHome retires a keeper that has not been home for a while, once the
+// checkHome retires a keeper that has not been home for a while, once the
 // service can be reached.
-func (k *Allocator) watchHome() {
-	if k.where().home {
-		k.away = time.Time{}
+func (al *Allocator) checkHome() {
+	if al.viewSummary().isHome {
+		al.notHomeSince = time.Time{}
 		return
 	}
-	if k.away.IsZero() {
-		k.away = k.now
+	if al.notHomeSince.IsZero() {
+		al.notHomeSince = al.now
 	}
-	if k.opened && k.pause == 0 && k.now.Sub(k.away) >= retireAfter {
-		k.retire()
+	if al.onPage && al.backoff == 0 && al.now.Sub(al.notHomeSince) >= retireDelay {
+		al.retireHolder()
 	}
 }
 
-// ask merges a grantee's report and queues its wants.
-func (k *Allocator) ask(e GrantRequested) {
-	seen := map[bbunit.BudgetID]bbunit.Tokens{}
+// handleRequest merges a grantee's report and queues its wants.
+func (al *Allocator) handleRequest(e GrantRequested) {
+	knownGranted := map[bbunit.BudgetID]bbunit.Tokens{}
 	for _, s := range e.Msg.Slices {
 		if s.Grantee != e.From.String() {
 			continue
 		}
-		if s.Holder != string(k.holder) {
-			k.reportClosing(s)
+		if s.Holder != string(al.holder) {
+			al.reportToClosing(s)
 			continue
 		}
 		b := bbunit.BudgetID(s.Budget)
-		seen[b] = bbunit.Tokens(s.Granted)
-		if a := k.accounts[b]; a != nil {
-			a.report(e.From, s)
+		knownGranted[b] = bbunit.Tokens(s.Granted)
+		if a := al.allocations[b]; a != nil {
+			a.mergeReport(e.From, s)
 		}
 	}
-	if k.retiring {
+	if al.retiring {
 		return
 	}
 	for _, w := range e.Msg.Wants {
 		b := bbunit.BudgetID(w.Budget)
-		if w.Least < 1 || w.Amount < w.Least || PageOf(b) != k.page {
+		if w.Least < 1 || w.Amount < w.Least || PageOf(b) != al.pageNumber {
 			continue
 		}
-		a := k.account(b)
-		if a.share(e.From).stranded {
-			k.retire() // a new holder may grant to it again
+		a := al.allocation(b)
+		if a.grant(e.From).stuck {
+			al.retireHolder() // a new holder may grant to it again
 		}
-		if a.share(e.From).granted > seen[b] {
-			k.tell(e.From, a) // the last answer was lost
+		if a.grant(e.From).granted > knownGranted[b] {
+			al.sendSlice(e.From, a) // the last answer was lost
 			continue
 		}
-		k.missing = k.missing || !k.where().alive[e.From]
-		k.queue(&want{peer: e.From, budget: b, amount: bbunit.Tokens(w.Amount), least: bbunit.Tokens(w.Least), at: k.now, urgent: w.Urgent})
+		al.granteeMissing = al.granteeMissing || !al.viewSummary().alivePeers[e.From]
+		al.queueWant(&want{grantee: e.From, budget: b, amount: bbunit.Tokens(w.Amount), least: bbunit.Tokens(w.Least), queuedAt: al.now, urgent: w.Urgent})
 	}
 }
 
-// queue replaces the grantee's older want of the budget.
-func (k *Allocator) queue(w *want) {
-	for i, x := range k.wants {
-		if x.peer == w.peer && x.budget == w.budget {
-			w.at, w.recalled = x.at, x.recalled
-			k.wants[i] = w
+// queueWant replaces the grantee's older want of the budget.
+func (al *Allocator) queueWant(w *want) {
+	for i, x := range al.wants {
+		if x.grantee == w.grantee && x.budget == w.budget {
+			w.queuedAt, w.recalledAt = x.queuedAt, x.recalledAt
+			al.wants[i] = w
 			return
 		}
 	}
-	k.wants = append(k.wants, w)
+	al.wants = append(al.wants, w)
 }
 
-// expire drops wants that could not be met in time.
-func (k *Allocator) expire() {
-	kept := k.wants[:0]
-	for _, w := range k.wants {
-		if k.now.Sub(w.at) < askFor {
+// expireWants drops wants that could not be met in time.
+func (al *Allocator) expireWants() {
+	kept := al.wants[:0]
+	for _, w := range al.wants {
+		if al.now.Sub(w.queuedAt) < wantTimeout {
 			kept = append(kept, w)
 		}
 	}
-	k.wants = kept
+	al.wants = kept
 }
 
-func (k *Allocator) account(b bbunit.BudgetID) *account {
-	a := k.accounts[b]
+func (al *Allocator) allocation(b bbunit.BudgetID) *allocation {
+	a := al.allocations[b]
 	if a == nil {
-		a = &account{budget: b, shares: map[Peer]*share{}}
-		k.accounts[b] = a
-		at, _ := slices.BinarySearchFunc(k.order, b, func(x *account, b bbunit.BudgetID) int { return cmp.Compare(x.budget, b) })
-		k.order = slices.Insert(k.order, at, a)
+		a = &allocation{budget: b, grants: map[Peer]*grant{}}
+		al.allocations[b] = a
+		at, _ := slices.BinarySearchFunc(al.allocationList, b, func(x *allocation, b bbunit.BudgetID) int { return cmp.Compare(x.budget, b) })
+		al.allocationList = slices.Insert(al.allocationList, at, a)
 	}
 	return a
 }
 
-// ordered returns the accounts in the order of their budgets.
-func (k *Allocator) ordered() []*account { return k.order }
+// sortedAllocations returns the accounts in the order of their budgets.
+func (al *Allocator) sortedAllocations() []*allocation { return al.allocationList }
--- a/shared/bbledger/allocator_store.go
+++ b/shared/bbledger/allocator_store.go
@@ -8,86 +8,86 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// down tells whether calls of the service failed in a row.
-func (k *Allocator) down() bool { return k.pause > backoffLeast }
+// storeDown tells whether calls of the service failed in a row.
+func (al *Allocator) storeDown() bool { return al.backoff > minBackoff }
 
-// backoff pauses the use of the service after a failed call.
-func (k *Allocator) backoff() {
-	k.pause = min(max(2*k.pause, backoffLeast), backoffMost)
-	k.retry = k.now.Add(k.pause)
+// startBackoff pauses the use of the service after a failed call.
+func (al *Allocator) startBackoff() {
+	al.backoff = min(max(2*al.backoff, minBackoff), maxBackoff)
+	al.retryAt = al.now.Add(al.backoff)
 }
 
-// store starts the next call of the service, if one is needed.
-func (k *Allocator) store() {
-	if k.busy || k.now.Before(k.retry) {
+// startStoreCall starts the next call of the service, if one is needed.
+func (al *Allocator) startStoreCall() {
+	if al.callInFlight || al.now.Before(al.retryAt) {
 		return
 	}
-	if k.stale || k.cache == nil && (len(k.wants) > 0 || k.opened || k.maybe || len(k.jobs) > 0) {
-		k.stale, k.busy = false, true
-		k.out = append(k.out, Load{})
+	if al.needsRead || al.page == nil && (len(al.wants) > 0 || al.onPage || al.maybeOnPage || len(al.closings) > 0) {
+		al.needsRead, al.callInFlight = false, true
+		al.actions = append(al.actions, Load{})
 		return
 	}
-	if k.cache == nil {
+	if al.page == nil {
 		return
 	}
-	if !k.needsWrite() {
+	if !al.needsWrite() {
 		return
 	}
-	next := clonePage(k.cache)
-	if !k.edit(next) {
+	next := clonePage(al.page)
+	if !al.editPage(next) {
 		return
 	}
-	for _, a := range k.accounts {
-		a.usable(findHolder(findEntry(next, a.budget), k.holder))
+	for _, a := range al.allocations {
+		a.lowerDrawLimit(findHolder(findEntry(next, a.budget), al.holder))
 	}
-	k.busy, k.save = true, next
-	k.out = append(k.out, Save{Page: next, Prev: k.rev})
+	al.callInFlight, al.pendingPage = true, next
+	al.actions = append(al.actions, Save{Page: next, Prev: al.rev})
 }
 
-// loaded takes the page as it stands.
-func (k *Allocator) loaded(e Loaded) {
-	k.busy = false
+// handleLoaded takes the page as it stands.
+func (al *Allocator) handleLoaded(e Loaded) {
+	al.callInFlight = false
 	if e.Err != nil {
-		k.stale = true
-		k.backoff()
+		al.needsRead = true
+		al.startBackoff()
 		return
 	}
-	k.pause = 0
-	landed := k.limbo && e.Rev == k.rev
-	k.cache, k.rev, k.read = e.Page, e.Rev, k.now
-	if landed {
+	al.backoff = 0
+	unchanged := al.writeUncertain && e.Rev == al.rev
+	al.page, al.rev, al.lastReadAt = e.Page, e.Rev, al.now
+	if unchanged {
 		return // nothing landed yet, and it still may
 	}
-	k.limbo = false
-	k.adopt()
+	al.writeUncertain = false
+	al.adoptPage()
 }
 
-// saved takes the outcome of a write.
-func (k *Allocator) saved(e Saved) {
-	next := k.save
-	k.busy, k.save = false, nil
+// handleSaved takes the outcome of a write.
+func (al *Allocator) handleSaved(e Saved) {
+	written := al.pendingPage
+	al.callInFlight, al.pendingPage = false, nil
 	switch {
 	case e.Err == nil:
-		k.pause = 0
-		k.cache, k.rev, k.read, k.limbo = next, e.Rev, k.now, false
-		k.adopt()
+		al.backoff = 0
+		al.page, al.rev, al.lastReadAt, al.writeUncertain = written, e.Rev, al.now, false
+		al.adoptPage()
 	case errors.Is(e.Err, bbstore.ErrConflict):
-		k.pause = 0
-		k.stale = true
+		al.backoff = 0
+		al.needsRead = true
 	case errors.Is(e.Err, bbstore.ErrDown), errors.Is(e.Err, bbstore.ErrTooLarge):
-		k.backoff()
-		if !k.limbo {
-			k.adopt()
+		al.startBackoff()
+		if !al.writeUncertain {
+			al.adoptPage()
 		}
 	default:
-		k.limbo, k.stale = true, true
-		k.maybe = k.maybe || names(next, k.holder)
-		k.backoff()
+		al.writeUncertain, al.needsRead = true, true
+		al.maybeOnPage = al.maybeOnPage || namesHolder(written, al.holder)
+		al.startBackoff()
 	}
 }
 
-// names tells whether any entry of the page names the holder.
-func names(p *bbwire.Page, h bbunit.HolderID) bool {
+// namesHolder tells whether any entry of the page names the holder.
+func namesHolder(p *bbwire.Page, h bbunit.HolderID) bool {
 	for _, e := range p.Entries {
 		if findHolder(e, h) != nil {
 			return true
@@ -96,30 +96,30 @@
 	return false
 }
 
-// adopt takes over what the page says of the own holder. It is called only when
+// adoptPage takes over what the page says of the own holder. It is called only when
 // no write of this keeper can land any more.
-func (k *Allocator) adopt() {
-	found, lost := false, false
+func (al *Allocator) adoptPage() {
+	found, vanished := false, false
 	var witness Peer
-	for _, a := range k.ordered() {
-		h := findHolder(findEntry(k.cache, a.budget), k.holder)
+	for _, a := range al.sortedAllocations() {
+		h := findHolder(findEntry(al.page, a.budget), al.holder)
 		if h == nil {
-			lost = lost || a.open
-			a.drawn = 0
+			vanished = vanished || a.onPage
+			a.drawLimit = 0
 			continue
 		}
-		found, a.open = true, true
-		a.drawn, a.seq = bbunit.Tokens(h.Drawn), h.Seq
-		k.adoptStrands(a)
+		found, a.onPage = true, true
+		a.drawLimit, a.seq = bbunit.Tokens(h.Drawn), h.Seq
+		al.adoptStuck(a)
 		witness = ParsePeer(h.Witness)
 	}
-	if lost || k.maybe && !found {
-		k.retire()
+	if vanished || al.maybeOnPage && !found {
+		al.retireHolder()
 		return
 	}
-	k.maybe, k.opened = false, found
+	al.maybeOnPage, al.onPage = false, found
 	if found {
-		k.settleMove(witness)
+		al.finishWitnessChange(witness)
 	}
-	k.pruneJobs()
+	al.pruneClosings()
 }
--- a/shared/bbledger/bench_test.go
+++ b/shared/bbledger/bench_test.go
@@ -13,119 +13,119 @@
 // BenchmarkReserve is the budget decision of a request: reserve and end.
 func BenchmarkReserve(b *testing.B) {
 	p := NewWallet(bbmember.Member{ID: "g", Inc: 1, Domain: "e"}, simPolicy)
-	p.HandleGrant(time.Unix(1000, 0), "d", grantOf("k/1/0-1", int64(MaxPaid)))
+	p.HandleGrant(time.Unix(1000, 0), "d", grantMessage("k/1/0-1", int64(MaxPaid)))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			pot := p.Balance("b")
-			if !pot.Reserve(10) {
+			bal := p.Balance("b")
+			if !bal.Reserve(10) {
 				b.Error("no share")
 				return
 			}
-			pot.Commit(10, 0)
+			bal.Commit(10, 0)
 		}
 	})
 }
 
-// load is a stream of requests against a sim.
-type load struct {
-	s       *sim
-	wait    time.Duration // longest wait for a share
-	lasts   time.Duration // of a request
-	most    bbunit.Tokens
-	used    bbunit.Tokens
-	open    []loadReq
-	done    int
-	refused int
-	falsely int // refused while the budget had money that nobody had spent
-	plenty  int // refused while that was a second's demand or more
+// loadGen is a stream of requests against a sim.
+type loadGen struct {
+	s                 *sim
+	maxWait           time.Duration // longest wait for a share
+	duration          time.Duration // of a request
+	reserved          bbunit.Tokens
+	used              bbunit.Tokens
+	open              []loadRequest
+	done              int
+	refused           int
+	falselyRefused    int // refused while the budget had money that nobody had spent
+	refusedWithPlenty int // refused while that was a second's demand or more
 }
 
-type loadReq struct {
-	n      *node
-	b      bbunit.BudgetID
-	until  time.Time
-	served bool
+type loadRequest struct {
+	node     *simNode
+	budget   bbunit.BudgetID
+	deadline time.Time
+	served   bool
 }
 
-// aSecond is what the requests of a second may cost in TestBenchBaselines.
-const aSecond = 1200
+// secondOfDemand is what the requests of a second may cost in TestBenchBaselines.
+const secondOfDemand = 1200
 
-func newLoad(s *sim) *load {
-	return &load{s: s, wait: 400 * time.Millisecond, lasts: 200 * time.Millisecond, most: 10, used: 8}
+func newLoad(s *sim) *loadGen {
+	return &loadGen{s: s, maxWait: 400 * time.Millisecond, duration: 200 * time.Millisecond, reserved: 10, used: 8}
 }
 
-// offer starts a request.
-func (l *load) offer(n *node, b bbunit.BudgetID) {
+// startRequest starts a request.
+func (l *loadGen) startRequest(n *simNode, b bbunit.BudgetID) {
 	if n.dead || n.paused {
 		return
 	}
-	l.open = append(l.open, loadReq{n: n, b: b, until: l.s.now.Add(l.wait)})
+	l.open = append(l.open, loadRequest{node: n, budget: b, deadline: l.s.now.Add(l.maxWait)})
 }
 
 // step reserves for waiting requests and ends those that have run.
-func (l *load) step() {
+func (l *loadGen) step() {
 	kept := l.open[:0]
 	for _, r := range l.open {
-		if l.advance(&r) {
+		if l.advanceRequest(&r) {
 			kept = append(kept, r)
 		}
 	}
 	l.open = kept
 }
 
-func (l *load) advance(r *loadReq) bool {
+func (l *loadGen) advanceRequest(r *loadRequest) bool {
 	switch {
-	case r.n.dead || r.n.paused:
-		return !r.n.dead
-	case r.served && !l.s.now.Before(r.until):
-		l.s.end(r.n, 0, l.used)
+	case r.node.dead || r.node.paused:
+		return !r.node.dead
+	case r.served && !l.s.now.Before(r.deadline):
+		l.s.commit(r.node, 0, l.used)
 		l.done++
 		return false
 	case r.served:
 		return true
-	case l.s.reserve(r.n, r.b, l.most):
-		r.served, r.until = true, l.s.now.Add(l.lasts)
+	case l.s.reserve(r.node, r.budget, l.reserved):
+		r.served, r.deadline = true, l.s.now.Add(l.duration)
 		return true
-	case !l.s.now.Before(r.until):
+	case !l.s.now.Before(r.deadline):
 		l.refused++
-		if l.s.paid(r.b)-l.s.spent[r.b] >= l.most {
-			l.falsely++
+		if l.s.paid(r.budget)-l.s.spent[r.budget] >= l.reserved {
+			l.falselyRefused++
 		}
-		if l.s.paid(r.b)-l.s.spent[r.b] >= aSecond {
-			l.plenty++
+		if l.s.paid(r.budget)-l.s.spent[r.budget] >= secondOfDemand {
+			l.refusedWithPlenty++
 		}
 		return false
 	}
 	return true
 }
 
-// each runs for d, and offers perTick requests a tick, spread over instances
+// run runs for d, and offers perTick requests a tick, spread over instances
 // and budgets.
-func (l *load) each(d time.Duration, perTick int, at func(time.Duration)) {
+func (l *loadGen) run(d time.Duration, perTick int, at func(time.Duration)) {
 	start, i := l.s.now, 0
-	l.s.settle(d, func() {
+	l.s.runFor(d, func() {
 		if at != nil {
 			at(l.s.now.Sub(start))
 		}
-		live := l.s.live()
+		live := l.s.liveNodes()
 		for range perTick {
-			l.offer(live[i%len(live)], l.s.budgets[(i/len(live))%len(l.s.budgets)])
+			l.startRequest(live[i%len(live)], l.s.budgets[(i/len(live))%len(l.s.budgets)])
 			i++
 		}
 		l.step()
 		for range 3 {
-			l.s.calm()
+			l.s.runUntilQuiet()
 			l.step()
 		}
 	})
 }
 
-func benchSim(t testing.TB, domains, each, budgets int, policy Policy) *sim {
-	s := newSim(domains, each, policy, t.Fatalf)
+func benchSim(t testing.TB, domains, instancesPerDomain, budgets int, policy Policy) *sim {
+	s := newSim(domains, instancesPerDomain, policy, t.Fatalf)
 	s.budgets = samePage(budgets)
 	for _, b := range s.budgets {
-		s.pay(b, 1_000_000)
+		s.setPaid(b, 1_000_000)
 	}
 	return s
 }
@@ -139,8 +139,8 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// tell prints a line of a table in the first round of a benchmark.
-func tell(t testing.TB, round int, format string, args ...any) {
+// logRow prints a line of a table in the first round of a benchmark.
+func logRow(t testing.TB, round int, format string, args ...any) {
 	if round == 0 {
 		t.Logf(format, args...)
 	}
@@ -176,33 +176,33 @@
 // BenchmarkBaselines compares shares with a central counter and time leases.
 func BenchmarkBaselines(b *testing.B) {
 	for i := 0; b.Loop(); i++ {
-		compareSchemes(b, i)
+		compareWithBaselines(b, i)
 	}
 }
 
 func TestBenchStuckAtKill(t *testing.T) { stuckAtKill(t, 0) }
 
-func TestBenchBaselines(t *testing.T) { compareSchemes(t, 0) }
+func TestBenchBaselines(t *testing.T) { compareWithBaselines(t, 0) }
 
 // countWrites prints a row a size, and the slope.
 func countWrites(t testing.TB, round int, what string, sizes []int, build func(testing.TB, int) *sim) {
 	const perTick, span = 20, 20 * time.Second
 	var x, y []float64
-	tell(t, round, "%-10s %10s %10s %10s %22s", what, "requests", "writes", "reads", "writes/1000 requests")
+	logRow(t, round, "%-10s %10s %10s %10s %22s", what, "requests", "writes", "reads", "writes/1000 requests")
 	for _, n := range sizes {
 		s := build(t, n)
 		l := newLoad(s)
-		l.each(5*time.Second, perTick, nil)
+		l.run(5*time.Second, perTick, nil)
 		done, writes, loads := l.done, s.writes, s.loads
-		l.each(span, perTick, nil)
+		l.run(span, perTick, nil)
 		per := float64(s.writes-writes) / float64(l.done-done) * 1000
-		tell(t, round, "%-10d %10d %10d %10d %22.2f", n, l.done-done, s.writes-writes, s.loads-loads, per)
+		logRow(t, round, "%-10d %10d %10d %10d %22.2f", n, l.done-done, s.writes-writes, s.loads-loads, per)
 		x, y = append(x, float64(n)), append(y, per)
 		if l.refused > 0 {
 			t.Errorf("%d refused with %d %s", l.refused, n, what)
 		}
 	}
-	tell(t, round, "slope: %.4f writes for 1,000 requests for each of %s", slope(x, y), what)
+	logRow(t, round, "slope: %.4f writes for 1,000 requests for each of %s", slope(x, y), what)
 }
 
 func stuckAtKill(t testing.TB, round int) {
@@ -213,38 +213,38 @@
 		{"fjarrgrav", Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}},
 		{"hraunberg", Policy{DrawHorizon: 2 * time.Second, UnwitnessedHorizon: 500 * time.Millisecond, GrantHorizon: 500 * time.Millisecond}},
 	} {
-		tell(t, round, "%-10s %-8s %14s %14s %12s %12s", p.name, "killed", "drawn at kill", "a horizon's", "stuck after", "back after")
+		logRow(t, round, "%-10s %-8s %14s %14s %12s %12s", p.name, "killed", "drawn at kill", "a horizon's", "stuck after", "back after")
 		for i := range 3 {
 			s := benchSim(t, 2, 3, 1, p.policy)
 			l := newLoad(s)
-			l.each(20*time.Second, 6, nil)
+			l.run(20*time.Second, 6, nil)
 			b, n := s.budgets[0], s.nodes[i]
-			before := StatusOf(entryOrNew(s.page, b))
+			before := StatusOf(entryOrEmpty(s.page, b))
 			var held bbunit.Tokens
 			for _, h := range before.Holders {
 				if HolderPeer(h.Holder) == PeerOf(n.member) {
 					held = h.Drawn - h.Spent
 				}
 			}
-			rate := 6 * float64(l.most) / TickInterval.Seconds() / 2 // of the failure domain
+			rate := 6 * float64(l.reserved) / TickInterval.Seconds() / 2 // of the failure domain
 			s.crash(n)
-			s.showAll()
+			s.refreshViews()
 			back, at := time.Duration(-1), s.now
 			for range 200 {
-				l.each(TickInterval, 6, func(time.Duration) {
-					for _, x := range s.live() {
-						s.do(x, x.keeper.Step(s.now, Refresh{}))
+				l.run(TickInterval, 6, func(time.Duration) {
+					for _, x := range s.liveNodes() {
+						s.perform(x, x.keeper.Step(s.now, Refresh{}))
 					}
 				})
-				if back < 0 && !names(s.page, NewHolder(PeerOf(n.member), PageOf(b), 1)) {
+				if back < 0 && !namesHolder(s.page, NewHolder(PeerOf(n.member), PageOf(b), 1)) {
 					back = s.now.Sub(at)
 				}
 			}
 			s.heal()
-			s.settle(10*time.Second, nil)
-			stuck := StatusOf(entryOrNew(s.page, b)).Stuck
+			s.runFor(10*time.Second, nil)
+			stuck := StatusOf(entryOrEmpty(s.page, b)).Stuck
 			limit := bbunit.Tokens(math.Ceil(rate * p.policy.DrawHorizon.Seconds()))
-			tell(t, round, "%-10s %-8s %14d %14d %12d %12s", "", n.member.ID, held, limit, stuck, back)
+			logRow(t, round, "%-10s %-8s %14d %14d %12d %12s", "", n.member.ID, held, limit, stuck, back)
 			if stuck > limit {
 				t.Errorf("%d stuck, a horizon is worth %d", stuck, limit)
 			}
@@ -254,14 +254,14 @@
 
 // baseline is a scheme that decides without shares.
 type baseline struct {
-	paid, taken bbunit.Tokens // taken: what the service counts
-	spent       bbunit.Tokens
-	refused     int
-	falsely     int
-	plenty      int
-	lease       map[*node]*lease
-	budget      float64 // writes that the service still takes
-	writes      int
+	paid, charged     bbunit.Tokens // taken: what the service counts
+	spent             bbunit.Tokens
+	refused           int
+	falselyRefused    int
+	refusedWithPlenty int
+	leases            map[*simNode]*lease
+	writeBudget       float64 // writes that the service still takes
+	writes            int
 }
 
 type lease struct {
@@ -272,41 +272,41 @@
 func (c *baseline) refuse(most bbunit.Tokens) {
 	c.refused++
 	if c.paid-c.spent >= most {
-		c.falsely++
+		c.falselyRefused++
 	}
-	if c.paid-c.spent >= aSecond {
-		c.plenty++
+	if c.paid-c.spent >= secondOfDemand {
+		c.refusedWithPlenty++
 	}
 }
 
-// counter is one call of the service for each request.
-func (c *baseline) counter(up bool, most, used bbunit.Tokens) {
+// spendCentrally is one call of the service for each request.
+func (c *baseline) spendCentrally(up bool, most, used bbunit.Tokens) {
 	c.writes++
-	if c.budget--; !up || c.budget < 0 || c.paid-c.taken < most {
+	if c.writeBudget--; !up || c.writeBudget < 0 || c.paid-c.charged < most {
 		c.refuse(most)
 		return
 	}
-	c.taken += used
+	c.charged += used
 	c.spent += used
 }
 
-// leased spends from a share that the service takes back when its time is over.
+// spendLeased spends from a share that the service takes back when its time is over.
 // A holder that was paused has checked its lease before, and spends after.
-func (c *baseline) leased(n *node, now time.Time, up, resumed bool, most, used bbunit.Tokens) {
+func (c *baseline) spendLeased(n *simNode, now time.Time, up, resumed bool, most, used bbunit.Tokens) {
 	const share, ttl = bbunit.Tokens(400), 2 * time.Second
-	l := c.lease[n]
+	l := c.leases[n]
 	if l == nil {
 		l = &lease{}
-		c.lease[n] = l
+		c.leases[n] = l
 	}
 	if now.After(l.until) && !resumed {
 		l.left = 0
 	}
 	if l.left < most && up {
 		c.writes++
-		c.taken -= l.left
-		l.left = min(share, c.paid-c.taken)
-		c.taken += l.left
+		c.charged -= l.left
+		l.left = min(share, c.paid-c.charged)
+		c.charged += l.left
 		l.until = now.Add(ttl)
 	}
 	if l.left < most {
@@ -317,63 +317,63 @@
 	c.spent += used
 }
 
-// reclaim takes back, by time, the shares whose lease is over.
-func (c *baseline) reclaim(now time.Time) {
-	for _, l := range c.lease {
+// reclaimExpired takes back, by time, the shares whose lease is over.
+func (c *baseline) reclaimExpired(now time.Time) {
+	for _, l := range c.leases {
 		if now.After(l.until) && l.left > 0 && !l.until.IsZero() {
-			c.taken -= l.left
+			c.charged -= l.left
 			l.until = time.Time{}
 		}
 	}
 }
 
-func compareSchemes(t testing.TB, round int) {
+func compareWithBaselines(t testing.TB, round int) {
 	const perTick = 6
 	const serviceWrites = 300 // a second
 	policy := Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}
 	s := benchSim(t, 2, 3, 1, policy)
 	b := s.budgets[0]
-	s.pay(b, 40_000)
+	s.setPaid(b, 40_000)
 	l := newLoad(s)
 	counter := &baseline{paid: 40_000}
-	leases := &baseline{paid: 40_000, lease: map[*node]*lease{}}
+	leases := &baseline{paid: 40_000, leases: map[*simNode]*lease{}}
 	paused := s.nodes[1]
 	resumed := 0
 	i := 0
-	l.each(70*time.Second, perTick, func(at time.Duration) {
-		schedule(s, paused, at)
+	l.run(70*time.Second, perTick, func(at time.Duration) {
+		scheduleFaults(s, paused, at)
 		if at == 40*time.Second {
-			s.pay(b, 48_000)
+			s.setPaid(b, 48_000)
 			counter.paid, leases.paid = 48_000, 48_000
 		}
-		if at == resumesAt {
+		if at == resumeAt {
 			resumed = 40
 		}
-		counter.budget = min(counter.budget+serviceWrites*TickInterval.Seconds(), serviceWrites)
-		leases.reclaim(s.now)
+		counter.writeBudget = min(counter.writeBudget+serviceWrites*TickInterval.Seconds(), serviceWrites)
+		leases.reclaimExpired(s.now)
 		for range perTick {
 			n := s.nodes[i%len(s.nodes)]
 			i++
 			if n.paused {
 				continue
 			}
-			up := !s.offline[n.member.Domain]
-			counter.counter(up, l.most, l.used)
+			up := !s.storeDown[n.member.Domain]
+			counter.spendCentrally(up, l.reserved, l.used)
 			late := n == paused && resumed > 0
 			if late {
 				resumed--
 			}
-			leases.leased(n, s.now, up, late, l.most, l.used)
+			leases.spendLeased(n, s.now, up, late, l.reserved, l.used)
 		}
 	})
 	spent := s.spent[b]
-	tell(t, round, "%-22s %9s %9s %9s %9s %9s %9s %9s", "scheme", "paid", "spent", "overspend", "refused", "falsely", "plenty", "writes")
+	logRow(t, round, "%-22s %9s %9s %9s %9s %9s %9s %9s", "scheme", "paid", "spent", "overspend", "refused", "falsely", "plenty", "writes")
 	row := func(name string, paid, spent bbunit.Tokens, refused, falsely, plenty, writes int) {
-		tell(t, round, "%-22s %9d %9d %9d %9d %9d %9d %9d", name, paid, spent, max(0, spent-paid), refused, falsely, plenty, writes)
+		logRow(t, round, "%-22s %9d %9d %9d %9d %9d %9d %9d", name, paid, spent, max(0, spent-paid), refused, falsely, plenty, writes)
 	}
-	row("shares by CAS", s.paid(b), spent, l.refused, l.falsely, l.plenty, s.writes)
-	row("central counter", counter.paid, counter.spent, counter.refused, counter.falsely, counter.plenty, counter.writes)
-	row("time leases", leases.paid, leases.spent, leases.refused, leases.falsely, leases.plenty, leases.writes)
+	row("shares by CAS", s.paid(b), spent, l.refused, l.falselyRefused, l.refusedWithPlenty, s.writes)
+	row("central counter", counter.paid, counter.spent, counter.refused, counter.falselyRefused, counter.refusedWithPlenty, counter.writes)
+	row("time leases", leases.paid, leases.spent, leases.refused, leases.falselyRefused, leases.refusedWithPlenty, leases.writes)
 	if spent > s.paid(b) {
 		t.Error("shares overspent")
 	}
@@ -382,34 +382,34 @@
 	}
 }
 
-// resumesAt is when the paused instance of the schedule goes on.
-const resumesAt = 65 * time.Second
+// resumeAt is when the paused instance of the schedule goes on.
+const resumeAt = 65 * time.Second
 
-// schedule puts the faults of the comparison in force: an outage of the service,
+// scheduleFaults puts the faults of the comparison in force: an outage of the service,
 // a cut of one failure domain from all, and a pause over the end of the budget.
-func schedule(s *sim, paused *node, at time.Duration) {
+func scheduleFaults(s *sim, paused *simNode, at time.Duration) {
 	switch at {
 	case 10 * time.Second:
-		s.offline["a"], s.offline["b"] = true, true
+		s.storeDown["a"], s.storeDown["b"] = true, true
 	case 18 * time.Second:
-		s.offline["a"], s.offline["b"] = false, false
+		s.storeDown["a"], s.storeDown["b"] = false, false
 	case 25 * time.Second:
-		s.offline["a"] = true
-		s.cut[[2]bbunit.DomainID{"a", "b"}], s.cut[[2]bbunit.DomainID{"b", "a"}] = true, true
+		s.storeDown["a"] = true
+		s.partitioned[[2]bbunit.DomainID{"a", "b"}], s.partitioned[[2]bbunit.DomainID{"b", "a"}] = true, true
 	case 33 * time.Second:
-		s.cut = map[[2]bbunit.DomainID]bool{}
+		s.partitioned = map[[2]bbunit.DomainID]bool{}
 	case 36 * time.Second:
-		s.offline["a"] = false
+		s.storeDown["a"] = false
 	case 42 * time.Second:
 		paused.paused = true
-	case resumesAt:
+	case resumeAt:
 		paused.paused = false
 	}
 }
 
-// BenchmarkAsks is one pass of the loop of an instance that holds 2,000 budgets,
+// BenchmarkDueMessages is one pass of the loop of an instance that holds 2,000 budgets,
 // in a fleet of 1,500, between two ticks with one budget short.
-func BenchmarkAsks(b *testing.B) {
+func BenchmarkDueMessages(b *testing.B) {
 	v := &bbmember.View{}
 	for i := range 1500 {
 		v.Members = append(v.Members, bbmember.Member{ID: bbunit.InstanceID(fmt.Sprintf("i%d", i)), Inc: 1, Domain: bbunit.DomainID(fmt.Sprintf("d%d", i%35))})
@@ -420,10 +420,10 @@
 	}
 	now := time.Unix(1000, 0)
 	p.DueMessages(now, v)
-	pot := p.Balance("b7")
-	p.AddWaiter(pot, 10)
+	bal := p.Balance("b7")
+	p.AddWaiter(bal, 10)
 	for b.Loop() {
-		pot.asking.sent = time.Time{}
+		bal.refill.askedAt = time.Time{}
 		if len(p.DueMessages(now, v)) != 1 {
 			b.Fatal("no ask")
 		}
--- a/shared/bbledger/capacity_test.go
+++ b/shared/bbledger/capacity_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// fullKeeper is a keeper that holds every budget of a full page, of which so
+// fullAllocator is a keeper that holds every budget of a full page, of which so
 // many instances have slices.
-func fullKeeper(b *testing.B, budgets, holders, grantees int) (*Allocator, time.Time) {
+func fullAllocator(b *testing.B, budgets, holders, grantees int) (*Allocator, time.Time) {
 	now := time.Unix(1000, 0)
 	view := &bbmember.View{}
 	for i := range 1500 {
@@ -62,26 +62,26 @@
 	self, _ := view.Home(PageHomeKey(7), "domain-00")
 	view.Self = self
 	n := uint64(0)
-	k := NewAllocator(7, self, Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 10 * time.Second, GrantHorizon: time.Second}, func() uint64 { n++; return n })
-	k.Step(now, Tick{View: view, State: &bbticket.State{Number: 1}})
-	k.Step(now, Refresh{})
+	al := NewAllocator(7, self, Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 10 * time.Second, GrantHorizon: time.Second}, func() uint64 { n++; return n })
+	al.Step(now, Tick{View: view, State: &bbticket.State{Number: 1}})
+	al.Step(now, Refresh{})
 	p := fullPage(budgets, holders)
 	for _, e := range p.Entries {
-		e.Holders[0].Holder = string(k.Holder())
+		e.Holders[0].Holder = string(al.Holder())
 		e.Number = 1
-		k.account(bbunit.BudgetID(e.Budget))
+		al.allocation(bbunit.BudgetID(e.Budget))
 	}
-	k.maybe = true
-	k.Step(now, Loaded{Page: p, Rev: 5})
-	if !k.opened || k.busy {
+	al.maybeOnPage = true
+	al.Step(now, Loaded{Page: p, Rev: 5})
+	if !al.onPage || al.callInFlight {
 		b.Fatal("the keeper does not hold its page")
 	}
-	for _, a := range k.accounts {
+	for _, a := range al.allocations {
 		for g := range grantees {
-			a.share(Peer{ID: bbunit.InstanceID(fmt.Sprintf("instance-%04d", g*35)), Inc: 1}).granted = 1000
+			a.grant(Peer{ID: bbunit.InstanceID(fmt.Sprintf("instance-%04d", g*35)), Inc: 1}).granted = 1000
 		}
 	}
-	return k, now
+	return al, now
 }
 
 // BenchmarkCapacityTick is what a keeper's tick costs when nothing is to be
@@ -89,16 +89,16 @@
 func BenchmarkCapacityTick(b *testing.B) {
 	for _, c := range []struct{ holders, grantees int }{{1, 2}, {8, 8}, {35, 43}} {
 		b.Run(fmt.Sprintf("budgets=391/holders=%d/grantees=%d", c.holders, c.grantees), func(b *testing.B) {
-			k, now := fullKeeper(b, 391, c.holders, c.grantees)
+			al, now := fullAllocator(b, 391, c.holders, c.grantees)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				now = now.Add(TickInterval)
-				for _, a := range k.accounts {
-					a.calm = now // surplus is not given back here
+				for _, a := range al.allocations {
+					a.surplusSince = now // surplus is not given back here
 				}
-				if out := k.Step(now, Tick{}); len(out) > 0 && b.N > 1 {
-					k.busy, k.pause = false, 0
+				if out := al.Step(now, Tick{}); len(out) > 0 && b.N > 1 {
+					al.callInFlight, al.backoff = false, 0
 				}
 			}
 		})
--- a/shared/bbledger/close.go
+++ b/shared/bbledger/close.go
@@ -8,146 +8,146 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// job closes one holder: its witness is frozen, its grantees surrender, then the
+// holderClosing closes one holder: its witness is frozen, its grantees surrender, then the
 // page is settled by one write.
-type job struct {
-	holder  bbunit.HolderID
-	witness Peer
-	own     bool // a holder of this very instance: no witness is needed
-	frozen  bool
-	marks   []*bbwire.Slice
-	answers map[Peer][]*bbwire.Slice
-	since   time.Time // of the surrender
-	sent    time.Time
+type holderClosing struct {
+	holder         bbunit.HolderID
+	witness        Peer
+	own            bool // a holder of this very instance: no witness is needed
+	frozen         bool
+	marks          []*bbwire.Slice
+	finalReports   map[Peer][]*bbwire.Slice
+	surrenderSince time.Time // of the surrender
+	sentAt         time.Time
 }
 
-// finalKey names a grantee's account of a closed holder.
-type finalKey struct {
+// granteeKey names a grantee's account of a closed holder.
+type granteeKey struct {
 	holder  bbunit.HolderID
 	grantee Peer
 }
 
-// retire gives the present holder id up for good. What it granted is closed by
+// retireHolder gives the present holder id up for good. What it granted is closed by
 // a job; new draws use a new id.
-func (k *Allocator) retire() {
-	old := k.holder
-	if k.opened || k.maybe {
-		k.retired[old] = k.granted()
-		k.jobs[old] = &job{holder: old, own: true, frozen: true, marks: k.retired[old], since: k.now, answers: map[Peer][]*bbwire.Slice{}}
-	}
-	k.holder = NewHolder(k.peer, k.page, k.next())
-	k.opened, k.maybe = false, false
-	k.mark, k.move, k.witness = nil, nil, Peer{}
-	for _, a := range k.accounts {
-		a.open, a.drawn, a.seq, a.calm, a.marks = false, 0, 0, time.Time{}, false
-		a.shares = map[Peer]*share{}
-	}
-	k.stale = true
+func (al *Allocator) retireHolder() {
+	old := al.holder
+	if al.onPage || al.maybeOnPage {
+		al.retiredSlices[old] = al.grantedSlices()
+		al.closings[old] = &holderClosing{holder: old, own: true, frozen: true, marks: al.retiredSlices[old], surrenderSince: al.now, finalReports: map[Peer][]*bbwire.Slice{}}
+	}
+	al.holder = NewHolder(al.peer, al.pageNumber, al.nextHolderNumber())
+	al.onPage, al.maybeOnPage = false, false
+	al.pendingMark, al.witnessChange, al.witness = nil, nil, Peer{}
+	for _, a := range al.allocations {
+		a.onPage, a.drawLimit, a.seq, a.surplusSince, a.marksPending = false, 0, 0, time.Time{}, false
+		a.grants = map[Peer]*grant{}
+	}
+	al.needsRead = true
 }
 
-// granted lists what the present holder has handed out.
-func (k *Allocator) granted() []*bbwire.Slice {
+// grantedSlices lists what the present holder has handed out.
+func (al *Allocator) grantedSlices() []*bbwire.Slice {
 	var out []*bbwire.Slice
-	for _, a := range k.ordered() {
-		for _, p := range a.peers() {
-			if a.share(p).granted > 0 && !a.share(p).stranded {
-				out = append(out, a.slice(k.holder, p))
+	for _, a := range al.sortedAllocations() {
+		for _, p := range a.grantees() {
+			if a.grant(p).granted > 0 && !a.grant(p).stuck {
+				out = append(out, a.sliceMessage(al.holder, p))
 			}
 		}
 	}
 	return out
 }
 
-// dead tells whether a holder on the page must be closed by this keeper: an old
+// mustClose tells whether a holder on the page must be closed by this keeper: an old
 // one of its own, or one of its failure domain whose instance is gone.
-func (k *Allocator) dead(h *bbwire.Holder) bool {
+func (al *Allocator) mustClose(h *bbwire.Holder) bool {
 	id := bbunit.HolderID(h.Holder)
-	if id == k.holder {
+	if id == al.holder {
 		return false
 	}
 	p := HolderPeer(id)
-	if p == k.peer {
+	if p == al.peer {
 		return true
 	}
-	return h.Domain == string(k.self.Domain) && !alive(k.view, p) && k.where().home
+	return h.Domain == string(al.self.Domain) && !alive(al.view, p) && al.viewSummary().isHome
 }
 
-func (k *Allocator) hasDead() bool {
-	return k.cache != nil && len(k.scanned().dead) > 0
+func (al *Allocator) hasDeadHolder() bool {
+	return al.page != nil && len(al.summary().deadHolders) > 0
 }
 
-func (k *Allocator) hasStuck() bool {
-	return k.cache != nil && k.scanned().stuck
+func (al *Allocator) hasStuck() bool {
+	return al.page != nil && al.summary().hasStuck
 }
 
-// watchHolders starts and drives the jobs that close dead holders.
-func (k *Allocator) watchHolders() {
-	if k.cache != nil && !k.limbo {
-		for _, h := range k.scanned().dead {
-			k.needJob(h)
+// closeDeadHolders starts and drives the jobs that close dead holders.
+func (al *Allocator) closeDeadHolders() {
+	if al.page != nil && !al.writeUncertain {
+		for _, h := range al.summary().deadHolders {
+			al.ensureClosing(h)
 		}
 	}
-	for _, j := range k.orderedJobs() {
-		k.drive(j)
+	for _, c := range al.sortedClosings() {
+		al.driveClosing(c)
 	}
 }
 
-func (k *Allocator) needJob(h *bbwire.Holder) {
+func (al *Allocator) ensureClosing(h *bbwire.Holder) {
 	id := bbunit.HolderID(h.Holder)
 	w := ParsePeer(h.Witness)
-	j := k.jobs[id]
-	if j == nil {
-		own := HolderPeer(id) == k.peer
-		j = &job{holder: id, witness: w, own: own, frozen: own, marks: k.retired[id], since: k.now, sent: k.now.Add(closeAfter - resendAfter), answers: map[Peer][]*bbwire.Slice{}}
+	c := al.closings[id]
+	if c == nil {
+		own := HolderPeer(id) == al.peer
+		c = &holderClosing{holder: id, witness: w, own: own, frozen: own, marks: al.retiredSlices[id], surrenderSince: al.now, sentAt: al.now.Add(closeDelay - resendInterval), finalReports: map[Peer][]*bbwire.Slice{}}
 		if own {
-			j.sent = time.Time{}
+			c.sentAt = time.Time{}
 		}
-		k.jobs[id] = j
+		al.closings[id] = c
 		return
 	}
-	if !j.own && j.witness != w {
-		j.witness, j.frozen, j.marks = w, false, nil
+	if !c.own && c.witness != w {
+		c.witness, c.frozen, c.marks = w, false, nil
 	}
 }
 
-func (k *Allocator) orderedJobs() []*job {
-	out := make([]*job, 0, len(k.jobs))
-	for _, j := range k.jobs {
-		out = append(out, j)
+func (al *Allocator) sortedClosings() []*holderClosing {
+	out := make([]*holderClosing, 0, len(al.closings))
+	for _, c := range al.closings {
+		out = append(out, c)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].holder < out[j].holder })
 	return out
 }
 
-// drive sends a job's next messages, again when they are not answered.
-func (k *Allocator) drive(j *job) {
-	if !j.own && alive(k.view, HolderPeer(j.holder)) {
-		delete(k.jobs, j.holder) // it came back before it was closed
+// driveClosing sends a job's next messages, again when they are not answered.
+func (al *Allocator) driveClosing(c *holderClosing) {
+	if !c.own && alive(al.view, HolderPeer(c.holder)) {
+		delete(al.closings, c.holder) // it came back before it was closed
 		return
 	}
-	if k.now.Sub(j.sent) < resendAfter {
+	if al.now.Sub(c.sentAt) < resendInterval {
 		return
 	}
-	if !j.frozen {
-		if alive(k.view, j.witness) {
-			j.sent = k.now
-			k.send(j.witness.ID, &bbwire.Freeze{Holder: string(j.holder)})
+	if !c.frozen {
+		if alive(al.view, c.witness) {
+			c.sentAt = al.now
+			al.send(c.witness.ID, &bbwire.Freeze{Holder: string(c.holder)})
 		}
 		return
 	}
-	j.sent = k.now
-	for _, g := range j.grantees() {
-		if j.answers[g] == nil && alive(k.view, g) {
-			k.send(g.ID, &bbwire.Surrender{Holder: string(j.holder)})
+	c.sentAt = al.now
+	for _, g := range c.grantees() {
+		if c.finalReports[g] == nil && alive(al.view, g) {
+			al.send(g.ID, &bbwire.Surrender{Holder: string(c.holder)})
 		}
 	}
 }
 
 // grantees lists who may have a slice of the job's holder.
-func (j *job) grantees() []Peer {
+func (c *holderClosing) grantees() []Peer {
 	seen := map[Peer]bool{}
 	var out []Peer
-	for _, m := range j.marks {
+	for _, m := range c.marks {
 		if p := ParsePeer(m.Grantee); !seen[p] {
 			seen[p] = true
 			out = append(out, p)
@@ -157,18 +157,18 @@
 	return out
 }
 
-// frozen takes the promise of a witness, if it is the one that the page names.
-func (k *Allocator) frozen(e Frozen) {
-	j := k.jobs[bbunit.HolderID(e.Msg.Holder)]
-	if j == nil || j.own || j.frozen || e.From != j.witness {
+// handleFrozen takes the promise of a witness, if it is the one that the page names.
+func (al *Allocator) handleFrozen(e Frozen) {
+	c := al.closings[bbunit.HolderID(e.Msg.Holder)]
+	if c == nil || c.own || c.frozen || e.From != c.witness {
 		return
 	}
-	j.frozen, j.marks, j.since, j.sent = true, e.Msg.Slices, k.now, time.Time{}
-	k.drive(j)
+	c.frozen, c.marks, c.surrenderSince, c.sentAt = true, e.Msg.Slices, al.now, time.Time{}
+	al.driveClosing(c)
 }
 
-// surrendered takes a grantee's account of a closed holder.
-func (k *Allocator) surrendered(e Surrendered) {
+// handleSurrendered takes a grantee's account of a closed holder.
+func (al *Allocator) handleSurrendered(e Surrendered) {
 	h := bbunit.HolderID(e.Msg.Holder)
 	slices := []*bbwire.Slice{}
 	for _, s := range e.Msg.Slices {
@@ -176,56 +176,56 @@
 			slices = append(slices, s)
 		}
 	}
-	if j := k.jobs[h]; j != nil && j.frozen {
-		j.answers[e.From] = slices
+	if c := al.closings[h]; c != nil && c.frozen {
+		c.finalReports[e.From] = slices
 	}
-	k.finals[finalKey{h, e.From}] = slices
-	if h == k.holder {
-		k.retire() // a closer has been here
+	al.finalReports[granteeKey{h, e.From}] = slices
+	if h == al.holder {
+		al.retireHolder() // a closer has been here
 	}
 }
 
-// reportClosing merges a grantee's report into the job that closes its holder,
+// reportToClosing merges a grantee's report into the job that closes its holder,
 // for a grantee that leaves before it is asked to surrender.
-func (k *Allocator) reportClosing(s *bbwire.Slice) {
-	j := k.jobs[bbunit.HolderID(s.Holder)]
-	if j == nil {
+func (al *Allocator) reportToClosing(s *bbwire.Slice) {
+	c := al.closings[bbunit.HolderID(s.Holder)]
+	if c == nil {
 		return
 	}
-	for _, m := range j.marks {
+	for _, m := range c.marks {
 		if m.Budget == s.Budget && m.Grantee == s.Grantee && s.Spent >= 0 && s.Returned >= 0 && s.Spent+s.Returned <= m.Granted {
 			m.Spent, m.Returned = max(m.Spent, s.Spent), max(m.Returned, s.Returned)
 		}
 	}
 }
 
-// ready tells whether the job's write may be made: every grantee answered, or
+// readyToSettle tells whether the job's write may be made: every grantee answered, or
 // those that can be reached had their time.
-func (k *Allocator) ready(j *job) bool {
-	if !j.frozen {
+func (al *Allocator) readyToSettle(c *holderClosing) bool {
+	if !c.frozen {
 		return false
 	}
-	if k.now.Sub(j.since) >= surrenderFor {
+	if al.now.Sub(c.surrenderSince) >= surrenderTimeout {
 		return true
 	}
-	for _, g := range j.grantees() {
-		if j.answers[g] == nil && alive(k.view, g) {
+	for _, g := range c.grantees() {
+		if c.finalReports[g] == nil && alive(al.view, g) {
 			return false
 		}
 	}
 	return true
 }
 
-// editJobs settles the holders whose jobs are ready.
-func (k *Allocator) editJobs(p *bbwire.Page) bool {
+// editClosings settles the holders whose jobs are ready.
+func (al *Allocator) editClosings(p *bbwire.Page) bool {
 	changed := false
-	for _, j := range k.orderedJobs() {
-		if !k.ready(j) {
+	for _, c := range al.sortedClosings() {
+		if !al.readyToSettle(c) {
 			continue
 		}
 		for _, e := range p.Entries {
-			if h := findHolder(e, j.holder); h != nil && (j.own || ParsePeer(h.Witness) == j.witness) {
-				j.settle(e)
+			if h := findHolder(e, c.holder); h != nil && (c.own || ParsePeer(h.Witness) == c.witness) {
+				c.settle(e)
 				changed = true
 			}
 		}
@@ -235,27 +235,27 @@
 
 // settle takes the holder off the entry: what its grantees spent is settled,
 // what they may still spend is stuck, and the rest is the budget's again.
-func (j *job) settle(e *bbwire.Entry) {
-	for _, m := range j.marks {
+func (c *holderClosing) settle(e *bbwire.Entry) {
+	for _, m := range c.marks {
 		g := ParsePeer(m.Grantee)
-		if m.Budget != e.Budget || findStuck(e, j.holder, g) != nil {
+		if m.Budget != e.Budget || findStuck(e, c.holder, g) != nil {
 			continue
 		}
-		if slices, ok := j.answers[g]; ok {
-			m = pick(slices, e.Budget)
+		if slices, ok := c.finalReports[g]; ok {
+			m = sliceOf(slices, e.Budget)
 		}
-		rest := m.Granted - m.Returned - m.Spent
-		if rest > 0 {
-			addStuck(e, j.holder, g, rest, m.Spent)
+		unspent := m.Granted - m.Returned - m.Spent
+		if unspent > 0 {
+			addStuck(e, c.holder, g, unspent, m.Spent)
 			continue
 		}
 		e.Settled += m.Spent
 	}
-	dropHolder(e, j.holder)
+	dropHolder(e, c.holder)
 }
 
-// pick returns the slice of a budget, or an empty one.
-func pick(slices []*bbwire.Slice, budget string) *bbwire.Slice {
+// sliceOf returns the slice of a budget, or an empty one.
+func sliceOf(slices []*bbwire.Slice, budget string) *bbwire.Slice {
 	for _, s := range slices {
 		if s.Budget == budget {
 			return s
@@ -264,83 +264,83 @@
 	return &bbwire.Slice{}
 }
 
-// pruneJobs drops the jobs whose holder the page names no more, and accounts
+// pruneClosings drops the jobs whose holder the page names no more, and accounts
 // that nothing waits for.
-func (k *Allocator) pruneJobs() {
-	for id := range k.jobs {
-		if !names(k.cache, id) {
-			delete(k.jobs, id)
+func (al *Allocator) pruneClosings() {
+	for id := range al.closings {
+		if !namesHolder(al.page, id) {
+			delete(al.closings, id)
 		}
 	}
-	stuck := map[finalKey]bool{}
-	for _, e := range k.cache.Entries {
-		for _, key := range stuckPeers(e) {
+	stuck := map[granteeKey]bool{}
+	for _, e := range al.page.Entries {
+		for _, key := range stuckKeys(e) {
 			stuck[key] = true
 		}
 	}
-	for key := range k.finals {
-		if !stuck[key] && k.jobs[key.holder] == nil {
-			delete(k.finals, key)
+	for key := range al.finalReports {
+		if !stuck[key] && al.closings[key.holder] == nil {
+			delete(al.finalReports, key)
 		}
 	}
 }
 
-// watchStuck asks grantees of closed holders again for their final account.
-func (k *Allocator) watchStuck() {
-	if k.cache == nil || k.now.Sub(k.asked) < stuckEvery || !k.scanned().stuck || !k.where().home && !k.retiring {
+// requestStuckReports asks grantees of closed holders again for their final account.
+func (al *Allocator) requestStuckReports() {
+	if al.page == nil || al.now.Sub(al.stuckAskedAt) < stuckRetryInterval || !al.summary().hasStuck || !al.viewSummary().isHome && !al.retiring {
 		return
 	}
-	k.asked = k.now
-	seen := map[finalKey]bool{}
-	for _, e := range k.cache.Entries {
-		for _, key := range stuckPeers(e) {
-			if !seen[key] && findStuck(e, key.holder, key.grantee).Amount > 0 && alive(k.view, key.grantee) {
+	al.stuckAskedAt = al.now
+	seen := map[granteeKey]bool{}
+	for _, e := range al.page.Entries {
+		for _, key := range stuckKeys(e) {
+			if !seen[key] && findStuck(e, key.holder, key.grantee).Amount > 0 && alive(al.view, key.grantee) {
 				seen[key] = true
-				k.send(key.grantee.ID, &bbwire.Surrender{Holder: string(key.holder)})
+				al.send(key.grantee.ID, &bbwire.Surrender{Holder: string(key.holder)})
 			}
 		}
 	}
 }
 
-// editStuck settles stuck amounts whose grantee has given its final account, and
+// settleStuck settles stuck amounts whose grantee has given its final account, and
 // lowers those that shrank. While the holder is on the entry an amount of 0
 // stays, so that closing the holder does not count the grantee again.
-func (k *Allocator) editStuck(p *bbwire.Page) bool {
+func (al *Allocator) settleStuck(p *bbwire.Page) bool {
 	changed := false
 	for _, e := range p.Entries {
-		for _, key := range stuckPeers(e) {
-			changed = k.editStuckOf(e, key) || changed
+		for _, key := range stuckKeys(e) {
+			changed = al.settleStuckGrant(e, key) || changed
 		}
 	}
 	return changed
 }
 
-func (k *Allocator) editStuckOf(e *bbwire.Entry, key finalKey) bool {
-	x, held := findStuck(e, key.holder, key.grantee), findHolder(e, key.holder) != nil
-	if x.Amount == 0 {
-		if !held {
+func (al *Allocator) settleStuckGrant(e *bbwire.Entry, key granteeKey) bool {
+	stuck, holderOnEntry := findStuck(e, key.holder, key.grantee), findHolder(e, key.holder) != nil
+	if stuck.Amount == 0 {
+		if !holderOnEntry {
 			dropStuck(e, key.holder, key.grantee)
 		}
-		return !held
+		return !holderOnEntry
 	}
-	slices, ok := k.finals[key]
+	finals, ok := al.finalReports[key]
 	if !ok {
 		return false
 	}
-	s := pick(slices, e.Budget)
-	rest := s.Granted - s.Returned - s.Spent
-	if rest > 0 && rest >= x.Amount {
+	final := sliceOf(finals, e.Budget)
+	unspent := final.Granted - final.Returned - final.Spent
+	if unspent > 0 && unspent >= stuck.Amount {
 		return false
 	}
 	dropStuck(e, key.holder, key.grantee)
 	switch {
-	case rest > 0:
-		addStuck(e, key.holder, key.grantee, rest, s.Spent)
-	case held:
-		e.Settled += s.Spent
+	case unspent > 0:
+		addStuck(e, key.holder, key.grantee, unspent, final.Spent)
+	case holderOnEntry:
+		e.Settled += final.Spent
 		addStuck(e, key.holder, key.grantee, 0, 0)
 	default:
-		e.Settled += s.Spent
+		e.Settled += final.Spent
 	}
 	return true
 }
--- a/shared/bbledger/exhaustion_test.go
+++ b/shared/bbledger/exhaustion_test.go
@@ -7,114 +7,114 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ending is a stream of requests over the end of a budget: each reserves much
+// exhaustionLoad is a stream of requests over the end of a budget: each reserves much
 // more than it uses, so that the last money lies in fragments.
-type ending struct {
-	s    *sim
-	most bbunit.Tokens
-	used bbunit.Tokens
-	wait time.Duration
-	open []*endingReq
+type exhaustionLoad struct {
+	s        *sim
+	reserved bbunit.Tokens
+	used     bbunit.Tokens
+	maxWait  time.Duration
+	open     []*exhaustionRequest
 
-	done    int
-	budget  int           // refused for good
-	share   int           // refused for now
-	falsely int           // refused for good while the budget had enough for the request
-	unspent bbunit.Tokens // the most that was unspent at such a refusal
+	done                int
+	refusedBudget       int           // refused for good
+	refusedShare        int           // refused for now
+	falselyRefused      int           // refused for good while the budget had enough for the request
+	maxUnspentAtRefusal bbunit.Tokens // the most that was unspent at such a refusal
 }
 
-type endingReq struct {
-	n      *node
-	pot    *Balance
-	until  time.Time
-	lasts  time.Duration
-	served bool
+type exhaustionRequest struct {
+	node     *simNode
+	bal      *Balance
+	deadline time.Time
+	duration time.Duration
+	served   bool
 }
 
-func (l *ending) offer(n *node, b bbunit.BudgetID, lasts time.Duration) {
-	r := &endingReq{n: n, pot: n.purse.Balance(b), until: l.s.now.Add(l.wait), lasts: lasts}
+func (l *exhaustionLoad) startRequest(n *simNode, b bbunit.BudgetID, lasts time.Duration) {
+	r := &exhaustionRequest{node: n, bal: n.purse.Balance(b), deadline: l.s.now.Add(l.maxWait), duration: lasts}
 	if !l.reserve(r) {
-		n.purse.AddWaiter(r.pot, l.most)
+		n.purse.AddWaiter(r.bal, l.reserved)
 	}
 	l.open = append(l.open, r)
 }
 
-func (l *ending) reserve(r *endingReq) bool {
-	if !r.pot.Reserve(l.most) {
+func (l *exhaustionLoad) reserve(r *exhaustionRequest) bool {
+	if !r.bal.Reserve(l.reserved) {
 		return false
 	}
-	r.n.holds = append(r.n.holds, simHold{r.pot, l.most})
-	r.served, r.until = true, l.s.now.Add(r.lasts)
+	r.node.reservations = append(r.node.reservations, simReservation{r.bal, l.reserved})
+	r.served, r.deadline = true, l.s.now.Add(r.duration)
 	return true
 }
 
 // step lets requests end, be served or be refused.
-func (l *ending) step() {
+func (l *exhaustionLoad) step() {
 	kept := l.open[:0]
 	for _, r := range l.open {
-		if !l.over(r) {
+		if !l.advanceRequest(r) {
 			kept = append(kept, r)
 		}
 	}
 	l.open = kept
 }
 
-func (l *ending) over(r *endingReq) bool {
+func (l *exhaustionLoad) advanceRequest(r *exhaustionRequest) bool {
 	now := l.s.now
 	if r.served {
-		if now.Before(r.until) {
+		if now.Before(r.deadline) {
 			return false
 		}
-		l.s.end(r.n, 0, l.used)
+		l.s.commit(r.node, 0, l.used)
 		l.done++
 		return true
 	}
 	if l.reserve(r) {
-		r.n.purse.RemoveWaiter(r.pot, l.most)
+		r.node.purse.RemoveWaiter(r.bal, l.reserved)
 		return false
 	}
 	switch {
-	case r.n.purse.Exhausted(now, r.n.view, r.pot, l.most):
-		l.budget++
-		if left := l.s.paid(r.pot.Budget) - l.s.spent[r.pot.Budget]; left >= l.most {
-			l.falsely++
-			l.unspent = max(l.unspent, left)
+	case r.node.purse.Exhausted(now, r.node.view, r.bal, l.reserved):
+		l.refusedBudget++
+		if left := l.s.paid(r.bal.Budget) - l.s.spent[r.bal.Budget]; left >= l.reserved {
+			l.falselyRefused++
+			l.maxUnspentAtRefusal = max(l.maxUnspentAtRefusal, left)
 		}
-	case !now.Before(r.until):
-		l.share++
+	case !now.Before(r.deadline):
+		l.refusedShare++
 	default:
 		return false
 	}
-	r.n.purse.RemoveWaiter(r.pot, l.most)
+	r.node.purse.RemoveWaiter(r.bal, l.reserved)
 	return true
 }
 
-// runEnding offers requests of one budget until it is long spent.
-func runEnding(t testing.TB, domains, each int, policy Policy, lasts time.Duration) *ending {
-	s := newSim(domains, each, policy, t.Fatalf)
+// runExhaustion offers requests of one budget until it is long spent.
+func runExhaustion(t testing.TB, domains, instancesPerDomain int, policy Policy, duration time.Duration) *exhaustionLoad {
+	s := newSim(domains, instancesPerDomain, policy, t.Fatalf)
 	b := s.budgets[0]
-	s.pay(b, 2000)
-	l := &ending{s: s, most: 150, used: 20, wait: 400 * time.Millisecond}
+	s.setPaid(b, 2000)
+	l := &exhaustionLoad{s: s, reserved: 150, used: 20, maxWait: 400 * time.Millisecond}
 	i := 0
-	s.settle(30*time.Second, func() {
+	s.runFor(30*time.Second, func() {
 		if i < 320 {
-			l.offer(s.nodes[i%len(s.nodes)], b, lasts+time.Duration(i%5)*20*time.Millisecond)
+			l.startRequest(s.nodes[i%len(s.nodes)], b, duration+time.Duration(i%5)*20*time.Millisecond)
 			i++
 		}
 		for range 3 {
-			s.calm()
+			s.runUntilQuiet()
 			l.step()
-			for _, n := range s.live() {
-				s.posts(n, n.purse.DueMessages(s.now, n.view))
+			for _, n := range s.liveNodes() {
+				s.sendAll(n, n.purse.DueMessages(s.now, n.view))
 			}
 		}
 	})
 	t.Logf("%d domains of %d, requests of %s: %d done, refused for good %d, of them falsely %d with up to %d unspent, for now %d, %d unspent at the end, %d writes",
-		domains, each, lasts, l.done, l.budget, l.falsely, l.unspent, l.share, s.paid(b)-s.spent[b], s.writes)
+		domains, instancesPerDomain, duration, l.done, l.refusedBudget, l.falselyRefused, l.maxUnspentAtRefusal, l.refusedShare, s.paid(b)-s.spent[b], s.writes)
 	return l
 }
 
-func TestEndingSpendsFragmentsAndRefusesNoneFalsely(t *testing.T) {
+func TestExhaustionSpendsFragmentsAndRefusesNoneFalsely(t *testing.T) {
 	for _, c := range []struct {
 		lasts time.Duration
 		done  int // 93 leave less than a request needs
@@ -124,9 +124,9 @@
 		{time.Second, 80}, // the stream ends before the budget
 	} {
 		for _, shape := range [][2]int{{1, 2}, {1, 4}, {2, 2}, {3, 2}} {
-			l := runEnding(t, shape[0], shape[1], Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}, c.lasts)
-			if l.falsely > 0 || l.done < c.done {
-				t.Errorf("%v of %v: %d done, want %d; %d refused falsely", shape, c.lasts, l.done, c.done, l.falsely)
+			l := runExhaustion(t, shape[0], shape[1], Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}, c.lasts)
+			if l.falselyRefused > 0 || l.done < c.done {
+				t.Errorf("%v of %v: %d done, want %d; %d refused falsely", shape, c.lasts, l.done, c.done, l.falselyRefused)
 			}
 		}
 	}
--- a/shared/bbledger/mark.go
+++ b/shared/bbledger/mark.go
@@ -9,206 +9,206 @@
 
 // pendingMark is a mark that the witness has not acknowledged.
 type pendingMark struct {
-	msg   *bbwire.Mark
-	since time.Time
-	sent  time.Time
+	msg         *bbwire.Mark
+	firstSentAt time.Time
+	sentAt      time.Time
 }
 
-// move is a change of witness: its marks are carried to the new one first, then
+// witnessChange is a change of witness: its marks are carried to the new one first, then
 // the page names it. From its start no acknowledgement of the old witness is
 // taken.
-type move struct {
-	to     Peer
-	mark   *pendingMark
-	ready  bool // the new witness has the marks
-	placed bool // a write that names the new witness is out
+type witnessChange struct {
+	next         Peer
+	mark         *pendingMark
+	marksCopied  bool // the new witness has the marks
+	writeStarted bool // a write that names the new witness is out
 }
 
-// raise sends the next batch of marks, ahead of need.
-func (k *Allocator) raise() {
-	if !k.opened || k.mark != nil || k.move != nil {
+// sendMarks sends the next batch of marks, ahead of need.
+func (al *Allocator) sendMarks() {
+	if !al.onPage || al.pendingMark != nil || al.witnessChange != nil {
 		return
 	}
 	var batch []*bbwire.Slice
-	for _, w := range k.wants {
-		a := k.account(w.budget)
-		k.raiseWant(a, a.share(w.peer), w)
+	for _, w := range al.wants {
+		a := al.allocation(w.budget)
+		al.raiseMark(a, a.grant(w.grantee), w)
 	}
-	for _, a := range k.ordered() {
-		if !a.marks {
+	for _, a := range al.sortedAllocations() {
+		if !a.marksPending {
 			continue
 		}
-		a.marks = false
-		for _, p := range a.peers() {
-			if s := a.share(p); !s.stranded && (s.sent > s.acked || s.returned > s.ackedRet) {
-				batch = append(batch, a.markSlice(k.holder, p))
-				a.marks = true
+		a.marksPending = false
+		for _, p := range a.grantees() {
+			if gr := a.grant(p); !gr.stuck && (gr.markSent > gr.markAcked || gr.returned > gr.returnedAcked) {
+				batch = append(batch, a.markedSlice(al.holder, p))
+				a.marksPending = true
 			}
 		}
 	}
 	if len(batch) == 0 {
 		return
 	}
-	if k.witness == (Peer{}) {
-		k.applyMarks(batch)
-		k.serve()
+	if al.witness == (Peer{}) {
+		al.applyAckedMarks(batch)
+		al.serveWants()
 		return
 	}
-	k.mark = k.newMark(k.witness, batch)
+	al.pendingMark = al.sendMark(al.witness, batch)
 }
 
-// raiseWant raises the mark of one grantee to twice what it wants, less when
+// raiseMark raises the mark of one grantee to twice what it wants, less when
 // there is little.
-func (k *Allocator) raiseWant(a *account, s *share, w *want) {
-	ahead := s.sent - s.granted
-	head := a.headroom()
-	if ahead >= w.least || head < w.least-ahead {
+func (al *Allocator) raiseMark(a *allocation, gr *grant, w *want) {
+	unusedMark := gr.markSent - gr.granted
+	headroom := a.headroom()
+	if unusedMark >= w.least || headroom < w.least-unusedMark {
 		return
 	}
-	fair := head / bbunit.Tokens(2*max(1, len(a.shares)))
-	more := min(head, max(w.least-ahead, min(2*w.amount-ahead, fair)))
-	s.sent += more
-	a.marks = true
+	fairShare := headroom / bbunit.Tokens(2*max(1, len(a.grants)))
+	more := min(headroom, max(w.least-unusedMark, min(2*w.amount-unusedMark, fairShare)))
+	gr.markSent += more
+	a.marksPending = true
 }
 
-// markSlice is what the witness is to remember of a grantee.
-func (a *account) markSlice(h bbunit.HolderID, p Peer) *bbwire.Slice {
-	m := a.slice(h, p)
-	m.Granted = int64(a.share(p).sent)
+// markedSlice is what the witness is to remember of a grantee.
+func (a *allocation) markedSlice(h bbunit.HolderID, p Peer) *bbwire.Slice {
+	m := a.sliceMessage(h, p)
+	m.Granted = int64(a.grant(p).markSent)
 	return m
 }
 
-func (k *Allocator) newMark(to Peer, batch []*bbwire.Slice) *pendingMark {
-	k.seq++
-	m := &pendingMark{msg: &bbwire.Mark{Holder: string(k.holder), Seq: k.seq, Slices: batch}, since: k.now, sent: k.now}
-	k.send(to.ID, m.msg)
+func (al *Allocator) sendMark(to Peer, batch []*bbwire.Slice) *pendingMark {
+	al.markSeq++
+	m := &pendingMark{msg: &bbwire.Mark{Holder: string(al.holder), Seq: al.markSeq, Slices: batch}, firstSentAt: al.now, sentAt: al.now}
+	al.send(to.ID, m.msg)
 	return m
 }
 
-// acked takes a witness's acknowledgement, from the witness that counts and of
+// handleMarkAck takes a witness's acknowledgement, from the witness that counts and of
 // the mark that is out.
-func (k *Allocator) acked(e MarkAcked) {
-	if e.Msg.Holder != string(k.holder) {
+func (al *Allocator) handleMarkAck(e MarkAcked) {
+	if e.Msg.Holder != string(al.holder) {
 		return
 	}
-	if mv := k.move; mv != nil {
-		if e.From == mv.to && mv.mark != nil && e.Msg.Seq == mv.mark.msg.Seq && !e.Msg.Frozen {
-			mv.ready = true
+	if wc := al.witnessChange; wc != nil {
+		if e.From == wc.next && wc.mark != nil && e.Msg.Seq == wc.mark.msg.Seq && !e.Msg.Frozen {
+			wc.marksCopied = true
 		}
 		return
 	}
-	if e.From != k.witness || k.mark == nil || e.Msg.Seq != k.mark.msg.Seq {
+	if e.From != al.witness || al.pendingMark == nil || e.Msg.Seq != al.pendingMark.msg.Seq {
 		return
 	}
 	if e.Msg.Frozen {
-		k.retire()
+		al.retireHolder()
 		return
 	}
-	batch := k.mark.msg.Slices
-	k.mark = nil
-	k.applyMarks(batch)
+	batch := al.pendingMark.msg.Slices
+	al.pendingMark = nil
+	al.applyAckedMarks(batch)
 }
 
-// applyMarks notes what the witness remembers now.
-func (k *Allocator) applyMarks(batch []*bbwire.Slice) {
+// applyAckedMarks notes what the witness remembers now.
+func (al *Allocator) applyAckedMarks(batch []*bbwire.Slice) {
 	for _, m := range batch {
-		s := k.account(bbunit.BudgetID(m.Budget)).share(ParsePeer(m.Grantee))
-		s.acked = max(s.acked, bbunit.Tokens(m.Granted))
-		s.ackedRet = max(s.ackedRet, bbunit.Tokens(m.Returned))
+		gr := al.allocation(bbunit.BudgetID(m.Budget)).grant(ParsePeer(m.Grantee))
+		gr.markAcked = max(gr.markAcked, bbunit.Tokens(m.Granted))
+		gr.returnedAcked = max(gr.returnedAcked, bbunit.Tokens(m.Returned))
 	}
 }
 
-// watchWitness sends marks again and moves away from a witness that is gone or
+// checkWitness sends marks again and moves away from a witness that is gone or
 // silent.
-func (k *Allocator) watchWitness() {
-	if !k.opened {
+func (al *Allocator) checkWitness() {
+	if !al.onPage {
 		return
 	}
-	if k.move != nil {
-		k.watchMove()
+	if al.witnessChange != nil {
+		al.checkWitnessChange()
 		return
 	}
-	if k.mark != nil && k.now.Sub(k.mark.sent) >= resendAfter {
-		k.mark.sent = k.now
-		k.send(k.witness.ID, k.mark.msg)
+	if al.pendingMark != nil && al.now.Sub(al.pendingMark.sentAt) >= resendInterval {
+		al.pendingMark.sentAt = al.now
+		al.send(al.witness.ID, al.pendingMark.msg)
 	}
-	lost := k.mark != nil && k.now.Sub(k.mark.since) >= witnessFor
-	if lost {
-		k.suspect[k.witness] = k.now
+	silent := al.pendingMark != nil && al.now.Sub(al.pendingMark.firstSentAt) >= witnessTimeout
+	if silent {
+		al.suspectedAt[al.witness] = al.now
 	}
-	if k.witness != (Peer{}) && alive(k.view, k.witness) && !lost {
+	if al.witness != (Peer{}) && alive(al.view, al.witness) && !silent {
 		return
 	}
-	to := k.candidate()
-	if to == k.witness {
+	to := al.nextWitness()
+	if to == al.witness {
 		return
 	}
-	k.startMove(to)
+	al.startWitnessChange(to)
 }
 
-func (k *Allocator) startMove(to Peer) {
-	k.mark = nil
-	k.move = &move{to: to, ready: to == (Peer{})}
+func (al *Allocator) startWitnessChange(to Peer) {
+	al.pendingMark = nil
+	al.witnessChange = &witnessChange{next: to, marksCopied: to == (Peer{})}
 	var all []*bbwire.Slice
-	for _, a := range k.ordered() {
-		for _, p := range a.peers() {
-			all = append(all, a.markSlice(k.holder, p))
+	for _, a := range al.sortedAllocations() {
+		for _, p := range a.grantees() {
+			all = append(all, a.markedSlice(al.holder, p))
 		}
 	}
 	if to == (Peer{}) {
-		k.seq++
-		k.move.mark = &pendingMark{msg: &bbwire.Mark{Holder: string(k.holder), Seq: k.seq, Slices: all}}
+		al.markSeq++
+		al.witnessChange.mark = &pendingMark{msg: &bbwire.Mark{Holder: string(al.holder), Seq: al.markSeq, Slices: all}}
 		return
 	}
-	k.move.mark = k.newMark(to, all)
+	al.witnessChange.mark = al.sendMark(to, all)
 }
 
-// watchMove sends the carried marks again and gives up on a new witness that is
+// checkWitnessChange sends the carried marks again and gives up on a new witness that is
 // silent, unless a write that names it is out.
-func (k *Allocator) watchMove() {
-	mv := k.move
-	if mv.ready || mv.placed {
+func (al *Allocator) checkWitnessChange() {
+	wc := al.witnessChange
+	if wc.marksCopied || wc.writeStarted {
 		return
 	}
-	if k.now.Sub(mv.mark.since) >= witnessFor {
-		k.suspect[mv.to] = k.now
-		k.move = nil
+	if al.now.Sub(wc.mark.firstSentAt) >= witnessTimeout {
+		al.suspectedAt[wc.next] = al.now
+		al.witnessChange = nil
 		return
 	}
-	if k.now.Sub(mv.mark.sent) >= resendAfter {
-		mv.mark.sent = k.now
-		k.send(mv.to.ID, mv.mark.msg)
+	if al.now.Sub(wc.mark.sentAt) >= resendInterval {
+		wc.mark.sentAt = al.now
+		al.send(wc.next.ID, wc.mark.msg)
 	}
 }
 
-// editMove names the new witness on every entry of the holder.
-func (k *Allocator) editMove(p *bbwire.Page) bool {
-	if k.move == nil || !k.move.ready {
+// editWitness names the new witness on every entry of the holder.
+func (al *Allocator) editWitness(p *bbwire.Page) bool {
+	if al.witnessChange == nil || !al.witnessChange.marksCopied {
 		return false
 	}
 	changed := false
 	for _, e := range p.Entries {
-		if h := findHolder(e, k.holder); h != nil && h.Witness != k.move.to.String() {
-			h.Witness = k.move.to.String()
+		if h := findHolder(e, al.holder); h != nil && h.Witness != al.witnessChange.next.String() {
+			h.Witness = al.witnessChange.next.String()
 			h.Seq++
 			changed = true
 		}
 	}
-	k.move.placed = k.move.placed || changed
+	al.witnessChange.writeStarted = al.witnessChange.writeStarted || changed
 	return changed
 }
 
-// settleMove takes the witness that the page names, after no write can land any
+// finishWitnessChange takes the witness that the page names, after no write can land any
 // more.
-func (k *Allocator) settleMove(named Peer) {
-	mv := k.move
-	if mv == nil || !mv.placed {
-		k.witness = named
+func (al *Allocator) finishWitnessChange(current Peer) {
+	wc := al.witnessChange
+	if wc == nil || !wc.writeStarted {
+		al.witness = current
 		return
 	}
-	k.move = nil
-	k.witness = named
-	if named == mv.to {
-		k.applyMarks(mv.mark.msg.Slices)
+	al.witnessChange = nil
+	al.witness = current
+	if current == wc.next {
+		al.applyAckedMarks(wc.mark.msg.Slices)
 	}
 }
--- a/shared/bbledger/operator.go
+++ b/shared/bbledger/operator.go
@@ -24,8 +24,8 @@
 	ErrBusy = errors.ConstError("budget page busy")
 )
 
-// editTries bounds how often an operator's call tries again after a conflict.
-const editTries = 20
+// maxEditAttempts bounds how often an operator's call tries again after a conflict.
+const maxEditAttempts = 20
 
 // BudgetStatus is what a page says of one budget, in tokens.
 type BudgetStatus struct {
@@ -152,29 +152,29 @@
 // is the only way by which money comes back on a person's word. It returns the
 // tokens given back; ErrNoHolder. It blocks on the key-value service.
 func Release(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, h bbunit.HolderID) (bbunit.Tokens, error) {
-	var back bbunit.Tokens
-	var first, stuck bool
+	var released bbunit.Tokens
+	var attempted, hadStuck bool
 	err := editEntry(ctx, store, b, func(e *bbwire.Entry) error {
-		has := len(stuckOf(e, h)) > 0
-		if !first {
-			first, stuck = true, has
-		} else if stuck && !has || !stuck && findHolder(e, h) == nil {
+		hasStuck := len(granteesStuckUnder(e, h)) > 0
+		if !attempted {
+			attempted, hadStuck = true, hasStuck
+		} else if hadStuck && !hasStuck || !hadStuck && findHolder(e, h) == nil {
 			return nil // an earlier try of this call landed
 		}
 		n, err := ReleaseEntry(e, h)
-		back = n
+		released = n
 		return err
 	})
 	if err != nil {
 		return 0, err
 	}
-	return back, nil
+	return released, nil
 }
 
-// stuckOf lists the grantees whose amounts are stuck under a holder.
-func stuckOf(e *bbwire.Entry, h bbunit.HolderID) []Peer {
+// granteesStuckUnder lists the grantees whose amounts are stuck under a holder.
+func granteesStuckUnder(e *bbwire.Entry, h bbunit.HolderID) []Peer {
 	var out []Peer
-	for _, key := range stuckPeers(e) {
+	for _, key := range stuckKeys(e) {
 		if key.holder == h && findStuck(e, h, key.grantee).Amount > 0 {
 			out = append(out, key.grantee)
 		}
@@ -185,14 +185,14 @@
 // ReleaseEntry is Release on an entry.
 func ReleaseEntry(e *bbwire.Entry, h bbunit.HolderID) (bbunit.Tokens, error) {
 	before := Charged(e)
-	stuck, x := stuckOf(e, h), findHolder(e, h)
+	grantees, draw := granteesStuckUnder(e, h), findHolder(e, h)
 	switch {
-	case len(stuck) > 0:
-		for _, g := range stuck {
+	case len(grantees) > 0:
+		for _, g := range grantees {
 			e.Settled += dropStuck(e, h, g)
 		}
-	case x != nil:
-		e.Settled += x.Spent
+	case draw != nil:
+		e.Settled += draw.Spent
 		dropHolder(e, h)
 	default:
 		return 0, errors.Annotatef(ErrNoHolder, "budget %s, holder %s", e.Budget, h)
@@ -205,7 +205,7 @@
 // that a repeat changes nothing.
 func editEntry(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, fn func(*bbwire.Entry) error) error {
 	key := PageKey(PageOf(b))
-	for range editTries {
+	for range maxEditAttempts {
 		x, err := store.Get(ctx, key)
 		if err != nil {
 			return errors.Annotate(err, key)
@@ -215,7 +215,7 @@
 			return errors.Annotate(err, key)
 		}
 		before := clonePage(p)
-		if err := fn(needEntry(p, b)); err != nil {
+		if err := fn(ensureEntry(p, b)); err != nil {
 			return err
 		}
 		if proto.Equal(before, p) {
--- a/shared/bbledger/operator_test.go
+++ b/shared/bbledger/operator_test.go
@@ -13,9 +13,9 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// opsStore returns a store with budget b: 100 paid, 30 drawn of which 10 are
+// operatorStore returns a store with budget b: 100 paid, 30 drawn of which 10 are
 // reported spent, 5 stuck, 20 settled.
-func opsStore(t *testing.T) *bbstore.Mem {
+func operatorStore(t *testing.T) *bbstore.Mem {
 	m := bbstore.NewMem()
 	p := &bbwire.Page{Entries: []*bbwire.Entry{{
 		Budget: "b", Paid: 100, Number: 3, Settled: 20,
@@ -32,7 +32,7 @@
 	return m
 }
 
-func showB(t *testing.T, m bbstore.Store) BudgetStatus {
+func budgetB(t *testing.T, m bbstore.Store) BudgetStatus {
 	all, err := ListBudgets(context.Background(), m)
 	if err != nil {
 		t.Fatal(err)
@@ -57,11 +57,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			m := opsStore(t)
+			m := operatorStore(t)
 			m.SetFaults(bbstore.Faults{LoseNext: 1}) // repeating it changes nothing
 			err := Cap(ctx, m, "b", c.paid, c.number, c.nonce)
 			is.True(errors.Is(err, c.err))
-			s := showB(t, m)
+			s := budgetB(t, m)
 			is.Equal(s.Capped, c.err == nil)
 			if c.err == nil {
 				is.Equal(s.Remaining, c.paid-55)
@@ -75,21 +75,21 @@
 func TestCapOfRacingTickets(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := opsStore(t)
+	m := operatorStore(t)
 	is.NoErr(Cap(ctx, m, "b", 60, 4, "one"))
 	is.True(errors.Is(Cap(ctx, m, "b", 70, 4, "two"), ErrCapped))
 	is.NoErr(Uncap(ctx, m, "b", 4, "two"))
-	is.Equal(showB(t, m).Cap, bbunit.Tokens(60)) // another's nonce takes nothing back
+	is.Equal(budgetB(t, m).Cap, bbunit.Tokens(60)) // another's nonce takes nothing back
 	is.NoErr(Cap(ctx, m, "b", 90, 5, "three"))
-	is.Equal(showB(t, m).Cap, bbunit.Tokens(60)) // ticket 4 may have been accepted
+	is.Equal(budgetB(t, m).Cap, bbunit.Tokens(60)) // ticket 4 may have been accepted
 	is.NoErr(Uncap(ctx, m, "b", 5, "three"))
-	is.True(!showB(t, m).Capped)
+	is.True(!budgetB(t, m).Capped)
 }
 
 func TestRelease(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := opsStore(t)
+	m := operatorStore(t)
 	_, err := Release(ctx, m, "b", "x")
 	is.True(errors.Is(err, ErrNoHolder))
 	for _, c := range []struct{ back, settled, rest bbunit.Tokens }{
@@ -100,7 +100,7 @@
 		n, err := Release(ctx, m, "b", "k/1/0-1")
 		is.NoErr(err)
 		is.Equal(n, c.back)
-		s := showB(t, m)
+		s := budgetB(t, m)
 		is.Equal(s.Settled, c.settled)
 		is.Equal(s.Remaining, c.rest)
 	}
@@ -111,14 +111,14 @@
 func TestReleaseKeepsWhatIsKnownToBeSpent(t *testing.T) {
 	is := is.New(t)
 	e := &bbwire.Entry{Budget: "b", Paid: 100}
-	addStuck(e, "k/1/0-1", rigG, 5, 12)
+	addStuck(e, "k/1/0-1", granteePeer, 5, 12)
 	n, err := ReleaseEntry(e, "k/1/0-1")
 	is.NoErr(err)
 	is.Equal(n, bbunit.Tokens(5))
 	is.Equal(e.Settled, int64(12))
 }
 
-func TestAdvanceGoesOnlyForward(t *testing.T) {
+func TestApplyTicketOnlyMovesForward(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		entry   *bbwire.Entry
@@ -141,7 +141,7 @@
 			e.Budget = "b"
 			st := &bbticket.State{Number: c.state}
 			st.Budgets = st.Budgets.Set("b", c.ticket)
-			is.Equal(advance(e, st), c.changed)
+			is.Equal(applyTicket(e, st), c.changed)
 			is.Equal(EffectiveLimit(e), c.limit)
 		})
 	}
@@ -151,7 +151,7 @@
 	return bbticket.Numbered[bbticket.Budget]{Number: n, Object: bbticket.Budget{ID: "b", Paid: paid}}
 }
 
-func TestDecodeRefusesGarbage(t *testing.T) {
+func TestDecodePageRejectsGarbage(t *testing.T) {
 	is := is.New(t)
 	_, err := DecodePage([]byte{0xff, 0xff})
 	is.True(errors.Is(err, ErrMalformedPage))
@@ -160,16 +160,16 @@
 	is.Equal(len(p.Entries), 0)
 }
 
-func TestStuckAmountsTellAnyNameFromWhatIsSpent(t *testing.T) {
+func TestStuckAmountsKeepSpentApartForAnyGranteeName(t *testing.T) {
 	is := is.New(t)
 	odd := Peer{"spent:g", 1}
 	e := &bbwire.Entry{Budget: "b", Paid: 100}
-	addStuck(e, "k/1/0-1", rigG, 5, 12)
+	addStuck(e, "k/1/0-1", granteePeer, 5, 12)
 	addStuck(e, "k/1/0-1", odd, 7, 3)
 	is.Equal(Charged(e), bbunit.Tokens(27))
 	is.Equal(StatusOf(e).Stuck, bbunit.Tokens(12))
 	is.Equal(StatusOf(e).Spent, bbunit.Tokens(15))
-	is.Equal(dropStuck(e, "k/1/0-1", rigG), int64(12))
-	is.Equal(stuckPeers(e), []finalKey{{"k/1/0-1", odd}}) // it is still waited for
+	is.Equal(dropStuck(e, "k/1/0-1", granteePeer), int64(12))
+	is.Equal(stuckKeys(e), []granteeKey{{"k/1/0-1", odd}}) // it is still waited for
 	is.Equal(Charged(e), bbunit.Tokens(10))
 }
--- a/shared/bbledger/page.go
+++ b/shared/bbledger/page.go
@@ -69,7 +69,7 @@
 // under one name, which is stored once.
 func EncodePage(p *bbwire.Page) ([]byte, error) {
 	type name struct{ holder, instance, domain, witness string }
-	places := map[name]uint32{}
+	nameIndex := map[name]uint32{}
 	out := &bbwire.Page{}
 	for _, e := range p.Entries {
 		c := &bbwire.Entry{
@@ -78,11 +78,11 @@
 		}
 		for _, h := range e.Holders {
 			n := name{h.Holder, h.Instance, h.Domain, h.Witness}
-			if places[n] == 0 {
+			if nameIndex[n] == 0 {
 				out.Names = append(out.Names, &bbwire.Holder{Holder: n.holder, Instance: n.instance, Domain: n.domain, Witness: n.witness})
-				places[n] = uint32(len(out.Names))
+				nameIndex[n] = uint32(len(out.Names))
 			}
-			c.Holders = append(c.Holders, &bbwire.Holder{Name: places[n], Drawn: h.Drawn, Spent: h.Spent, Seq: h.Seq})
+			c.Holders = append(c.Holders, &bbwire.Holder{Name: nameIndex[n], Drawn: h.Drawn, Spent: h.Spent, Seq: h.Seq})
 		}
 		out.Entries = append(out.Entries, c)
 	}
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// needEntry returns the budget's entry and adds it in order when absent.
-func needEntry(p *bbwire.Page, b bbunit.BudgetID) *bbwire.Entry {
+// ensureEntry returns the budget's entry and adds it in order when absent.
+func ensureEntry(p *bbwire.Page, b bbunit.BudgetID) *bbwire.Entry {
 	if e := findEntry(p, b); e != nil {
 		return e
 	}
@@ -178,8 +178,8 @@
 
 // addStuck counts what a grantee may still spend, apart from what it is known to
 // have spent.
-func addStuck(e *bbwire.Entry, h bbunit.HolderID, g Peer, rest, spent int64) {
-	e.Stuck = append(e.Stuck, &bbwire.Stuck{Holder: string(h), Grantee: g.String(), Amount: rest, Spent: spent})
+func addStuck(e *bbwire.Entry, h bbunit.HolderID, g Peer, unspent, spent int64) {
+	e.Stuck = append(e.Stuck, &bbwire.Stuck{Holder: string(h), Grantee: g.String(), Amount: unspent, Spent: spent})
 }
 
 // dropStuck takes a grantee's stuck amount off the entry and returns what it was
@@ -198,23 +198,23 @@
 	return spent
 }
 
-// stuckPeers lists whose final account the entry waits for.
-func stuckPeers(e *bbwire.Entry) []finalKey {
-	var out []finalKey
+// stuckKeys lists whose final account the entry waits for.
+func stuckKeys(e *bbwire.Entry) []granteeKey {
+	var out []granteeKey
 	for _, s := range e.Stuck {
-		out = append(out, finalKey{bbunit.HolderID(s.Holder), ParsePeer(s.Grantee)})
+		out = append(out, granteeKey{bbunit.HolderID(s.Holder), ParsePeer(s.Grantee)})
 	}
 	return out
 }
 
-// behind tells whether advance would change the entry.
-func behind(e *bbwire.Entry, st *bbticket.State) bool {
+// outdated tells whether advance would change the entry.
+func outdated(e *bbwire.Entry, st *bbticket.State) bool {
 	return uint64(st.Budgets.Get(bbunit.BudgetID(e.Budget)).Number) > e.Number || e.Capnumber > 0 && uint64(st.Number) >= e.Capnumber
 }
 
-// advance puts a ticket's paid amount on the entry, only forward by number, and
+// applyTicket puts a ticket's paid amount on the entry, only forward by number, and
 // drops a cap whose ticket came to nothing. It reports whether the entry changed.
-func advance(e *bbwire.Entry, st *bbticket.State) bool {
+func applyTicket(e *bbwire.Entry, st *bbticket.State) bool {
 	changed := false
 	if o := st.Budgets.Get(bbunit.BudgetID(e.Budget)); uint64(o.Number) > e.Number {
 		paid := o.Object.Paid
--- a/shared/bbledger/page_test.go
+++ b/shared/bbledger/page_test.go
@@ -10,9 +10,9 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// TestPageStored: a page comes back as it was, also with holders that differ
+// TestPageRoundTrip: a page comes back as it was, also with holders that differ
 // only in their witness, and a name that points nowhere is an error.
-func TestPageStored(t *testing.T) {
+func TestPageRoundTrip(t *testing.T) {
 	is := is.New(t)
 	p := fullPage(5, 3)
 	p.Entries[2].Holders[1].Witness = "another/1"
--- a/shared/bbledger/policy.go
+++ b/shared/bbledger/policy.go
@@ -22,86 +22,86 @@
 }
 
 const (
-	// askFor is how long a keeper works on a want before it answers with nothing.
-	askFor = 300 * time.Millisecond
-	// freshFor is how old a page may be for a keeper to call a budget empty.
-	freshFor = 100 * time.Millisecond
-	// resendAfter is when an unanswered mark, freeze or surrender is sent again.
-	resendAfter = 100 * time.Millisecond
-	// witnessFor is how long a witness may be silent before the holder moves on.
-	witnessFor = time.Second
-	// closeAfter is how long an instance must be gone before its holder is closed.
-	closeAfter = 2 * time.Second
-	// surrenderFor is how long the closer of a holder waits for its grantees.
-	surrenderFor = time.Second
-	// stuckEvery is how often grantees are asked again about stuck amounts.
-	stuckEvery = 2 * time.Second
-	// strandAfter is how long a grantee must be gone for its slices to be listed
+	// wantTimeout is how long a keeper works on a want before it answers with nothing.
+	wantTimeout = 300 * time.Millisecond
+	// maxPageAge is how old a page may be for a keeper to call a budget empty.
+	maxPageAge = 100 * time.Millisecond
+	// resendInterval is when an unanswered mark, freeze or surrender is sent again.
+	resendInterval = 100 * time.Millisecond
+	// witnessTimeout is how long a witness may be silent before the holder moves on.
+	witnessTimeout = time.Second
+	// closeDelay is how long an instance must be gone before its holder is closed.
+	closeDelay = 2 * time.Second
+	// surrenderTimeout is how long the closer of a holder waits for its grantees.
+	surrenderTimeout = time.Second
+	// stuckRetryInterval is how often grantees are asked again about stuck amounts.
+	stuckRetryInterval = 2 * time.Second
+	// stuckDelay is how long a grantee must be gone for its slices to be listed
 	// as stuck.
-	strandAfter = 3 * time.Second
-	// retireAfter is how long a keeper that is no longer home goes on.
-	retireAfter = 5 * time.Second
-	// backoffLeast and backoffMost bound the pause after a failed store call.
-	backoffLeast = 50 * time.Millisecond
-	backoffMost  = 2 * time.Second
-	// rateEvery is the sampling period of demand.
-	rateEvery = 500 * time.Millisecond
-	// rateRise is the time constant of a rising demand; a falling one has the
+	stuckDelay = 3 * time.Second
+	// retireDelay is how long a keeper that is no longer home goes on.
+	retireDelay = 5 * time.Second
+	// minBackoff and backoffMost bound the pause after a failed store call.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// demandSamplePeriod is the sampling period of demand.
+	demandSamplePeriod = 500 * time.Millisecond
+	// demandRiseTime is the time constant of a rising demand; a falling one has the
 	// horizon's.
-	rateRise = time.Second
-	// rateLeast is the demand, in tokens a second, that counts as none.
-	rateLeast = 0.5
-	// emptyFor is how long a purse takes a budget to be empty once told so.
-	emptyFor = 250 * time.Millisecond
-	// recallEvery is how often a keeper asks the grantees of a budget for what
+	demandRiseTime = time.Second
+	// minDemandRate is the demand, in tokens a second, that counts as none.
+	minDemandRate = 0.5
+	// emptyReplyTTL is how long a purse takes a budget to be empty once told so.
+	emptyReplyTTL = 250 * time.Millisecond
+	// recallInterval is how often a keeper asks the grantees of a budget for what
 	// they have free, at most.
-	recallEvery = 100 * time.Millisecond
-	// recallFor is how long a want waits for what a recall brings.
-	recallFor = 100 * time.Millisecond
-	// recallCalm is how long a purse that was asked to return what is free asks
+	recallInterval = 100 * time.Millisecond
+	// recallWait is how long a want waits for what a recall brings.
+	recallWait = 100 * time.Millisecond
+	// refillPauseAfterRecall is how long a purse that was asked to return what is free asks
 	// for nothing but what requests wait for.
-	recallCalm = 500 * time.Millisecond
-	// reportEvery is how often a purse reports what it spent.
-	reportEvery = time.Second
-	// askEvery is when a purse repeats an unanswered ask, or asks the next keeper.
-	askEvery = 60 * time.Millisecond
+	refillPauseAfterRecall = 500 * time.Millisecond
+	// reportInterval is how often a purse reports what it spent.
+	reportInterval = time.Second
+	// requestInterval is when a purse repeats an unanswered ask, or asks the next keeper.
+	requestInterval = 60 * time.Millisecond
 )
 
-// rate is a moving average of demand in tokens a second. The zero value is no
+// demandRate is a moving average of demand in tokens a second. The zero value is no
 // demand.
-type rate struct {
-	perSec float64
-	sum    bbunit.Tokens
-	since  time.Time
+type demandRate struct {
+	tokensPerSecond float64
+	sum             bbunit.Tokens
+	periodStart     time.Time
 }
 
 // add counts n tokens of demand.
-func (r *rate) add(n bbunit.Tokens) { r.sum += n }
+func (r *demandRate) add(n bbunit.Tokens) { r.sum += n }
 
-// tick folds the demand of the last period in; fall is the time constant of a
+// update folds the demand of the last period in; fall is the time constant of a
 // falling demand.
-func (r *rate) tick(now time.Time, fall time.Duration) {
-	if r.since.IsZero() {
-		r.since = now
+func (r *demandRate) update(now time.Time, fallTime time.Duration) {
+	if r.periodStart.IsZero() {
+		r.periodStart = now
 	}
-	d := now.Sub(r.since)
-	if d < rateEvery {
+	period := now.Sub(r.periodStart)
+	if period < demandSamplePeriod {
 		return
 	}
-	seen := float64(r.sum) / d.Seconds()
-	tau := max(fall, rateEvery)
-	if seen > r.perSec {
-		tau = min(tau, rateRise)
+	observed := float64(r.sum) / period.Seconds()
+	timeConstant := max(fallTime, demandSamplePeriod)
+	if observed > r.tokensPerSecond {
+		timeConstant = min(timeConstant, demandRiseTime)
 	}
-	keep := math.Exp(-d.Seconds() / tau.Seconds())
-	r.perSec = keep*r.perSec + (1-keep)*seen
-	if r.perSec < rateLeast {
-		r.perSec = 0
+	weight := math.Exp(-period.Seconds() / timeConstant.Seconds())
+	r.tokensPerSecond = weight*r.tokensPerSecond + (1-weight)*observed
+	if r.tokensPerSecond < minDemandRate {
+		r.tokensPerSecond = 0
 	}
-	r.sum, r.since = 0, now
+	r.sum, r.periodStart = 0, now
 }
 
-// over returns the demand of a period.
-func (r *rate) over(d time.Duration) bbunit.Tokens {
-	return bbunit.Tokens(min(r.perSec*d.Seconds(), float64(MaxPaid)))
+// expected returns the demand of a period.
+func (r *demandRate) expected(d time.Duration) bbunit.Tokens {
+	return bbunit.Tokens(min(r.tokensPerSecond*d.Seconds(), float64(MaxPaid)))
 }
--- a/shared/bbledger/recall_test.go
+++ b/shared/bbledger/recall_test.go
@@ -11,51 +11,51 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// lentOut returns a rig whose grantee has 100, which is all that is paid.
-func lentOut(t *testing.T) *rig {
-	r := newRig(t)
-	r.want(100, 0)
-	r.load()
-	r.save()
-	r.ack(rigW1, need[*bbwire.Mark](r))
-	r.is.Equal(need[*bbwire.GrantTell](r).Slices[0].Granted, int64(100))
-	return r
+// fullyGrantedFixture returns a rig whose grantee has 100, which is all that is paid.
+func fullyGrantedFixture(t *testing.T) *fixture {
+	f := newFixture(t)
+	f.request(100, 0)
+	f.answerLoad()
+	f.answerSave()
+	f.ackMark(witness1, requireAction[*bbwire.Mark](f))
+	f.is.Equal(requireAction[*bbwire.GrantTell](f).Slices[0].Granted, int64(100))
+	return f
 }
 
-// hungry is a want of another grantee on a page that is fresh.
-func (r *rig) hungry(urgent bool, least int64) {
-	r.hungryAs(rigW1, urgent, least)
+// otherRequests is a want of another grantee on a page that is fresh.
+func (f *fixture) otherRequests(urgent bool, least int64) {
+	f.requestAs(witness1, urgent, least)
 }
 
-func (r *rig) hungryAs(p Peer, urgent bool, least int64) {
-	r.step(GrantRequested{From: p, Msg: &bbwire.GrantAsk{Wants: []*bbwire.Want{{Budget: "b", Amount: least, Least: least, Urgent: urgent}}}})
-	if _, ok := take[Load](r); ok {
-		r.step(Loaded{Page: clonePage(r.page), Rev: r.rev})
+func (f *fixture) requestAs(p Peer, urgent bool, least int64) {
+	f.handle(GrantRequested{From: p, Msg: &bbwire.GrantAsk{Wants: []*bbwire.Want{{Budget: "b", Amount: least, Least: least, Urgent: urgent}}}})
+	if _, ok := takeAction[Load](f); ok {
+		f.handle(Loaded{Page: clonePage(f.page), Rev: f.rev})
 	}
 }
 
-// said is what the rig's grantee reports.
-func (r *rig) said(spent, returned int64) {
-	r.step(GrantRequested{From: rigG, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{
-		{Budget: "b", Holder: string(r.k.Holder()), Grantee: rigG.String(), Granted: 100, Spent: spent, Returned: returned},
+// report is what the rig's grantee reports.
+func (f *fixture) report(spent, returned int64) {
+	f.handle(GrantRequested{From: granteePeer, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{
+		{Budget: "b", Holder: string(f.al.Holder()), Grantee: granteePeer.String(), Granted: 100, Spent: spent, Returned: returned},
 	}}})
 }
 
-// emptied answers the keeper until it says that the budget is empty; nil when it
+// untilEmpty answers the keeper until it says that the budget is empty; nil when it
 // does not.
-func (r *rig) emptied() *bbwire.GrantTell {
+func (f *fixture) untilEmpty() *bbwire.GrantTell {
 	for range 10 {
-		r.tick(TickInterval)
-		out := r.out
-		r.out = nil
+		f.tick(TickInterval)
+		out := f.actions
+		f.actions = nil
 		for _, a := range out {
 			switch a := a.(type) {
 			case Load:
-				r.step(Loaded{Page: clonePage(r.page), Rev: r.rev})
+				f.handle(Loaded{Page: clonePage(f.page), Rev: f.rev})
 			case Send:
 				switch m := a.Body.(type) {
 				case *bbwire.Mark:
-					r.ack(rigW1, m)
+					f.ackMark(witness1, m)
 				case *bbwire.GrantTell:
 					if len(m.Empty) > 0 {
 						return m
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func recalls(out []any) int {
+func countRecalls(out []any) int {
 	n := 0
 	for _, a := range out {
 		if s, ok := a.(Send); ok {
@@ -79,7 +79,7 @@
 	return n
 }
 
-func TestKeeperRecallsOnlyWhatMayHelp(t *testing.T) {
+func TestAllocatorRecallsOnlyWhenItMayHelp(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		urgent bool
@@ -92,64 +92,64 @@
 		{"all is spent", true, 100, false, 0},
 		{"the grantee is gone", true, 20, true, 0},
 	} {
-		r := lentOut(t)
+		f := fullyGrantedFixture(t)
 		if c.gone {
-			r.view = &bbmember.View{Self: r.view.Self, Members: r.view.Members[:2]}
-			r.tick(0)
+			f.view = &bbmember.View{Self: f.view.Self, Members: f.view.Members[:2]}
+			f.tick(0)
 		}
-		r.said(c.spent, 0)
-		r.out = nil
-		r.hungry(c.urgent, 50)
-		if n := recalls(r.out); n != c.want {
+		f.report(c.spent, 0)
+		f.actions = nil
+		f.otherRequests(c.urgent, 50)
+		if n := countRecalls(f.actions); n != c.want {
 			t.Errorf("%s: %d recalls, want %d", c.name, n, c.want)
 		}
 	}
 }
 
-func TestKeeperGrantsWhatARecallBrought(t *testing.T) {
-	r := lentOut(t)
-	writes := r.rev
-	r.out = nil
-	r.hungry(true, 50)
-	r.is.Equal(need[*bbwire.GrantTell](r).Recalls[0].Grantee, rigW1.String())
+func TestAllocatorGrantsWhatARecallBrought(t *testing.T) {
+	f := fullyGrantedFixture(t)
+	writes := f.rev
+	f.actions = nil
+	f.otherRequests(true, 50)
+	f.is.Equal(requireAction[*bbwire.GrantTell](f).Recalls[0].Grantee, witness1.String())
 	for range 3 {
-		r.hungry(true, 50)
+		f.otherRequests(true, 50)
 	}
-	r.is.Equal(recalls(r.out), 0) // not again so soon
-	r.said(20, 60)
+	f.is.Equal(countRecalls(f.actions), 0) // not again so soon
+	f.report(20, 60)
 	for range 2 {
-		r.ack(rigW1, need[*bbwire.Mark](r)) // what came back, then the mark of the next grant
+		f.ackMark(witness1, requireAction[*bbwire.Mark](f)) // what came back, then the mark of the next grant
 	}
-	r.is.Equal(need[*bbwire.GrantTell](r).Slices[0].Granted, int64(50))
-	_, ok := take[Save](r)
-	r.none(ok)
-	r.is.Equal(r.rev, writes)
+	f.is.Equal(requireAction[*bbwire.GrantTell](f).Slices[0].Granted, int64(50))
+	_, ok := takeAction[Save](f)
+	f.notTaken(ok)
+	f.is.Equal(f.rev, writes)
 }
 
-func TestKeeperRecallsWhatOnlyTheMarksSay(t *testing.T) {
-	r := lentOut(t)
-	r.k.accounts["b"].share(rigG).granted = 40
-	r.out = nil
-	r.hungry(true, 50)
-	r.is.Equal(need[*bbwire.GrantTell](r).Slices[0].Granted, int64(100))
+func TestAllocatorRecallsUpToTheAckedMark(t *testing.T) {
+	f := fullyGrantedFixture(t)
+	f.al.allocations["b"].grant(granteePeer).granted = 40
+	f.actions = nil
+	f.otherRequests(true, 50)
+	f.is.Equal(requireAction[*bbwire.GrantTell](f).Slices[0].Granted, int64(100))
 }
 
-func TestKeeperRecallsNowAndThenForTheOneThatComesFirst(t *testing.T) {
-	r := lentOut(t)
-	r.out = nil
-	r.hungry(true, 50)
-	r.is.Equal(recalls(r.out), 1)
-	r.tick(recallFor / 2)
-	r.out = nil
-	r.hungryAs(Peer{"z", 1}, true, 50)
-	r.hungryAs(rigSelf, true, 50)
-	r.is.Equal(recalls(r.out), 0)
-	r.tick(recallEvery - recallFor/2)
-	r.is.Equal(recalls(r.out), 1)
-	r.is.Equal(need[*bbwire.GrantTell](r).Recalls[0].Grantee, rigSelf.String())
+func TestAllocatorLimitsRecallsAndNamesTheSmallestPeer(t *testing.T) {
+	f := fullyGrantedFixture(t)
+	f.actions = nil
+	f.otherRequests(true, 50)
+	f.is.Equal(countRecalls(f.actions), 1)
+	f.tick(recallWait / 2)
+	f.actions = nil
+	f.requestAs(Peer{"z", 1}, true, 50)
+	f.requestAs(selfPeer, true, 50)
+	f.is.Equal(countRecalls(f.actions), 0)
+	f.tick(recallInterval - recallWait/2)
+	f.is.Equal(countRecalls(f.actions), 1)
+	f.is.Equal(requireAction[*bbwire.GrantTell](f).Recalls[0].Grantee, selfPeer.String())
 }
 
-func TestKeeperTellsWhatMayComeBack(t *testing.T) {
+func TestAllocatorReportsWhatMayBeReturned(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
 		spent, returned, lent int64
@@ -159,14 +159,14 @@
 		{"some came back, too little", 60, 30, 40},
 		{"all is spent", 100, 0, 0},
 	} {
-		r := lentOut(t)
-		r.said(c.spent, c.returned)
-		if m, ok := take[*bbwire.Mark](r); ok {
-			r.ack(rigW1, m)
+		f := fullyGrantedFixture(t)
+		f.report(c.spent, c.returned)
+		if m, ok := takeAction[*bbwire.Mark](f); ok {
+			f.ackMark(witness1, m)
 		}
-		r.out = nil
-		r.hungry(true, 101)
-		m := r.emptied()
+		f.actions = nil
+		f.otherRequests(true, 101)
+		m := f.untilEmpty()
 		if m == nil {
 			t.Fatalf("%s: not told", c.name)
 		}
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestPurseReturnsWhatItIsAskedFor(t *testing.T) {
+func TestWalletAnswersARecall(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		waits    bbunit.Tokens
@@ -189,13 +189,13 @@
 		{"too little, for one that comes after", 16, "z/1", 0},
 	} {
 		is := is.New(t)
-		p, v := newTestPurse(true)
+		p, v := newTestWallet(true)
 		now := time.Unix(1000, 0)
-		p.HandleGrant(now, "d", grantOf("k/1/0-1", 20))
-		pot := p.Balance("b")
-		is.True(pot.Reserve(5))
+		p.HandleGrant(now, "d", grantMessage("k/1/0-1", 20))
+		bal := p.Balance("b")
+		is.True(bal.Reserve(5))
 		if c.waits > 0 {
-			p.AddWaiter(pot, c.waits)
+			p.AddWaiter(bal, c.waits)
 		}
 		out := p.HandleGrant(now, "d", &bbwire.GrantTell{Recalls: []*bbwire.Recall{{Budget: "b", Grantee: c.grantee}}})
 		is.Equal(len(out), 1)
@@ -204,16 +204,16 @@
 		if s.Returned != c.returned || s.Granted != 20 {
 			t.Errorf("%s: %v, want %d returned", c.name, s, c.returned)
 		}
-		is.Equal(pot.Free(), bbunit.Tokens(15-c.returned))
+		is.Equal(bal.Free(), bbunit.Tokens(15-c.returned))
 		if c.waits == 0 {
-			pot.rate.perSec = 1000
-			is.Equal(len(p.DueMessages(now.Add(askEvery), v)), 0) // it does not ask back what it returned
-			is.Equal(len(p.DueMessages(now.Add(recallCalm), v)), 1)
+			bal.demand.tokensPerSecond = 1000
+			is.Equal(len(p.DueMessages(now.Add(requestInterval), v)), 0) // it does not ask back what it returned
+			is.Equal(len(p.DueMessages(now.Add(refillPauseAfterRecall), v)), 1)
 		}
 	}
 }
 
-func TestPurseIsExhaustedOnlyWhenNothingMayComeBack(t *testing.T) {
+func TestWalletIsExhaustedOnlyWhenTooLittleMayBeReturned(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		own, other *bbwire.Left
@@ -228,27 +228,27 @@
 		{"with the page's rest", &bbwire.Left{Rest: 6}, &bbwire.Left{Lent: 4, Rest: 6}, false},
 	} {
 		is := is.New(t)
-		p, v := newTestPurse(true)
+		p, v := newTestWallet(true)
 		now := time.Unix(1000, 0)
-		pot := p.Balance("b")
-		p.AddWaiter(pot, 10)
+		bal := p.Balance("b")
+		p.AddWaiter(bal, 10)
 		for d, l := range map[bbunit.DomainID]*bbwire.Left{"e": c.own, "d": c.other} {
 			l.Budget = "b"
 			p.HandleGrant(now, d, &bbwire.GrantTell{Empty: []string{"b"}, Lefts: []*bbwire.Left{l}})
 		}
-		is.True(p.AllAllocatorsEmpty(now, v, pot))
-		if p.Exhausted(now, v, pot, 10) != c.exhausted {
+		is.True(p.AllAllocatorsEmpty(now, v, bal))
+		if p.Exhausted(now, v, bal, 10) != c.exhausted {
 			t.Errorf("%s: exhausted is not %v", c.name, c.exhausted)
 		}
 	}
 }
 
-func TestPurseAsksNoFasterWhenAllAnswerAtOnce(t *testing.T) {
+func TestWalletAsksNoFasterWhenAllAnswerAtOnce(t *testing.T) {
 	is := is.New(t)
-	p, v := newTestPurse(true)
+	p, v := newTestWallet(true)
 	now := time.Unix(1000, 0)
-	pot := p.Balance("b")
-	p.AddWaiter(pot, 10)
+	bal := p.Balance("b")
+	p.AddWaiter(bal, 10)
 	asked := 0
 	for range 100 {
 		for range p.DueMessages(now, v) {
@@ -261,9 +261,9 @@
 	is.True(asked <= 2)
 }
 
-// TestKeeperTellsWhatClosingAndCutOffHoldersHave looks at what an answer counts of
+// TestAllocatorReportsUnspentOfClosingAndUnreachableHolders looks at what an answer counts of
 // other holders on the page.
-func TestKeeperTellsWhatClosingAndCutOffHoldersHave(t *testing.T) {
+func TestAllocatorReportsUnspentOfClosingAndUnreachableHolders(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		holder     bbunit.HolderID
@@ -271,27 +271,27 @@
 		witness    Peer
 		lent, rest int64
 	}{
-		{"an older one of its own", "k/1/0-9", "d", rigW2, 30, 0},
-		{"gone, the witness lives", "x/7/0-1", "d", rigW1, 30, 0},
-		{"gone with its witness", "x/7/0-1", "d", rigW2, 0, 0},
-		{"alive", "w1/1/0-1", "d", rigW2, 0, 0},
-		{"alive in another failure domain", "g/1/0-1", "e", rigW2, 0, 0},
-		{"in a failure domain that cannot be asked", "y/1/0-1", "f", rigW2, 0, 30},
+		{"an older one of its own", "k/1/0-9", "d", witness2, 30, 0},
+		{"gone, the witness lives", "x/7/0-1", "d", witness1, 30, 0},
+		{"gone with its witness", "x/7/0-1", "d", witness2, 0, 0},
+		{"alive", "w1/1/0-1", "d", witness2, 0, 0},
+		{"alive in another failure domain", "g/1/0-1", "e", witness2, 0, 0},
+		{"in a failure domain that cannot be asked", "y/1/0-1", "f", witness2, 0, 30},
 	} {
-		r := newRig(t)
-		r.page = &bbwire.Page{Entries: []*bbwire.Entry{{Budget: "b", Paid: 100, Number: 1, Settled: 60, Holders: []*bbwire.Holder{
+		f := newFixture(t)
+		f.page = &bbwire.Page{Entries: []*bbwire.Entry{{Budget: "b", Paid: 100, Number: 1, Settled: 60, Holders: []*bbwire.Holder{
 			{Holder: string(c.holder), Domain: c.domain, Drawn: 40, Spent: 10, Seq: 1, Witness: c.witness.String()},
 		}}}}
-		r.rev = 1
-		r.hungry(true, 50)
+		f.rev = 1
+		f.otherRequests(true, 50)
 		var m *bbwire.GrantTell
-		for _, a := range r.out {
+		for _, a := range f.actions {
 			if s, ok := a.(Send); ok && m == nil {
 				m, _ = s.Body.(*bbwire.GrantTell)
 			}
 		}
 		if m == nil {
-			m = r.emptied()
+			m = f.untilEmpty()
 		}
 		if l := m.Lefts[0]; l.Lent != c.lent || l.Rest != c.rest {
 			t.Errorf("%s: told %v", c.name, l)
@@ -299,13 +299,13 @@
 	}
 }
 
-func TestPurseTopsUpInItsOwnDomainOnly(t *testing.T) {
+func TestWalletTopsUpInItsOwnDomainOnly(t *testing.T) {
 	is := is.New(t)
-	p, v := newTestPurse(true)
+	p, v := newTestWallet(true)
 	now := time.Unix(1000, 0)
-	pot := p.Balance("b")
-	pot.rate.perSec = 1000
-	is.Equal(p.DueMessages(now, v)[0].To, rigG.ID)
+	bal := p.Balance("b")
+	bal.demand.tokensPerSecond = 1000
+	is.Equal(p.DueMessages(now, v)[0].To, granteePeer.ID)
 	p.HandleGrant(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
-	is.Equal(len(p.DueMessages(now.Add(askEvery), v)), 0)
+	is.Equal(len(p.DueMessages(now.Add(requestInterval), v)), 0)
 }
--- a/shared/bbledger/sim_test.go
+++ b/shared/bbledger/sim_test.go
@@ -18,48 +18,48 @@
 // sim runs the core of several instances over one page: messages, store calls
 // and clocks move only when the test says so.
 type sim struct {
-	now     time.Time
-	page    *bbwire.Page
-	rev     bbstore.Revision
-	late    []Save // writes without an answer that may still land
-	nodes   []*node
-	net     []mail
-	cut     map[[2]bbunit.DomainID]bool
-	offline map[bbunit.DomainID]bool // cut from the service
-	state   *bbticket.State
-	budgets []bbunit.BudgetID
-	spent   map[bbunit.BudgetID]bbunit.Tokens
-	crashes int
-	writes  int
-	loads   int
-	fail    func(format string, args ...any)
-}
-
-type node struct {
-	member  bbmember.Member
-	policy  Policy
-	view    *bbmember.View
-	purse   *Wallet
-	witness *Witness
-	keeper  *Allocator
-	holders uint64
-	op      any // the Load or Save that is out
-	holds   []simHold
-	paused  bool
-	dead    bool
-	drained bool
-}
-
-type simHold struct {
-	pot  *Balance
-	most bbunit.Tokens
-}
-
-type mail struct {
-	from Peer
-	to   bbunit.InstanceID
-	dom  [2]bbunit.DomainID
-	body any
+	now         time.Time
+	page        *bbwire.Page
+	rev         bbstore.Revision
+	lateWrites  []Save // writes without an answer that may still land
+	nodes       []*simNode
+	network     []simMessage
+	partitioned map[[2]bbunit.DomainID]bool
+	storeDown   map[bbunit.DomainID]bool // cut from the service
+	state       *bbticket.State
+	budgets     []bbunit.BudgetID
+	spent       map[bbunit.BudgetID]bbunit.Tokens
+	crashes     int
+	writes      int
+	loads       int
+	fail        func(format string, args ...any)
+}
+
+type simNode struct {
+	member           bbmember.Member
+	policy           Policy
+	view             *bbmember.View
+	purse            *Wallet
+	witness          *Witness
+	keeper           *Allocator
+	lastHolderNumber uint64
+	storeCall        any // the Load or Save that is out
+	reservations     []simReservation
+	paused           bool
+	dead             bool
+	drained          bool
+}
+
+type simReservation struct {
+	pot      *Balance
+	reserved bbunit.Tokens
+}
+
+type simMessage struct {
+	from    Peer
+	to      bbunit.InstanceID
+	domains [2]bbunit.DomainID
+	body    any
 }
 
 var simPolicy = Policy{DrawHorizon: 4 * time.Second, UnwitnessedHorizon: time.Second, GrantHorizon: time.Second, Borrow: true}
@@ -75,40 +75,40 @@
 	return out
 }
 
-func newSim(domains, each int, policy Policy, fail func(string, ...any)) *sim {
+func newSim(domains, instancesPerDomain int, policy Policy, fail func(string, ...any)) *sim {
 	s := &sim{
-		now: time.Unix(1000, 0), page: &bbwire.Page{}, cut: map[[2]bbunit.DomainID]bool{}, offline: map[bbunit.DomainID]bool{},
+		now: time.Unix(1000, 0), page: &bbwire.Page{}, partitioned: map[[2]bbunit.DomainID]bool{}, storeDown: map[bbunit.DomainID]bool{},
 		spent: map[bbunit.BudgetID]bbunit.Tokens{}, budgets: samePage(2), fail: fail,
 		state: &bbticket.State{},
 	}
 	for d := range domains {
-		for i := range each {
+		for i := range instancesPerDomain {
 			s.add(bbmember.Member{ID: bbunit.InstanceID(fmt.Sprintf("%c%d", 'a'+d, i)), Inc: 1, Domain: bbunit.DomainID(fmt.Sprintf("%c", 'a'+d))}, policy)
 		}
 	}
-	s.showAll()
+	s.refreshViews()
 	return s
 }
 
-func (s *sim) add(m bbmember.Member, policy Policy) *node {
-	n := &node{member: m, policy: policy, purse: NewWallet(m, policy), witness: &Witness{}}
+func (s *sim) add(m bbmember.Member, policy Policy) *simNode {
+	n := &simNode{member: m, policy: policy, purse: NewWallet(m, policy), witness: &Witness{}}
 	n.view = &bbmember.View{Self: m, Members: []bbmember.Member{m}}
-	n.keeper = NewAllocator(PageOf(s.budgets[0]), m, policy, func() uint64 { n.holders++; return n.holders })
+	n.keeper = NewAllocator(PageOf(s.budgets[0]), m, policy, func() uint64 { n.lastHolderNumber++; return n.lastHolderNumber })
 	s.nodes = append(s.nodes, n)
 	return n
 }
 
 // restart brings a dead instance back in its next life.
-func (s *sim) restart(n *node) {
+func (s *sim) restart(n *simNode) {
 	m := n.member
 	m.Inc++
-	s.showAll()
+	s.refreshViews()
 	x := s.add(m, n.policy)
-	s.show(x, nil)
+	s.setView(x, nil)
 }
 
-func (s *sim) live() []*node {
-	var out []*node
+func (s *sim) liveNodes() []*simNode {
+	var out []*simNode
 	for _, n := range s.nodes {
 		if !n.dead {
 			out = append(out, n)
@@ -117,10 +117,10 @@
 	return out
 }
 
-// show gives a node the list of live instances without the missed one.
-func (s *sim) show(n *node, missed *node) {
+// setView gives a node the list of live instances without the missed one.
+func (s *sim) setView(n *simNode, missed *simNode) {
 	v := &bbmember.View{Self: n.member}
-	for _, x := range s.live() {
+	for _, x := range s.liveNodes() {
 		if x != missed {
 			v.Members = append(v.Members, x.member)
 		}
@@ -128,112 +128,112 @@
 	n.view = v
 }
 
-func (s *sim) showAll() {
-	for _, n := range s.live() {
-		s.show(n, nil)
+func (s *sim) refreshViews() {
+	for _, n := range s.liveNodes() {
+		s.setView(n, nil)
 	}
 }
 
-// pay puts a budget's total in force.
-func (s *sim) pay(b bbunit.BudgetID, paid bbunit.Tokens) {
+// setPaid puts a budget's total in force.
+func (s *sim) setPaid(b bbunit.BudgetID, paid bbunit.Tokens) {
 	s.state = s.state.Apply(bbticket.Ticket{Number: s.state.Number + 1, Budgets: []bbticket.Budget{{ID: b, Paid: paid}}})
 }
 
 func (s *sim) paid(b bbunit.BudgetID) bbunit.Tokens { return s.state.Budgets.Get(b).Object.Paid }
 
-// do carries out what a node's core asked for.
-func (s *sim) do(n *node, actions []any) {
+// perform carries out what a node's core asked for.
+func (s *sim) perform(n *simNode, actions []any) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			s.post(n, a)
+			s.send(n, a)
 		default:
-			if n.op != nil {
+			if n.storeCall != nil {
 				s.fail("two store calls at once on %s", n.member.ID)
 			}
-			n.op = a
+			n.storeCall = a
 		}
 	}
 }
 
-func (s *sim) post(n *node, a Send) {
-	m := mail{from: PeerOf(n.member), to: a.To, body: a.Body}
-	m.dom[0] = n.member.Domain
-	s.net = append(s.net, m)
+func (s *sim) send(n *simNode, a Send) {
+	m := simMessage{from: PeerOf(n.member), to: a.To, body: a.Body}
+	m.domains[0] = n.member.Domain
+	s.network = append(s.network, m)
 }
 
-func (s *sim) posts(n *node, list []Send) {
+func (s *sim) sendAll(n *simNode, list []Send) {
 	for _, a := range list {
-		s.post(n, a)
+		s.send(n, a)
 	}
 }
 
 // tick lets a node act on the time.
-func (s *sim) tick(n *node) {
+func (s *sim) tick(n *simNode) {
 	if n.dead || n.paused {
 		return
 	}
-	s.do(n, n.keeper.Step(s.now, Tick{View: n.view, State: s.state}))
-	s.posts(n, n.purse.DueMessages(s.now, n.view))
+	s.perform(n, n.keeper.Step(s.now, Tick{View: n.view, State: s.state}))
+	s.sendAll(n, n.purse.DueMessages(s.now, n.view))
 }
 
 // deliver hands over message i and keeps it when twice.
 func (s *sim) deliver(i int, twice bool) {
-	m := s.net[i]
+	m := s.network[i]
 	if !twice {
-		s.net = append(s.net[:i:i], s.net[i+1:]...)
+		s.network = append(s.network[:i:i], s.network[i+1:]...)
 	}
-	for _, n := range s.live() {
-		if n.member.ID == m.to && !n.paused && (m.from == PeerOf(n.member) || !s.cut[[2]bbunit.DomainID{m.dom[0], n.member.Domain}]) {
+	for _, n := range s.liveNodes() {
+		if n.member.ID == m.to && !n.paused && (m.from == PeerOf(n.member) || !s.partitioned[[2]bbunit.DomainID{m.domains[0], n.member.Domain}]) {
 			s.receive(n, m)
 		}
 	}
 }
 
-func (s *sim) receive(n *node, m mail) {
+func (s *sim) receive(n *simNode, m simMessage) {
 	switch b := m.body.(type) {
 	case *bbwire.GrantAsk:
-		s.do(n, n.keeper.Step(s.now, GrantRequested{From: m.from, Msg: b}))
+		s.perform(n, n.keeper.Step(s.now, GrantRequested{From: m.from, Msg: b}))
 	case *bbwire.GrantTell:
-		s.posts(n, n.purse.HandleGrant(s.now, m.dom[0], b))
+		s.sendAll(n, n.purse.HandleGrant(s.now, m.domains[0], b))
 	case *bbwire.Mark:
-		s.post(n, Send{To: m.from.ID, Body: n.witness.Mark(b)})
+		s.send(n, Send{To: m.from.ID, Body: n.witness.Mark(b)})
 	case *bbwire.MarkAck:
-		s.do(n, n.keeper.Step(s.now, MarkAcked{From: m.from, Msg: b}))
+		s.perform(n, n.keeper.Step(s.now, MarkAcked{From: m.from, Msg: b}))
 	case *bbwire.Freeze:
-		s.post(n, Send{To: m.from.ID, Body: n.witness.Freeze(b)})
+		s.send(n, Send{To: m.from.ID, Body: n.witness.Freeze(b)})
 	case *bbwire.FreezeTell:
-		s.do(n, n.keeper.Step(s.now, Frozen{From: m.from, Msg: b}))
+		s.perform(n, n.keeper.Step(s.now, Frozen{From: m.from, Msg: b}))
 	case *bbwire.Surrender:
-		s.post(n, Send{To: m.from.ID, Body: n.purse.Surrender(bbunit.HolderID(b.Holder))})
+		s.send(n, Send{To: m.from.ID, Body: n.purse.Surrender(bbunit.HolderID(b.Holder))})
 	case *bbwire.SurrenderTell:
-		s.do(n, n.keeper.Step(s.now, Surrendered{From: m.from, Msg: b}))
+		s.perform(n, n.keeper.Step(s.now, Surrendered{From: m.from, Msg: b}))
 	}
 }
 
-// fate is how a store call ends.
-type fate int
+// outcome is how a store call ends.
+type outcome int
 
 const (
-	fateWell    fate = iota
-	fateDown         // nothing happens
-	fateLost         // it takes effect, the answer is lost
-	fateDropped      // it does not take effect, the answer is lost
-	fateLate         // it may take effect later, the answer is lost
+	outcomeOK           outcome = iota
+	outcomeUnavailable          // nothing happens
+	outcomeReplyLost            // it takes effect, the answer is lost
+	outcomeWriteLost            // it does not take effect, the answer is lost
+	outcomeWriteDelayed         // it may take effect later, the answer is lost
 )
 
-func (s *sim) finish(n *node, f fate) {
-	op := n.op
-	n.op = nil
-	if s.offline[n.member.Domain] {
-		f = fateDown
+func (s *sim) finishStoreCall(n *simNode, f outcome) {
+	op := n.storeCall
+	n.storeCall = nil
+	if s.storeDown[n.member.Domain] {
+		f = outcomeUnavailable
 	}
 	var ev any
 	switch a := op.(type) {
 	case Load:
 		s.loads++
 		ev = Loaded{Page: clonePage(s.page), Rev: s.rev}
-		if f != fateWell {
+		if f != outcomeOK {
 			ev = Loaded{Err: bbstore.ErrDown}
 		}
 	case Save:
@@ -242,24 +242,24 @@
 		return
 	}
 	if !n.dead {
-		s.do(n, n.keeper.Step(s.now, ev))
+		s.perform(n, n.keeper.Step(s.now, ev))
 	}
 }
 
-func (s *sim) finishSave(a Save, f fate) Saved {
+func (s *sim) finishSave(a Save, f outcome) Saved {
 	s.writes++
 	switch f {
-	case fateDown:
+	case outcomeUnavailable:
 		return Saved{Err: bbstore.ErrDown}
-	case fateDropped:
+	case outcomeWriteLost:
 		return Saved{Err: bbstore.ErrUnknown}
-	case fateLate:
-		s.late = append(s.late, a)
+	case outcomeWriteDelayed:
+		s.lateWrites = append(s.lateWrites, a)
 		return Saved{Err: bbstore.ErrUnknown}
 	}
-	ok := s.land(a)
+	ok := s.applySave(a)
 	switch {
-	case f == fateLost:
+	case f == outcomeReplyLost:
 		return Saved{Err: bbstore.ErrUnknown}
 	case !ok:
 		return Saved{Err: bbstore.ErrConflict}
@@ -267,8 +267,8 @@
 	return Saved{Rev: s.rev}
 }
 
-// land applies a write if the page is at its base.
-func (s *sim) land(a Save) bool {
+// applySave applies a write if the page is at its base.
+func (s *sim) applySave(a Save) bool {
 	if a.Prev != s.rev {
 		return false
 	}
@@ -276,61 +276,61 @@
 	return true
 }
 
-func (s *sim) landLate(i int) {
-	a := s.late[i]
-	s.late = append(s.late[:i:i], s.late[i+1:]...)
-	s.land(a)
+func (s *sim) applyLateSave(i int) {
+	a := s.lateWrites[i]
+	s.lateWrites = append(s.lateWrites[:i:i], s.lateWrites[i+1:]...)
+	s.applySave(a)
 }
 
-func (s *sim) reserve(n *node, b bbunit.BudgetID, most bbunit.Tokens) bool {
+func (s *sim) reserve(n *simNode, b bbunit.BudgetID, amount bbunit.Tokens) bool {
 	if n.dead || n.paused || n.drained {
 		return false
 	}
-	pot := n.purse.Balance(b)
-	if pot.Reserve(most) {
-		n.holds = append(n.holds, simHold{pot, most})
+	bal := n.purse.Balance(b)
+	if bal.Reserve(amount) {
+		n.reservations = append(n.reservations, simReservation{bal, amount})
 		return true
 	}
-	n.purse.AddWaiter(pot, most)
-	s.posts(n, n.purse.DueMessages(s.now, n.view))
-	n.purse.RemoveWaiter(pot, most)
-	pot.asking.sent = s.now
+	n.purse.AddWaiter(bal, amount)
+	s.sendAll(n, n.purse.DueMessages(s.now, n.view))
+	n.purse.RemoveWaiter(bal, amount)
+	bal.refill.askedAt = s.now
 	return false
 }
 
-func (s *sim) end(n *node, i int, used bbunit.Tokens) {
-	h := n.holds[i]
-	n.holds = append(n.holds[:i:i], n.holds[i+1:]...)
-	h.pot.Commit(h.most, used)
-	s.spent[h.pot.Budget] += min(used, h.most)
+func (s *sim) commit(n *simNode, i int, used bbunit.Tokens) {
+	h := n.reservations[i]
+	n.reservations = append(n.reservations[:i:i], n.reservations[i+1:]...)
+	h.pot.Commit(h.reserved, used)
+	s.spent[h.pot.Budget] += min(used, h.reserved)
 }
 
 // crash stops a node for good; what its open requests had reserved may have been
 // spent, and counts as if it were.
-func (s *sim) crash(n *node) {
-	for len(n.holds) > 0 {
-		s.end(n, 0, n.holds[0].most)
+func (s *sim) crash(n *simNode) {
+	for len(n.reservations) > 0 {
+		s.commit(n, 0, n.reservations[0].reserved)
 	}
 	n.dead = true
 	s.crashes++
 }
 
-// check fails unless no budget is overspent, and what the page counts covers
+// checkBudgets fails unless no budget is overspent, and what the page counts covers
 // what was or may be spent.
-func (s *sim) check() {
+func (s *sim) checkBudgets() {
 	for _, b := range s.budgets {
 		open := s.spent[b]
-		for _, n := range s.live() {
-			for _, h := range n.holds {
+		for _, n := range s.liveNodes() {
+			for _, h := range n.reservations {
 				if h.pot.Budget == b {
-					open += h.most
+					open += h.reserved
 				}
 			}
 		}
 		if open > s.paid(b) {
 			s.fail("budget %s: %d spent and reserved of %d paid; page %v", b, open, s.paid(b), s.page)
 		}
-		e := entryOrNew(s.page, b)
+		e := entryOrEmpty(s.page, b)
 		if Charged(e) > s.paid(b) {
 			s.fail("budget %s: %d taken of %d paid", b, Charged(e), s.paid(b))
 		}
@@ -340,35 +340,35 @@
 	}
 }
 
-// settle runs without faults for d, in steps of the tick.
-func (s *sim) settle(d time.Duration, each func()) {
+// runFor runs without faults for d, in steps of the tick.
+func (s *sim) runFor(d time.Duration, each func()) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(TickInterval)
-		for _, n := range s.live() {
+		for _, n := range s.liveNodes() {
 			s.tick(n)
 		}
 		if each != nil {
 			each()
 		}
-		s.calm()
+		s.runUntilQuiet()
 	}
 }
 
-// calm delivers every message and ends every store call, well and in order.
-func (s *sim) calm() {
+// runUntilQuiet delivers every message and ends every store call, well and in order.
+func (s *sim) runUntilQuiet() {
 	for range 100 {
 		busy := false
-		for len(s.net) > 0 {
+		for len(s.network) > 0 {
 			s.deliver(0, false)
 			busy = true
 		}
-		for _, n := range s.live() {
-			if n.op != nil {
-				s.finish(n, fateWell)
+		for _, n := range s.liveNodes() {
+			if n.storeCall != nil {
+				s.finishStoreCall(n, outcomeOK)
 				busy = true
 			}
 		}
-		s.check()
+		s.checkBudgets()
 		if !busy {
 			return
 		}
@@ -377,25 +377,25 @@
 
 // heal ends every fault and lets all instances see each other.
 func (s *sim) heal() {
-	s.cut = map[[2]bbunit.DomainID]bool{}
-	s.offline = map[bbunit.DomainID]bool{}
-	for len(s.late) > 0 {
-		s.landLate(0)
+	s.partitioned = map[[2]bbunit.DomainID]bool{}
+	s.storeDown = map[bbunit.DomainID]bool{}
+	for len(s.lateWrites) > 0 {
+		s.applyLateSave(0)
 	}
 	for _, n := range s.nodes {
 		n.paused = false
 	}
-	s.showAll()
-	for _, n := range s.live() {
-		s.do(n, n.keeper.Step(s.now, Refresh{}))
+	s.refreshViews()
+	for _, n := range s.liveNodes() {
+		s.perform(n, n.keeper.Step(s.now, Refresh{}))
 	}
 }
 
 // drainAll stops every instance cleanly.
 func (s *sim) drainAll() {
-	for _, n := range s.live() {
-		for len(n.holds) > 0 {
-			s.end(n, 0, n.holds[0].most/2)
+	for _, n := range s.liveNodes() {
+		for len(n.reservations) > 0 {
+			s.commit(n, 0, n.reservations[0].reserved/2)
 		}
 		s.drain(n)
 	}
@@ -403,21 +403,21 @@
 
 // drain begins the planned stop of an instance. It stays in the list, so that
 // the pages have a home when all are stopped.
-func (s *sim) drain(n *node) {
+func (s *sim) drain(n *simNode) {
 	n.drained = true
 	n.purse.Drain()
-	s.do(n, n.keeper.Step(s.now, Retire{}))
+	s.perform(n, n.keeper.Step(s.now, Retire{}))
 }
 
-// conserved fails unless all money is settled, back, or listed as stuck with an
+// checkSettled fails unless all money is settled, back, or listed as stuck with an
 // instance that died.
-func (s *sim) conserved() {
+func (s *sim) checkSettled() {
 	alive := map[string]bool{}
-	for _, n := range s.live() {
+	for _, n := range s.liveNodes() {
 		alive[PeerOf(n.member).String()] = true
 	}
 	for _, b := range s.budgets {
-		e := entryOrNew(s.page, b)
+		e := entryOrEmpty(s.page, b)
 		for _, x := range e.Stuck {
 			if alive[x.Grantee] && x.Amount > 0 {
 				s.fail("budget %s: still stuck with a live instance: %v", b, x)
@@ -445,59 +445,59 @@
 	case 0, 1, 2, 3, 4, 5, 6, 7:
 		s.reserve(n, b, bbunit.Tokens(rapid.IntRange(0, 25).Draw(t, "most")))
 	case 8, 9, 10, 11:
-		if len(n.holds) > 0 && !n.paused && !n.dead {
-			s.end(n, rapid.IntRange(0, len(n.holds)-1).Draw(t, "hold"), bbunit.Tokens(rapid.IntRange(0, 30).Draw(t, "used")))
+		if len(n.reservations) > 0 && !n.paused && !n.dead {
+			s.commit(n, rapid.IntRange(0, len(n.reservations)-1).Draw(t, "hold"), bbunit.Tokens(rapid.IntRange(0, 30).Draw(t, "used")))
 		}
 	case 12, 13, 14, 15, 16, 17, 18, 19:
 		s.now = s.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
-		for _, x := range s.live() {
+		for _, x := range s.liveNodes() {
 			s.tick(x)
 		}
 	case 20, 21, 22, 23, 24:
 		for range rapid.IntRange(1, 20).Draw(t, "messages") {
-			if len(s.net) > 0 {
-				s.deliver(rapid.IntRange(0, len(s.net)-1).Draw(t, "message"), rapid.IntRange(0, 9).Draw(t, "twice") == 0)
+			if len(s.network) > 0 {
+				s.deliver(rapid.IntRange(0, len(s.network)-1).Draw(t, "message"), rapid.IntRange(0, 9).Draw(t, "twice") == 0)
 			}
 		}
 	case 25:
-		if len(s.net) > 0 {
-			i := rapid.IntRange(0, len(s.net)-1).Draw(t, "dropped")
-			s.net = append(s.net[:i:i], s.net[i+1:]...)
+		if len(s.network) > 0 {
+			i := rapid.IntRange(0, len(s.network)-1).Draw(t, "dropped")
+			s.network = append(s.network[:i:i], s.network[i+1:]...)
 		}
 	case 26, 27, 28, 29, 30:
 		for _, x := range s.nodes {
-			if x.op != nil {
-				s.finish(x, rapid.SampledFrom([]fate{fateWell, fateWell, fateWell, fateDown, fateLost, fateDropped, fateLate}).Draw(t, "fate"))
+			if x.storeCall != nil {
+				s.finishStoreCall(x, rapid.SampledFrom([]outcome{outcomeOK, outcomeOK, outcomeOK, outcomeUnavailable, outcomeReplyLost, outcomeWriteLost, outcomeWriteDelayed}).Draw(t, "fate"))
 			}
 		}
 	case 31:
-		if len(s.late) > 0 {
-			s.landLate(rapid.IntRange(0, len(s.late)-1).Draw(t, "late"))
+		if len(s.lateWrites) > 0 {
+			s.applyLateSave(rapid.IntRange(0, len(s.lateWrites)-1).Draw(t, "late"))
 		}
 	case 32:
 		n.paused = !n.paused
 	case 33:
-		s.fault(t, n)
+		s.injectFault(t, n)
 	case 34:
-		for _, x := range s.live() {
-			s.show(x, nil)
+		for _, x := range s.liveNodes() {
+			s.setView(x, nil)
 		}
 	case 35:
-		s.show(n, s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "missed")])
+		s.setView(n, s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "missed")])
 	case 36:
 		if s.paid(b) < 1000 {
-			s.pay(b, s.paid(b)+bbunit.Tokens(rapid.IntRange(1, 100).Draw(t, "topup")))
+			s.setPaid(b, s.paid(b)+bbunit.Tokens(rapid.IntRange(1, 100).Draw(t, "topup")))
 		}
 	case 37, 38:
-		s.calm()
+		s.runUntilQuiet()
 	case 39:
-		s.settle(3*time.Second, nil)
+		s.runFor(3*time.Second, nil)
 	}
-	s.check()
+	s.checkBudgets()
 }
 
-// fault crashes or restarts an instance, or cuts or joins failure domains.
-func (s *sim) fault(t *rapid.T, n *node) {
+// injectFault crashes or restarts an instance, or cuts or joins failure domains.
+func (s *sim) injectFault(t *rapid.T, n *simNode) {
 	doms := []bbunit.DomainID{"a", "b"}
 	switch rapid.IntRange(0, 8).Draw(t, "fault") {
 	case 0:
@@ -505,75 +505,75 @@
 			s.crash(n)
 		}
 	case 1:
-		if n.dead && !s.lives(n.member.ID) {
+		if n.dead && !s.isLive(n.member.ID) {
 			s.restart(n)
 		}
 	case 2:
 		d := rapid.SampledFrom(doms).Draw(t, "domain")
-		s.offline[d] = !s.offline[d]
+		s.storeDown[d] = !s.storeDown[d]
 	case 5: // instances of one failure domain do not reach each other
 		d := rapid.SampledFrom(doms).Draw(t, "split")
-		s.cut[[2]bbunit.DomainID{d, d}] = !s.cut[[2]bbunit.DomainID{d, d}]
+		s.partitioned[[2]bbunit.DomainID{d, d}] = !s.partitioned[[2]bbunit.DomainID{d, d}]
 	case 6:
 		if !n.dead && !n.paused {
 			s.drain(n)
 		}
 	case 7, 8:
-		s.lower(t, s.budgets[rapid.IntRange(0, 1).Draw(t, "lowered")])
+		s.lowerBudget(t, s.budgets[rapid.IntRange(0, 1).Draw(t, "lowered")])
 	case 3, 4:
-		is := !s.cut[[2]bbunit.DomainID{"a", "b"}]
-		s.cut[[2]bbunit.DomainID{"a", "b"}], s.cut[[2]bbunit.DomainID{"b", "a"}] = is, is
+		is := !s.partitioned[[2]bbunit.DomainID{"a", "b"}]
+		s.partitioned[[2]bbunit.DomainID{"a", "b"}], s.partitioned[[2]bbunit.DomainID{"b", "a"}] = is, is
 	}
 }
 
-// lower is a ticket that lowers a budget: capped first, then accepted or not.
-func (s *sim) lower(t *rapid.T, b bbunit.BudgetID) {
+// lowerBudget is a ticket that lowers a budget: capped first, then accepted or not.
+func (s *sim) lowerBudget(t *rapid.T, b bbunit.BudgetID) {
 	ctx := context.Background()
 	paid := bbunit.Tokens(rapid.IntRange(0, int(s.paid(b))).Draw(t, "paid"))
 	number := s.state.Number + 1
-	if Cap(ctx, simStore{s: s}, b, paid, number, "n") != nil {
+	if Cap(ctx, simPageStore{s: s}, b, paid, number, "n") != nil {
 		return
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "between") {
 		s.now = s.now.Add(TickInterval)
-		for _, n := range s.live() {
+		for _, n := range s.liveNodes() {
 			s.tick(n)
 		}
-		s.calm()
+		s.runUntilQuiet()
 	}
 	if rapid.Bool().Draw(t, "accepted") {
-		s.pay(b, paid)
+		s.setPaid(b, paid)
 		return
 	}
-	if err := Uncap(ctx, simStore{s: s}, b, number, "n"); err != nil {
+	if err := Uncap(ctx, simPageStore{s: s}, b, number, "n"); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// simStore is the page of a sim as operators' calls see it.
-type simStore struct {
+// simPageStore is the page of a sim as operators' calls see it.
+type simPageStore struct {
 	bbstore.Store
 	s *sim
 }
 
-func (x simStore) Get(_ context.Context, key string) (bbstore.Entry, error) {
+func (x simPageStore) Get(_ context.Context, key string) (bbstore.Entry, error) {
 	value, err := EncodePage(x.s.page)
 	return bbstore.Entry{Key: key, Value: value, Rev: x.s.rev}, err
 }
 
-func (x simStore) CAS(_ context.Context, _ string, value []byte, prev bbstore.Revision, _ bbstore.LeaseID) (bbstore.Revision, error) {
+func (x simPageStore) CAS(_ context.Context, _ string, value []byte, prev bbstore.Revision, _ bbstore.LeaseID) (bbstore.Revision, error) {
 	p, err := DecodePage(value)
 	if err != nil {
 		return 0, err
 	}
-	if !x.s.land(Save{Page: p, Prev: prev}) {
+	if !x.s.applySave(Save{Page: p, Prev: prev}) {
 		return 0, bbstore.ErrConflict
 	}
 	return x.s.rev, nil
 }
 
-func (s *sim) lives(id bbunit.InstanceID) bool {
-	for _, n := range s.live() {
+func (s *sim) isLive(id bbunit.InstanceID) bool {
+	for _, n := range s.liveNodes() {
 		if n.member.ID == id {
 			return true
 		}
@@ -588,15 +588,15 @@
 		policy.DrawHorizon = rapid.SampledFrom([]time.Duration{simPolicy.DrawHorizon, simPolicy.GrantHorizon}).Draw(t, "horizon")
 		s := newSim(2, rapid.IntRange(1, 3).Draw(t, "each"), policy, t.Fatalf)
 		for _, b := range s.budgets {
-			s.pay(b, 200)
+			s.setPaid(b, 200)
 		}
 		for range rapid.IntRange(50, 250).Draw(t, "steps") {
 			s.step(t)
 		}
 		s.heal()
-		s.settle(20*time.Second, nil)
+		s.runFor(20*time.Second, nil)
 		s.drainAll()
-		s.settle(20*time.Second, nil)
-		s.conserved()
+		s.runFor(20*time.Second, nil)
+		s.checkSettled()
 	})
 }
--- a/shared/bbledger/status.go
+++ b/shared/bbledger/status.go
@@ -20,19 +20,19 @@
 }
 
 // Status returns what the keeper holds.
-func (k *Allocator) Status() AllocatorStatus {
-	s := AllocatorStatus{Page: k.page, Holder: k.holder, Witness: k.witness.String()}
-	if k.cache != nil {
-		for _, e := range k.cache.Entries {
+func (al *Allocator) Status() AllocatorStatus {
+	s := AllocatorStatus{Page: al.pageNumber, Holder: al.holder, Witness: al.witness.String()}
+	if al.page != nil {
+		for _, e := range al.page.Entries {
 			s.Budgets = append(s.Budgets, StatusOf(e))
 		}
 	}
-	for _, j := range k.orderedJobs() {
-		if !j.frozen && !alive(k.view, j.witness) {
-			s.Lost = append(s.Lost, j.holder)
+	for _, c := range al.sortedClosings() {
+		if !c.frozen && !alive(al.view, c.witness) {
+			s.Lost = append(s.Lost, c.holder)
 			continue
 		}
-		s.Closing = append(s.Closing, j.holder)
+		s.Closing = append(s.Closing, c.holder)
 	}
 	return s
 }
@@ -46,7 +46,7 @@
 // SplitByPage deals an ask out by pages, in their order.
 func SplitByPage(m *bbwire.GrantAsk) []PageRequest {
 	byPage := map[int]*bbwire.GrantAsk{}
-	need := func(budget string) *bbwire.GrantAsk {
+	forBudget := func(budget string) *bbwire.GrantAsk {
 		n := PageOf(bbunit.BudgetID(budget))
 		if byPage[n] == nil {
 			byPage[n] = &bbwire.GrantAsk{}
@@ -54,11 +54,11 @@
 		return byPage[n]
 	}
 	for _, s := range m.Slices {
-		a := need(s.Budget)
+		a := forBudget(s.Budget)
 		a.Slices = append(a.Slices, s)
 	}
 	for _, w := range m.Wants {
-		a := need(w.Budget)
+		a := forBudget(w.Budget)
 		a.Wants = append(a.Wants, w)
 	}
 	out := make([]PageRequest, 0, len(byPage))
--- a/shared/bbledger/stuck.go
+++ b/shared/bbledger/stuck.go
@@ -7,63 +7,65 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// watchGrantees notes which grantees are gone. What they had is not taken back:
+// checkGrantees notes which grantees are gone. What they had is not taken back:
 // it moves from the holder to the budget's stuck amounts, where operators see
 // it and where a grantee that was only cut off can still account for it.
-func (k *Allocator) watchGrantees() {
-	if k.watched == k.view && !k.missing {
+func (al *Allocator) checkGrantees() {
+	if al.checkedView == al.view && !al.granteeMissing {
 		return
 	}
-	k.watched, k.missing, k.strands = k.view, false, false
-	for _, a := range k.order {
-		for p, s := range a.shares {
+	al.checkedView, al.granteeMissing, al.granteeLost = al.view, false, false
+	for _, a := range al.allocationList {
+		for p, gr := range a.grants {
 			switch {
-			case k.where().alive[p]:
-				s.gone = time.Time{}
-			case s.gone.IsZero():
-				s.gone = k.now
+			case al.viewSummary().alivePeers[p]:
+				gr.missingSince = time.Time{}
+			case gr.missingSince.IsZero():
+				gr.missingSince = al.now
 			}
-			k.missing = k.missing || !s.gone.IsZero() && s.outstanding() > 0
-			k.strands = k.strands || k.strandable(s)
+			al.granteeMissing = al.granteeMissing || !gr.missingSince.IsZero() && gr.outstanding() > 0
+			al.granteeLost = al.granteeLost || al.becomesStuck(gr)
 		}
 	}
 }
 
-// strandable tells whether a share is to be moved to the stuck amounts.
-func (k *Allocator) strandable(s *share) bool {
-	return s.outstanding() > 0 && !s.gone.IsZero() && k.now.Sub(s.gone) >= strandAfter
+// becomesStuck tells whether a share is to be moved to the stuck amounts.
+func (al *Allocator) becomesStuck(gr *grant) bool {
+	return gr.outstanding() > 0 && !gr.missingSince.IsZero() && al.now.Sub(gr.missingSince) >= stuckDelay
 }
 
 // outstanding is what the grantee may still spend, unless the page counts it as
 // stuck.
-func (s *share) outstanding() bbunit.Tokens {
-	if s.stranded {
+func (gr *grant) outstanding() bbunit.Tokens {
+	if gr.stuck {
 		return 0
 	}
-	return s.granted - s.spent - s.returned
+	return gr.granted - gr.spent - gr.returned
 }
 
-// canStrand tells whether the page may take the stuck amounts now.
-func (k *Allocator) canStrand() bool { return k.strands && k.opened && !k.limbo && k.move == nil }
+// canRecordStuck tells whether the page may take the stuck amounts now.
+func (al *Allocator) canRecordStuck() bool {
+	return al.granteeLost && al.onPage && !al.writeUncertain && al.witnessChange == nil
+}
 
-// editStrand moves what gone grantees have to the stuck amounts.
-func (k *Allocator) editStrand(p *bbwire.Page) bool {
-	if !k.canStrand() {
+// recordStuck moves what gone grantees have to the stuck amounts.
+func (al *Allocator) recordStuck(p *bbwire.Page) bool {
+	if !al.canRecordStuck() {
 		return false
 	}
 	changed := false
-	for _, a := range k.ordered() {
+	for _, a := range al.sortedAllocations() {
 		e := findEntry(p, a.budget)
-		h := findHolder(e, k.holder)
+		h := findHolder(e, al.holder)
 		if h == nil {
 			continue
 		}
-		for _, g := range a.peers() {
-			if s := a.share(g); k.strandable(s) {
-				h.Drawn -= int64(s.granted - s.returned)
+		for _, g := range a.grantees() {
+			if gr := a.grant(g); al.becomesStuck(gr) {
+				h.Drawn -= int64(gr.granted - gr.returned)
 				h.Seq++
-				addStuck(e, k.holder, g, int64(s.granted-s.returned-s.spent), int64(s.spent))
-				h.Spent = int64(a.spentOn(e, k.holder))
+				addStuck(e, al.holder, g, int64(gr.granted-gr.returned-gr.spent), int64(gr.spent))
+				h.Spent = int64(a.reportedSpent(e, al.holder))
 				changed = true
 			}
 		}
@@ -71,10 +73,10 @@
 	return changed
 }
 
-// adoptStrands takes over which shares the page counts as stuck.
-func (k *Allocator) adoptStrands(a *account) {
-	e := findEntry(k.cache, a.budget)
-	for g, s := range a.shares {
-		s.stranded = s.stranded || e != nil && findStuck(e, k.holder, g) != nil
+// adoptStuck takes over which shares the page counts as stuck.
+func (al *Allocator) adoptStuck(a *allocation) {
+	e := findEntry(al.page, a.budget)
+	for g, gr := range a.grants {
+		gr.stuck = gr.stuck || e != nil && findStuck(e, al.holder, g) != nil
 	}
 }
--- a/shared/bbledger/wallet.go
+++ b/shared/bbledger/wallet.go
@@ -18,18 +18,18 @@
 	domain bbunit.DomainID
 	policy Policy
 
-	mu   sync.Mutex // writers of pots
-	pots atomic.Pointer[map[bbunit.BudgetID]*Balance]
+	mu       sync.Mutex // writers of pots
+	balances atomic.Pointer[map[bbunit.BudgetID]*Balance]
 
-	list   []*Balance // of listed, in order
-	listed *map[bbunit.BudgetID]*Balance
-	view   *bbmember.View // of byPage
-	byPage map[int][]bbmember.Member
-	passed time.Time // when all pots were last gone through
+	sorted       []*Balance // of listed, in order
+	sortedFrom   *map[bbunit.BudgetID]*Balance
+	rankedView   *bbmember.View // of byPage
+	rankedByPage map[int][]bbmember.Member
+	fullPassAt   time.Time // when all pots were last gone through
 
-	closed   map[bbunit.HolderID]bool
-	reported time.Time
-	draining bool
+	closedHolders map[bbunit.HolderID]bool
+	reportedAt    time.Time
+	draining      bool
 }
 
 // Send is a message to another instance, or to the own one.
@@ -40,87 +40,87 @@
 
 // NewWallet returns an empty purse.
 func NewWallet(self bbmember.Member, policy Policy) *Wallet {
-	p := &Wallet{self: PeerOf(self), domain: self.Domain, policy: policy, closed: map[bbunit.HolderID]bool{}}
-	p.pots.Store(&map[bbunit.BudgetID]*Balance{})
-	return p
+	w := &Wallet{self: PeerOf(self), domain: self.Domain, policy: policy, closedHolders: map[bbunit.HolderID]bool{}}
+	w.balances.Store(&map[bbunit.BudgetID]*Balance{})
+	return w
 }
 
 // Balance returns the pot of a budget; it takes a lock only the first time.
-func (p *Wallet) Balance(b bbunit.BudgetID) *Balance {
-	if pot, ok := (*p.pots.Load())[b]; ok {
-		return pot
+func (w *Wallet) Balance(b bbunit.BudgetID) *Balance {
+	if bal, ok := (*w.balances.Load())[b]; ok {
+		return bal
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	old := *p.pots.Load()
-	if pot, ok := old[b]; ok {
-		return pot
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	old := *w.balances.Load()
+	if bal, ok := old[b]; ok {
+		return bal
 	}
 	next := make(map[bbunit.BudgetID]*Balance, len(old)+1)
 	for k, v := range old {
 		next[k] = v
 	}
-	pot := &Balance{Budget: b}
-	next[b] = pot
-	p.pots.Store(&next)
-	return pot
+	bal := &Balance{Budget: b}
+	next[b] = bal
+	w.balances.Store(&next)
+	return bal
 }
 
 // Balances returns all pots in the order of their budgets. The list must not be
 // changed.
-func (p *Wallet) Balances() []*Balance {
-	m := p.pots.Load()
-	if p.listed == m {
-		return p.list
+func (w *Wallet) Balances() []*Balance {
+	m := w.balances.Load()
+	if w.sortedFrom == m {
+		return w.sorted
 	}
 	out := make([]*Balance, 0, len(*m))
-	for _, pot := range *m {
-		out = append(out, pot)
+	for _, bal := range *m {
+		out = append(out, bal)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Budget < out[j].Budget })
-	p.list, p.listed = out, m
+	w.sorted, w.sortedFrom = out, m
 	return out
 }
 
 // AddWaiter counts in a request that waits for n tokens of the pot, Done counts it
 // out.
-func (p *Wallet) AddWaiter(pot *Balance, n bbunit.Tokens) { pot.asking.join(n) }
+func (w *Wallet) AddWaiter(bal *Balance, n bbunit.Tokens) { bal.refill.addWaiter(n) }
 
 // RemoveWaiter counts out a request that Wait counted in.
-func (p *Wallet) RemoveWaiter(pot *Balance, n bbunit.Tokens) { pot.asking.leave(n) }
+func (w *Wallet) RemoveWaiter(bal *Balance, n bbunit.Tokens) { bal.refill.removeWaiter(n) }
 
-// turns lists the keepers that may be asked, the own failure domain's first. It
+// allocators lists the keepers that may be asked, the own failure domain's first. It
 // is worked out once for each view.
-func (p *Wallet) turns(v *bbmember.View, page int) []bbmember.Member {
-	if p.view != v {
-		p.view, p.byPage = v, map[int][]bbmember.Member{}
+func (w *Wallet) allocators(v *bbmember.View, page int) []bbmember.Member {
+	if w.rankedView != v {
+		w.rankedView, w.rankedByPage = v, map[int][]bbmember.Member{}
 	}
-	out, ok := p.byPage[page]
+	out, ok := w.rankedByPage[page]
 	if !ok {
-		out = p.rank(v, page)
-		p.byPage[page] = out
+		out = w.rankAllocators(v, page)
+		w.rankedByPage[page] = out
 	}
 	return out
 }
 
-func (p *Wallet) rank(v *bbmember.View, page int) []bbmember.Member {
+func (w *Wallet) rankAllocators(v *bbmember.View, page int) []bbmember.Member {
 	var out []bbmember.Member
-	if m, ok := v.Home(PageHomeKey(page), p.domain); ok {
+	if m, ok := v.Home(PageHomeKey(page), w.domain); ok {
 		out = append(out, m)
 	}
-	if !p.policy.Borrow {
+	if !w.policy.Borrow {
 		return out
 	}
-	for _, d := range domains(v) {
-		if m, ok := v.Home(PageHomeKey(page), d); ok && d != p.domain {
+	for _, d := range domainsOf(v) {
+		if m, ok := v.Home(PageHomeKey(page), d); ok && d != w.domain {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// domains lists the failure domains that have an instance that stays.
-func domains(v *bbmember.View) []bbunit.DomainID {
+// domainsOf lists the failure domains that have an instance that stays.
+func domainsOf(v *bbmember.View) []bbunit.DomainID {
 	seen := map[bbunit.DomainID]bool{}
 	var out []bbunit.DomainID
 	for _, m := range v.Members {
@@ -135,128 +135,128 @@
 
 // DueMessages returns what to send now: wants of pots that run short, and every so
 // often what was spent. Between ticks it looks only at pots that run short.
-func (p *Wallet) DueMessages(now time.Time, v *bbmember.View) []Send {
-	b := asks{self: p.self, to: map[bbunit.InstanceID]*bbwire.GrantAsk{}}
-	report := now.Sub(p.reported) >= reportEvery || p.draining
+func (w *Wallet) DueMessages(now time.Time, v *bbmember.View) []Send {
+	batch := requestBatch{self: w.self, byInstance: map[bbunit.InstanceID]*bbwire.GrantAsk{}}
+	report := now.Sub(w.reportedAt) >= reportInterval || w.draining
 	if report {
-		p.reported = now
+		w.reportedAt = now
 	}
-	all := report || now.Sub(p.passed) >= TickInterval
-	if all {
-		p.passed = now
+	full := report || now.Sub(w.fullPassAt) >= TickInterval
+	if full {
+		w.fullPassAt = now
 	}
-	for _, pot := range p.Balances() {
-		if !all && pot.asking.waiting == 0 && !pot.Low() {
+	for _, bal := range w.Balances() {
+		if !full && bal.refill.waitingTotal == 0 && !bal.Low() {
 			continue
 		}
-		pot.flush()
-		pot.tick(now, p.policy.GrantHorizon)
-		if p.draining {
-			pot.surrenderSurplus(pot.Free())
+		bal.attributeSpent()
+		bal.sampleDemand(now, w.policy.GrantHorizon)
+		if w.draining {
+			bal.returnFree(bal.Free())
 		}
 		if report {
-			b.report(pot, p.draining)
+			batch.addReport(bal, w.draining)
 		}
-		if !p.draining {
-			p.want(now, v, pot, &b)
+		if !w.draining {
+			w.requestRefill(now, v, bal, &batch)
 		}
 	}
-	return b.sends()
+	return batch.messages()
 }
 
-// want adds what the pot needs of the keeper whose turn it is.
-func (p *Wallet) want(now time.Time, v *bbmember.View, pot *Balance, b *asks) {
-	a := &pot.asking
-	short := a.waiting > 0 && pot.Free() < a.least
-	if !short && (!pot.Low() || now.Sub(a.recalled) < recallCalm) || now.Sub(a.sent) < askEvery {
+// requestRefill adds what the pot needs of the keeper whose turn it is.
+func (w *Wallet) requestRefill(now time.Time, v *bbmember.View, bal *Balance, batch *requestBatch) {
+	r := &bal.refill
+	short := r.waitingTotal > 0 && bal.Free() < r.smallestWait
+	if !short && (!bal.Low() || now.Sub(r.recalledAt) < refillPauseAfterRecall) || now.Sub(r.askedAt) < requestInterval {
 		return
 	}
-	turns := p.turns(v, PageOf(pot.Budget))
-	if len(turns) == 0 {
+	allocators := w.allocators(v, PageOf(bal.Budget))
+	if len(allocators) == 0 {
 		return
 	}
 	if !short {
-		a.turn = 0
+		r.nextIndex = 0
 	}
-	m, dry := a.next(now, turns)
-	if !short && (dry || a.turn > 0) || dry && now.Sub(a.last) < askEvery {
+	m, allEmpty := r.nextAllocator(now, allocators)
+	if !short && (allEmpty || r.nextIndex > 0) || allEmpty && now.Sub(r.lastAskedAt) < requestInterval {
 		return
 	}
-	goal := pot.rate.over(p.policy.GrantHorizon)
-	amount := saturate(2*a.waiting) + goal - pot.Free()
+	goal := bal.demand.expected(w.policy.GrantHorizon)
+	amount := saturate(2*r.waitingTotal) + goal - bal.Free()
 	least := bbunit.Tokens(1)
 	if short {
-		least = a.least - pot.Free()
+		least = r.smallestWait - bal.Free()
 	}
-	a.sent, a.last = now, now
-	b.want(m, pot, &bbwire.Want{Amount: int64(max(amount, least)), Least: int64(least), Borrow: m.Domain != p.domain, Urgent: short})
-	a.turn++
+	r.askedAt, r.lastAskedAt = now, now
+	batch.addWant(m, bal, &bbwire.Want{Amount: int64(max(amount, least)), Least: int64(least), Borrow: m.Domain != w.domain, Urgent: short})
+	r.nextIndex++
 }
 
 // HandleGrant takes the answer of a keeper of that failure domain. It returns what
 // tells a keeper that goes on granting under a closed holder.
-func (p *Wallet) HandleGrant(now time.Time, domain bbunit.DomainID, t *bbwire.GrantTell) []Send {
+func (w *Wallet) HandleGrant(now time.Time, domain bbunit.DomainID, t *bbwire.GrantTell) []Send {
 	var out []Send
 	for _, s := range t.Slices {
 		h := bbunit.HolderID(s.Holder)
-		if s.Grantee != p.self.String() {
+		if s.Grantee != w.self.String() {
 			continue
 		}
-		if p.closed[h] {
-			out = append(out, Send{To: HolderPeer(h).ID, Body: p.Surrender(h)})
+		if w.closedHolders[h] {
+			out = append(out, Send{To: HolderPeer(h).ID, Body: w.Surrender(h)})
 			continue
 		}
-		pot := p.Balance(bbunit.BudgetID(s.Budget))
-		if pot.grant(h, bbunit.Tokens(s.Granted)) {
-			pot.asking.reset()
-			delete(pot.asking.empty, domain)
+		bal := w.Balance(bbunit.BudgetID(s.Budget))
+		if bal.addGrant(h, bbunit.Tokens(s.Granted)) {
+			bal.refill.reset()
+			delete(bal.refill.emptyReplies, domain)
 		}
 	}
 	for _, e := range t.Empty {
-		pot := p.Balance(bbunit.BudgetID(e))
-		if pot.asking.empty == nil {
-			pot.asking.empty = map[bbunit.DomainID]answer{}
+		bal := w.Balance(bbunit.BudgetID(e))
+		if bal.refill.emptyReplies == nil {
+			bal.refill.emptyReplies = map[bbunit.DomainID]emptyReply{}
 		}
-		x := answer{at: now}
+		reply := emptyReply{receivedAt: now}
 		for _, l := range t.Lefts {
 			if l.Budget == e {
-				x.lent, x.rest = bbunit.Tokens(l.Lent), bbunit.Tokens(l.Rest)
+				reply.unspent, reply.remaining = bbunit.Tokens(l.Lent), bbunit.Tokens(l.Rest)
 			}
 		}
-		pot.asking.empty[domain] = x
-		pot.asking.sent = time.Time{}
+		bal.refill.emptyReplies[domain] = reply
+		bal.refill.askedAt = time.Time{}
 	}
 	for _, r := range t.Recalls {
-		out = append(out, p.recall(now, r)...)
+		out = append(out, w.handleRecall(now, r)...)
 	}
 	return out
 }
 
 // Surrender stops the use of what a holder granted, for good, and accounts for
 // it. What open requests still have reserved is neither spent nor returned.
-func (p *Wallet) Surrender(h bbunit.HolderID) *bbwire.SurrenderTell {
-	p.closed[h] = true
+func (w *Wallet) Surrender(h bbunit.HolderID) *bbwire.SurrenderTell {
+	w.closedHolders[h] = true
 	tell := &bbwire.SurrenderTell{Holder: string(h)}
-	for _, pot := range p.Balances() {
-		s := pot.find(h)
+	for _, bal := range w.Balances() {
+		s := bal.findSlice(h)
 		if s == nil {
 			continue
 		}
-		s.closed = true
-		pot.flush()
-		tell.Slices = append(tell.Slices, pot.wire(s, p.self))
+		s.surrendered = true
+		bal.attributeSpent()
+		tell.Slices = append(tell.Slices, bal.sliceMessage(s, w.self))
 	}
 	return tell
 }
 
 // Drain makes the purse return all that is free from now on.
-func (p *Wallet) Drain() { p.draining = true }
+func (w *Wallet) Drain() { w.draining = true }
 
 // Drained tells whether no slice has anything left.
-func (p *Wallet) Drained() bool {
-	for _, pot := range p.Balances() {
-		for _, s := range pot.slices {
-			if s.rest() > 0 {
+func (w *Wallet) Drained() bool {
+	for _, bal := range w.Balances() {
+		for _, s := range bal.slices {
+			if s.unspent() > 0 {
 				return false
 			}
 		}
@@ -265,57 +265,57 @@
 }
 
 // Slices returns all slices of the purse, for operators.
-func (p *Wallet) Slices() []*bbwire.Slice {
+func (w *Wallet) Slices() []*bbwire.Slice {
 	var out []*bbwire.Slice
-	for _, pot := range p.Balances() {
-		for _, s := range pot.slices {
-			out = append(out, pot.wire(s, p.self))
+	for _, bal := range w.Balances() {
+		for _, s := range bal.slices {
+			out = append(out, bal.sliceMessage(s, w.self))
 		}
 	}
 	return out
 }
 
-// asks gathers one message for each instance that is written to.
-type asks struct {
-	self Peer
-	to   map[bbunit.InstanceID]*bbwire.GrantAsk
+// requestBatch gathers one message for each instance that is written to.
+type requestBatch struct {
+	self       Peer
+	byInstance map[bbunit.InstanceID]*bbwire.GrantAsk
 }
 
-func (b *asks) need(to bbunit.InstanceID) *bbwire.GrantAsk {
-	if b.to[to] == nil {
-		b.to[to] = &bbwire.GrantAsk{}
+func (r *requestBatch) request(to bbunit.InstanceID) *bbwire.GrantAsk {
+	if r.byInstance[to] == nil {
+		r.byInstance[to] = &bbwire.GrantAsk{}
 	}
-	return b.to[to]
+	return r.byInstance[to]
 }
 
-// report adds the slices that changed, or all of them, each to the instance
+// addReport adds the slices that changed, or all of them, each to the instance
 // that holds it.
-func (b *asks) report(pot *Balance, all bool) {
-	for _, s := range pot.slices {
-		if s.changed || all {
-			s.changed = false
-			m := b.need(HolderPeer(s.holder).ID)
-			m.Slices = append(m.Slices, pot.wire(s, b.self))
+func (r *requestBatch) addReport(bal *Balance, all bool) {
+	for _, s := range bal.slices {
+		if s.unreported || all {
+			s.unreported = false
+			m := r.request(HolderPeer(s.holder).ID)
+			m.Slices = append(m.Slices, bal.sliceMessage(s, r.self))
 		}
 	}
 }
 
-// want adds a want, with all slices of that budget that the keeper holds.
-func (b *asks) want(to bbmember.Member, pot *Balance, w *bbwire.Want) {
-	m := b.need(to.ID)
-	for _, s := range pot.slices {
-		if HolderPeer(s.holder) == PeerOf(to) {
-			m.Slices = append(m.Slices, pot.wire(s, b.self))
+// addWant adds a want, with all slices of that budget that the keeper holds.
+func (r *requestBatch) addWant(allocator bbmember.Member, bal *Balance, want *bbwire.Want) {
+	m := r.request(allocator.ID)
+	for _, s := range bal.slices {
+		if HolderPeer(s.holder) == PeerOf(allocator) {
+			m.Slices = append(m.Slices, bal.sliceMessage(s, r.self))
 		}
 	}
-	w.Budget = string(pot.Budget)
-	m.Wants = append(m.Wants, w)
+	want.Budget = string(bal.Budget)
+	m.Wants = append(m.Wants, want)
 }
 
-func (b *asks) sends() []Send {
-	out := make([]Send, 0, len(b.to))
-	for to, m := range b.to {
-		out = append(out, Send{To: to, Body: m})
+func (r *requestBatch) messages() []Send {
+	out := make([]Send, 0, len(r.byInstance))
+	for id, m := range r.byInstance {
+		out = append(out, Send{To: id, Body: m})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].To < out[j].To })
 	return out
--- a/shared/bbledger/wallet_test.go
+++ b/shared/bbledger/wallet_test.go
@@ -12,54 +12,54 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-func newTestPurse(borrow bool) (*Wallet, *bbmember.View) {
-	self := rigMember(rigG, "e")
-	v := &bbmember.View{Self: self, Members: []bbmember.Member{self, rigMember(rigSelf, "d")}}
+func newTestWallet(borrow bool) (*Wallet, *bbmember.View) {
+	self := memberOf(granteePeer, "e")
+	v := &bbmember.View{Self: self, Members: []bbmember.Member{self, memberOf(selfPeer, "d")}}
 	return NewWallet(self, Policy{GrantHorizon: time.Second, Borrow: borrow}), v
 }
 
-func grantOf(h bbunit.HolderID, n int64) *bbwire.GrantTell {
-	return &bbwire.GrantTell{Slices: []*bbwire.Slice{{Budget: "b", Holder: string(h), Grantee: rigG.String(), Granted: n}}}
+func grantMessage(h bbunit.HolderID, n int64) *bbwire.GrantTell {
+	return &bbwire.GrantTell{Slices: []*bbwire.Slice{{Budget: "b", Holder: string(h), Grantee: granteePeer.String(), Granted: n}}}
 }
 
-func TestPurseTakesEachGrantOnce(t *testing.T) {
+func TestWalletTakesEachGrantOnce(t *testing.T) {
 	is := is.New(t)
-	p, _ := newTestPurse(true)
+	p, _ := newTestWallet(true)
 	now := time.Unix(1000, 0)
 	for _, n := range []int64{10, 10, 4, 25, 10} {
-		p.HandleGrant(now, "d", grantOf("k/1/0-1", n))
+		p.HandleGrant(now, "d", grantMessage("k/1/0-1", n))
 	}
 	is.Equal(p.Balance("b").Free(), bbunit.Tokens(25))
-	other := grantOf("k/1/0-1", 99)
+	other := grantMessage("k/1/0-1", 99)
 	other.Slices[0].Grantee = "g/2"
 	p.HandleGrant(now, "d", other)
 	is.Equal(p.Balance("b").Free(), bbunit.Tokens(25)) // meant for another life
 }
 
-func TestPurseSurrenderIsForGood(t *testing.T) {
+func TestWalletSurrenderIsFinal(t *testing.T) {
 	is := is.New(t)
-	p, v := newTestPurse(true)
+	p, v := newTestWallet(true)
 	now := time.Unix(1000, 0)
-	p.HandleGrant(now, "d", grantOf("k/1/0-1", 20))
-	pot := p.Balance("b")
-	is.True(pot.Reserve(5))
+	p.HandleGrant(now, "d", grantMessage("k/1/0-1", 20))
+	bal := p.Balance("b")
+	is.True(bal.Reserve(5))
 	s := p.Surrender("k/1/0-1").Slices[0]
 	is.Equal([]int64{s.Granted, s.Spent, s.Returned}, []int64{20, 0, 15}) // 5 are with an open request
-	back := p.HandleGrant(now, "d", grantOf("k/1/0-1", 50))
-	is.Equal(pot.Free(), bbunit.Tokens(0)) // a late grant
+	back := p.HandleGrant(now, "d", grantMessage("k/1/0-1", 50))
+	is.Equal(bal.Free(), bbunit.Tokens(0)) // a late grant
 	is.Equal(len(back), 1)                 // its keeper is told
-	is.True(!pot.grant("k/1/0-1", 50))
-	pot.Commit(5, 3)
+	is.True(!bal.addGrant("k/1/0-1", 50))
+	bal.Commit(5, 3)
 	p.DueMessages(now, v)
 	s = p.Surrender("k/1/0-1").Slices[0]
 	is.Equal([]int64{s.Granted, s.Spent, s.Returned}, []int64{20, 3, 17})
 
 	p.Surrender("k/1/0-2") // not yet heard of
-	p.HandleGrant(now, "d", grantOf("k/1/0-2", 50))
-	is.Equal(pot.Free(), bbunit.Tokens(0))
+	p.HandleGrant(now, "d", grantMessage("k/1/0-2", 50))
+	is.Equal(bal.Free(), bbunit.Tokens(0))
 }
 
-func TestPotHoldsSpendWithinTheReservation(t *testing.T) {
+func TestBalanceHoldsSpendWithinTheReservation(t *testing.T) {
 	for _, c := range []struct{ most, used, spent, free bbunit.Tokens }{
 		{10, 4, 4, 16},
 		{10, 10, 10, 10},
@@ -68,69 +68,69 @@
 		{0, 5, 0, 20},
 	} {
 		is := is.New(t)
-		p, _ := newTestPurse(true)
-		p.HandleGrant(time.Unix(1000, 0), "d", grantOf("k/1/0-1", 20))
-		pot := p.Balance("b")
-		is.True(pot.Reserve(c.most))
-		pot.Commit(c.most, c.used)
-		pot.flush()
-		is.Equal(pot.slices[0].spent, c.spent)
-		is.Equal(pot.Free(), c.free)
-		is.True(!pot.Reserve(-1))
-		is.True(!pot.Reserve(21))
+		p, _ := newTestWallet(true)
+		p.HandleGrant(time.Unix(1000, 0), "d", grantMessage("k/1/0-1", 20))
+		bal := p.Balance("b")
+		is.True(bal.Reserve(c.most))
+		bal.Commit(c.most, c.used)
+		bal.attributeSpent()
+		is.Equal(bal.slices[0].spent, c.spent)
+		is.Equal(bal.Free(), c.free)
+		is.True(!bal.Reserve(-1))
+		is.True(!bal.Reserve(21))
 	}
 }
 
-func TestPotReservesNoMoreThanItHasUnderRace(t *testing.T) {
+func TestBalanceReservesNoMoreThanItHasUnderRace(t *testing.T) {
 	is := is.New(t)
-	p, _ := newTestPurse(true)
-	p.HandleGrant(time.Unix(1000, 0), "d", grantOf("k/1/0-1", 1000))
-	pot := p.Balance("b")
+	p, _ := newTestWallet(true)
+	p.HandleGrant(time.Unix(1000, 0), "d", grantMessage("k/1/0-1", 1000))
+	bal := p.Balance("b")
 	var wg sync.WaitGroup
 	spent := make([]bbunit.Tokens, 8)
 	for i := range spent {
 		wg.Go(func() {
 			for n := range 500 {
-				if pot.Reserve(3) {
-					pot.Commit(3, bbunit.Tokens(n%4))
+				if bal.Reserve(3) {
+					bal.Commit(3, bbunit.Tokens(n%4))
 					spent[i] += bbunit.Tokens(min(n%4, 3))
 				}
 			}
 		})
 	}
 	wg.Wait()
-	pot.flush()
+	bal.attributeSpent()
 	var all bbunit.Tokens
 	for _, n := range spent {
 		all += n
 	}
-	is.Equal(pot.slices[0].spent, all)
+	is.Equal(bal.slices[0].spent, all)
 	is.True(all <= 1000)
-	is.Equal(pot.Free(), 1000-all)
+	is.Equal(bal.Free(), 1000-all)
 }
 
-func TestPurseAsksItsOwnDomainFirstThenBorrows(t *testing.T) {
+func TestWalletAsksItsOwnDomainFirstThenBorrows(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	for _, borrow := range []bool{true, false} {
-		p, v := newTestPurse(borrow)
-		pot := p.Balance("b")
-		p.AddWaiter(pot, 10)
+		p, v := newTestWallet(borrow)
+		bal := p.Balance("b")
+		p.AddWaiter(bal, 10)
 		first := p.DueMessages(now, v)
-		is.Equal(first[0].To, rigG.ID)
+		is.Equal(first[0].To, granteePeer.ID)
 		is.True(!first[0].Body.(*bbwire.GrantAsk).Wants[0].Borrow)
 		is.Equal(len(p.DueMessages(now, v)), 0) // not twice at once
 		p.HandleGrant(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
-		is.Equal(p.Exhausted(now, v, pot, 10), !borrow)
+		is.Equal(p.Exhausted(now, v, bal, 10), !borrow)
 		if !borrow {
 			continue
 		}
 		second := p.DueMessages(now, v)
-		is.Equal(second[0].To, rigSelf.ID)
+		is.Equal(second[0].To, selfPeer.ID)
 		is.True(second[0].Body.(*bbwire.GrantAsk).Wants[0].Borrow)
 		p.HandleGrant(now, "d", &bbwire.GrantTell{Empty: []string{"b"}})
-		is.True(p.Exhausted(now, v, pot, 10))
-		is.True(!p.Exhausted(now.Add(2*emptyFor), v, pot, 10)) // asked again later
+		is.True(p.Exhausted(now, v, bal, 10))
+		is.True(!p.Exhausted(now.Add(2*emptyReplyTTL), v, bal, 10)) // asked again later
 	}
 }
 
--- a/shared/bbledger/witness.go
+++ b/shared/bbledger/witness.go
@@ -11,11 +11,11 @@
 // their grantees may have. Once frozen, a holder's marks never rise again. The
 // zero value is ready.
 type Witness struct {
-	holders map[bbunit.HolderID]*testimony
+	holders map[bbunit.HolderID]*holderMarks
 }
 
-type testimony struct {
-	known  bool
+type holderMarks struct {
+	marked bool
 	frozen bool
 	marks  map[sliceKey]*bbwire.Slice
 }
@@ -25,13 +25,13 @@
 	grantee string
 }
 
-func (w *Witness) need(h bbunit.HolderID) *testimony {
+func (w *Witness) ensure(h bbunit.HolderID) *holderMarks {
 	if w.holders == nil {
-		w.holders = map[bbunit.HolderID]*testimony{}
+		w.holders = map[bbunit.HolderID]*holderMarks{}
 	}
 	t := w.holders[h]
 	if t == nil {
-		t = &testimony{marks: map[sliceKey]*bbwire.Slice{}}
+		t = &holderMarks{marks: map[sliceKey]*bbwire.Slice{}}
 		w.holders[h] = t
 	}
 	return t
@@ -39,12 +39,12 @@
 
 // Mark raises the marks of a holder and acknowledges them, unless it is frozen.
 func (w *Witness) Mark(m *bbwire.Mark) *bbwire.MarkAck {
-	t := w.need(bbunit.HolderID(m.Holder))
+	t := w.ensure(bbunit.HolderID(m.Holder))
 	ack := &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq, Frozen: t.frozen}
 	if t.frozen {
 		return ack
 	}
-	t.known = true
+	t.marked = true
 	for _, s := range m.Slices {
 		k := sliceKey{s.Budget, s.Grantee}
 		old := t.marks[k]
@@ -52,7 +52,7 @@
 			old = &bbwire.Slice{Budget: s.Budget, Holder: m.Holder, Grantee: s.Grantee}
 			t.marks[k] = old
 		}
-		merge(old, s)
+		mergeMax(old, s)
 	}
 	return ack
 }
@@ -60,9 +60,9 @@
 // Freeze promises that no mark of the holder is taken any more, also when the
 // holder was never heard of, and returns the last ones.
 func (w *Witness) Freeze(f *bbwire.Freeze) *bbwire.FreezeTell {
-	t := w.need(bbunit.HolderID(f.Holder))
+	t := w.ensure(bbunit.HolderID(f.Holder))
 	t.frozen = true
-	tell := &bbwire.FreezeTell{Holder: f.Holder, Known: t.known}
+	tell := &bbwire.FreezeTell{Holder: f.Holder, Known: t.marked}
 	for _, s := range t.marks {
 		tell.Slices = append(tell.Slices, s)
 	}
@@ -70,8 +70,8 @@
 	return tell
 }
 
-// merge raises each amount of old to that of s.
-func merge(old, s *bbwire.Slice) {
+// mergeMax raises each amount of old to that of s.
+func mergeMax(old, s *bbwire.Slice) {
 	old.Granted = max(old.Granted, s.Granted)
 	old.Spent = max(old.Spent, s.Spent)
 	old.Returned = max(old.Returned, s.Returned)
