--- a/shared/bbledger/account.go
+++ b/shared/bbledger/account.go
@@ -8,33 +8,35 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// allocation is a keeper's side of one budget under its present holder.
+// allocation is an allocator's record of one budget under its current holder id.
 type allocation struct {
 	budget       bbunit.BudgetID
-	onPage       bool          // the page names the holder here
-	drawLimit    bbunit.Tokens // what may be handed out, never above what the page may say
+	onPage       bool          // the budget's entry on the page lists the holder
+	drawLimit    bbunit.Tokens // upper bound of what may be granted; never above what the page may record as drawn
 	seq          uint64
 	grants       map[Peer]*grant
 	demand       demandRate
-	surplusSince time.Time // since when the account has had surplus
-	marksPending bool      // a mark may have to be sent
-	lastRecallAt time.Time // when grantees were last asked for what they have free
+	surplusSince time.Time // when headroom began to exceed demand; zero without surplus
+	marksPending bool      // a grantee may have amounts that the witness does not know
+	lastRecallAt time.Time // when grantees were last asked to return free tokens
 }
 
-// grant is one grantee's part of an account.
+// grant is the record of one grantee's slice of an allocation. All amounts are
+// cumulative.
 type grant struct {
 	granted  bbunit.Tokens
 	spent    bbunit.Tokens
 	returned bbunit.Tokens
 
-	markSent      bbunit.Tokens // highest mark ever sent to a witness
-	markAcked     bbunit.Tokens // highest mark that the witness acknowledged
-	returnedAcked bbunit.Tokens // what the witness knows to be returned
+	markSent      bbunit.Tokens // highest granted amount sent to a witness
+	markAcked     bbunit.Tokens // highest granted amount that the witness acknowledged
+	returnedAcked bbunit.Tokens // returned amount that the witness acknowledged
 
-	missingSince time.Time // when the grantee was last seen, or first missed
-	stuck        bool      // the page counts it as stuck; nothing more is granted
+	missingSince time.Time // when the grantee was first missing from the view; zero while it is there
+	stuck        bool      // recorded as stuck on the page; no further grants
 }
 
+// grant returns the grantee's record, adding an empty one if there is none.
 func (a *allocation) grant(p Peer) *grant {
 	gr := a.grants[p]
 	if gr == nil {
@@ -44,7 +46,7 @@
 	return gr
 }
 
-// grantees returns the grantees in order.
+// grantees returns the grantees sorted by name.
 func (a *allocation) grantees() []Peer {
 	out := make([]Peer, 0, len(a.grants))
 	for p := range a.grants {
@@ -54,8 +56,8 @@
 	return out
 }
 
-// mergeReport merges what a grantee says of its slice; amounts beyond what was
-// granted are ignored.
+// mergeReport merges a grantee's report on its slice. Reports above the granted
+// amount are ignored.
 func (a *allocation) mergeReport(p Peer, m *bbwire.Slice) {
 	gr := a.grant(p)
 	if gr.stuck || m.Spent < 0 || m.Returned < 0 || m.Spent > int64(gr.granted) || m.Returned > int64(gr.granted)-m.Spent {
@@ -68,8 +70,8 @@
 	}
 }
 
-// exposure is the most that all grantees may have, by the marks that a witness
-// may name.
+// exposure is the most that all grantees together may hold according to the
+// marks that a witness may report.
 func (a *allocation) exposure() bbunit.Tokens {
 	var n bbunit.Tokens
 	for _, gr := range a.grants {
@@ -80,11 +82,11 @@
 	return n
 }
 
-// headroom is what may still be put into marks.
+// headroom is by how much marks may still be raised.
 func (a *allocation) headroom() bbunit.Tokens { return a.drawLimit - a.exposure() }
 
-// reportedSpent is what grantees reported as spent, but for those that the entry
-// counts as stuck.
+// reportedSpent is what the grantees reported as spent, without grantees that the
+// entry lists as stuck.
 func (a *allocation) reportedSpent(e *bbwire.Entry, h bbunit.HolderID) bbunit.Tokens {
 	var n bbunit.Tokens
 	for p, gr := range a.grants {
@@ -95,7 +97,8 @@
 	return n
 }
 
-// lowerDrawLimit lowers what may be handed out to what a write in flight would leave.
+// lowerDrawLimit lowers the limit to what a write in flight would leave drawn;
+// h is nil when it would remove the holder.
 func (a *allocation) lowerDrawLimit(h *bbwire.Holder) {
 	limit := bbunit.Tokens(0)
 	if h != nil {
@@ -104,7 +107,7 @@
 	a.drawLimit = min(a.drawLimit, limit)
 }
 
-// sliceMessage returns a grantee's share as a message.
+// sliceMessage returns a grantee's slice as a message.
 func (a *allocation) sliceMessage(h bbunit.HolderID, p Peer) *bbwire.Slice {
 	gr := a.grant(p)
 	return &bbwire.Slice{
--- a/shared/bbledger/allocator.go
+++ b/shared/bbledger/allocator.go
@@ -12,64 +12,69 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Events of a Keeper.
+// Events of an Allocator.
 type (
-	// GrantRequested is a grantee's report and wants.
+	// GrantRequested is a grantee's report on its slices and its wants.
 	GrantRequested struct {
 		From Peer
 		Msg  *bbwire.GrantAsk
 	}
-	// Loaded ends a Load.
+	// Loaded is the result of a Load.
 	Loaded struct {
 		Page *bbwire.Page
 		Rev  bbstore.Revision
 		Err  error
 	}
-	// Saved ends a Save.
+	// Saved is the result of a Save.
 	Saved struct {
 		Rev bbstore.Revision
 		Err error
 	}
-	// MarkAcked is a witness's answer to a mark.
+	// MarkAcked is a witness's answer to a Mark.
 	MarkAcked struct {
 		From Peer
 		Msg  *bbwire.MarkAck
 	}
-	// Frozen is a witness's promise to take no more marks.
+	// Frozen is a witness's answer to a Freeze: its final marks of a holder.
 	Frozen struct {
 		From Peer
 		Msg  *bbwire.FreezeTell
 	}
-	// Surrendered is a grantee's account of a closed holder.
+	// Surrendered is a grantee's answer to a Surrender: its final report on the
+	// slices of a holder.
 	Surrendered struct {
 		From Peer
 		Msg  *bbwire.SurrenderTell
 	}
-	// Tick tells the time and what is in force.
+	// Tick advances the time and carries the current view and state; nil leaves
+	// either as it was.
 	Tick struct {
 		View  *bbmember.View
 		State *bbticket.State
 	}
-	// Refresh makes the keeper read its page again.
+	// Refresh makes the allocator read its page again.
 	Refresh struct{}
-	// Retire makes the keeper close its holder and draw no more.
+	// Retire makes the allocator close its holder and draw no more.
 	Retire struct{}
 )
 
-// Actions of a Keeper beside Send.
+// Actions of an Allocator besides Send.
 type (
-	// Load reads the page; answer with Loaded.
+	// Load asks for the page to be read; answered by Loaded.
 	Load struct{}
-	// Save writes the page if it is at Prev; answer with Saved.
+	// Save asks for the page to be written if its revision is Prev; answered
+	// by Saved.
 	Save struct {
 		Page *bbwire.Page
 		Prev bbstore.Revision
 	}
 )
 
-// Allocator draws from one page for its failure domain and grants slices to
-// instances. Several keepers of a page, also of one failure domain, are safe
-// together: each hands out only what the page says that it has drawn.
+// Allocator draws tokens from the budgets of one page and grants slices of them to
+// instances. Normally one instance of each failure domain, the home of the page,
+// runs one.
+// Several allocators of a page are safe together, also in one failure domain:
+// each grants only what the page records as drawn by its holder id.
 type Allocator struct {
 	pageNumber       int
 	self             bbmember.Member
@@ -82,24 +87,24 @@
 	view    *bbmember.View
 	state   *bbticket.State
 
-	holder         bbunit.HolderID
-	onPage         bool // the page is known to name the holder
-	maybeOnPage    bool // a write that opens the holder may have landed
+	holder         bbunit.HolderID // the id that it draws under
+	onPage         bool            // the page is known to list the holder
+	maybeOnPage    bool            // a write of unknown outcome may have added the holder
 	allocations    map[bbunit.BudgetID]*allocation
-	allocationList []*allocation // by budget
+	allocationList []*allocation // sorted by budget
 	wants          []*want
 
-	page           *bbwire.Page
+	page           *bbwire.Page // as last read or written; nil before that
 	rev            bbstore.Revision
 	lastReadAt     time.Time
 	needsRead      bool
-	writeUncertain bool // a write at rev may still land
-	callInFlight   bool // a Load or Save is out
-	pendingPage    *bbwire.Page
+	writeUncertain bool         // a write on top of rev of unknown outcome may still take effect
+	callInFlight   bool         // a Load or Save is unanswered
+	pendingPage    *bbwire.Page // of the unanswered Save
 	retryAt        time.Time
 	backoff        time.Duration
 
-	witness       Peer
+	witness       Peer // zero without one
 	markSeq       uint64
 	pendingMark   *pendingMark
 	witnessChange *witnessChange
@@ -110,28 +115,28 @@
 	finalReports   map[granteeKey][]*bbwire.Slice
 	viewCache      viewSummary
 	summaryCache   *pageSummary
-	stuckAskedAt   time.Time      // when stuck grantees were last asked
-	notHomeSince   time.Time      // since when the keeper is not home
-	checkedView    *bbmember.View // by which the grantees were last looked at
-	granteeMissing bool           // a grantee that has money is gone
-	granteeLost    bool           // such a one has been gone for long
-	retiring       bool
+	stuckAskedAt   time.Time      // when stuck grantees were last asked for reports
+	notHomeSince   time.Time      // since when the instance is not the page's home; zero if it is
+	checkedView    *bbmember.View // the view of the last checkGrantees
+	granteeMissing bool           // a grantee with unspent tokens is missing
+	granteeLost    bool           // one has been missing for stuckDelay
+	retiring       bool           // Retire was received
 }
 
-// want is a grantee's open want of one budget.
+// want is a grantee's unanswered request for tokens of one budget.
 type want struct {
 	grantee    Peer
 	budget     bbunit.BudgetID
-	amount     bbunit.Tokens
-	least      bbunit.Tokens
+	amount     bbunit.Tokens // what it would like
+	least      bbunit.Tokens // the smallest useful grant
 	queuedAt   time.Time
-	urgent     bool      // requests wait for it
-	recalledAt time.Time // when others were asked for what they have free
-	partial    bool      // lowered to the last that there is
+	urgent     bool      // client requests wait for it
+	recalledAt time.Time // when other grantees were asked to return free tokens
+	partial    bool      // least was lowered to all that is available
 }
 
-// NewAllocator returns a keeper of a page. next numbers holders: it must not give
-// a number twice in the life of the instance.
+// NewAllocator returns an allocator for a page. nextHolderNumber numbers holder
+// ids: it must not return a number twice within an incarnation of the instance.
 func NewAllocator(page int, self bbmember.Member, policy Policy, nextHolderNumber func() uint64) *Allocator {
 	al := &Allocator{
 		pageNumber: page, self: self, peer: PeerOf(self), policy: policy, nextHolderNumber: nextHolderNumber,
@@ -147,8 +152,8 @@
 	return al
 }
 
-// Step takes one event and returns what to do: Load, Save and Send values. At
-// most one Load or Save is out at a time.
+// Step handles one event and returns the actions to carry out: Load, Save and Send
+// values. At most one Load or Save is unanswered at a time.
 func (al *Allocator) Step(now time.Time, ev any) []any {
 	al.now = now
 	switch e := ev.(type) {
@@ -180,14 +185,15 @@
 	return out
 }
 
-// Page returns the number of the keeper's page.
+// Page returns the page number.
 func (al *Allocator) Page() int { return al.pageNumber }
 
-// Holder returns the id that the keeper holds under now.
+// Holder returns the current holder id.
 func (al *Allocator) Holder() bbunit.HolderID { return al.holder }
 
-// Closed tells whether a retired keeper has nothing left on the page. Holders of
-// other instances that it was closing are left to the next keeper.
+// Closed reports whether a retired allocator has no holder left on the page. It
+// does not wait for holders of other instances that it was closing: the next
+// allocator of the page closes them.
 func (al *Allocator) Closed() bool {
 	for _, c := range al.closings {
 		if c.own {
@@ -197,7 +203,7 @@
 	return al.retiring && !al.onPage && !al.maybeOnPage && !al.callInFlight && !al.writeUncertain
 }
 
-// Idle tells whether a tick would change nothing.
+// Idle reports whether a Tick would change nothing.
 func (al *Allocator) Idle() bool {
 	return !al.onPage && !al.maybeOnPage && !al.callInFlight && !al.writeUncertain && !al.needsRead && len(al.closings) == 0 && len(al.wants) == 0 && !al.hasStuck() && !al.hasDeadHolder()
 }
@@ -224,8 +230,8 @@
 	al.requestStuckReports()
 }
 
-// checkHome retires a keeper that has not been home for a while, once the
-// service can be reached.
+// checkHome retires the holder when the instance has not been the page's home for
+// retireDelay and the last store call succeeded.
 func (al *Allocator) checkHome() {
 	if al.viewSummary().isHome {
 		al.notHomeSince = time.Time{}
@@ -266,10 +272,10 @@
 		}
 		a := al.allocation(b)
 		if a.grant(e.From).stuck {
-			al.retireHolder() // a new holder may grant to it again
+			al.retireHolder() // a new holder id may grant to it again
 		}
 		if a.grant(e.From).granted > knownGranted[b] {
-			al.sendSlice(e.From, a) // the last answer was lost
+			al.sendSlice(e.From, a) // the last answer was lost: repeat it, do not grant twice
 			continue
 		}
 		al.granteeMissing = al.granteeMissing || !al.viewSummary().alivePeers[e.From]
@@ -277,7 +283,7 @@
 	}
 }
 
-// queueWant replaces the grantee's older want of the budget.
+// queueWant adds a want or replaces the grantee's older one of the budget.
 func (al *Allocator) queueWant(w *want) {
 	for i, x := range al.wants {
 		if x.grantee == w.grantee && x.budget == w.budget {
@@ -289,7 +295,7 @@
 	al.wants = append(al.wants, w)
 }
 
-// expireWants drops wants that could not be met in time.
+// expireWants drops wants older than wantTimeout.
 func (al *Allocator) expireWants() {
 	kept := al.wants[:0]
 	for _, w := range al.wants {
@@ -300,6 +306,7 @@
 	al.wants = kept
 }
 
+// allocation returns the budget's allocation, adding an empty one if there is none.
 func (al *Allocator) allocation(b bbunit.BudgetID) *allocation {
 	a := al.allocations[b]
 	if a == nil {
@@ -311,5 +318,5 @@
 	return a
 }
 
-// sortedAllocations returns the accounts in the order of their budgets.
+// sortedAllocations returns the allocations in the order of their budgets.
 func (al *Allocator) sortedAllocations() []*allocation { return al.allocationList }
--- a/shared/bbledger/allocator_store.go
+++ b/shared/bbledger/allocator_store.go
@@ -8,16 +8,16 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// storeDown tells whether calls of the service failed in a row.
+// storeDown reports whether at least two store calls in a row failed.
 func (al *Allocator) storeDown() bool { return al.backoff > minBackoff }
 
-// startBackoff pauses the use of the service after a failed call.
+// startBackoff doubles the pause before the next store call.
 func (al *Allocator) startBackoff() {
 	al.backoff = min(max(2*al.backoff, minBackoff), maxBackoff)
 	al.retryAt = al.now.Add(al.backoff)
 }
 
-// startStoreCall starts the next call of the service, if one is needed.
+// startStoreCall starts the next Load or Save, if one is needed.
 func (al *Allocator) startStoreCall() {
 	if al.callInFlight || al.now.Before(al.retryAt) {
 		return
@@ -44,7 +44,7 @@
 	al.actions = append(al.actions, Save{Page: next, Prev: al.rev})
 }
 
-// handleLoaded takes the page as it stands.
+// handleLoaded takes over the page that was read.
 func (al *Allocator) handleLoaded(e Loaded) {
 	al.callInFlight = false
 	if e.Err != nil {
@@ -56,13 +56,13 @@
 	unchanged := al.writeUncertain && e.Rev == al.rev
 	al.page, al.rev, al.lastReadAt = e.Page, e.Rev, al.now
 	if unchanged {
-		return // nothing landed yet, and it still may
+		return // the uncertain write has not taken effect, but still may
 	}
 	al.writeUncertain = false
 	al.adoptPage()
 }
 
-// handleSaved takes the outcome of a write.
+// handleSaved handles the outcome of a write.
 func (al *Allocator) handleSaved(e Saved) {
 	written := al.pendingPage
 	al.callInFlight, al.pendingPage = false, nil
@@ -86,7 +86,7 @@
 	}
 }
 
-// namesHolder tells whether any entry of the page names the holder.
+// namesHolder reports whether any entry of the page lists the holder.
 func namesHolder(p *bbwire.Page, h bbunit.HolderID) bool {
 	for _, e := range p.Entries {
 		if findHolder(e, h) != nil {
@@ -96,8 +96,8 @@
 	return false
 }
 
-// adoptPage takes over what the page says of the own holder. It is called only when
-// no write of this keeper can land any more.
+// adoptPage updates the allocations from the page. It must be called only when no
+// write of this allocator can still take effect.
 func (al *Allocator) adoptPage() {
 	found, vanished := false, false
 	var witness Peer
--- a/shared/bbledger/balance.go
+++ b/shared/bbledger/balance.go
@@ -10,40 +10,41 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Balance is an instance's money of one budget. Reserve and End may be called by
-// any goroutine at once and take no lock; all else belongs to the Purse.
+// Balance is what an instance holds of one budget. Reserve, Commit, Refund, Low,
+// Free and Holder are safe for concurrent use and take no lock; everything else
+// belongs to the goroutine of the Wallet.
 //
-// At every moment the rest of the slices equals free + used + what open
-// requests have reserved.
+// At every moment the unspent tokens of the slices equal free + unattributed +
+// what open requests have reserved.
 type Balance struct {
 	Budget bbunit.BudgetID
 
-	free          atomic.Int64 // may be reserved
-	unattributed  atomic.Int64 // spent by ended requests, not yet put on slices
-	reservedTotal atomic.Int64 // all ever reserved, for the rate of demand
-	lowWatermark  atomic.Int64 // below this much free, more is asked for
-	nextHolder    atomic.Pointer[bbunit.HolderID]
+	free          atomic.Int64                    // available to Reserve
+	unattributed  atomic.Int64                    // spent by finished requests, not yet attributed to slices
+	reservedTotal atomic.Int64                    // sum of all reservations, to measure demand
+	lowWatermark  atomic.Int64                    // with less than this free, more is requested
+	nextHolder    atomic.Pointer[bbunit.HolderID] // see Holder
 
 	slices       []*slice // oldest first
 	demand       demandRate
-	sampledTotal int64
-	surplusSince time.Time // since when there is surplus
+	sampledTotal int64     // reservedTotal at the last sample
+	surplusSince time.Time // when free began to exceed demand; zero without surplus
 	refill       refill
 }
 
-// slice is what one holder granted.
+// slice is what one holder granted this instance. All amounts are cumulative.
 type slice struct {
 	holder      bbunit.HolderID
 	granted     bbunit.Tokens
 	spent       bbunit.Tokens
 	returned    bbunit.Tokens
-	surrendered bool // surrendered: nothing more is taken from this holder
-	unreported  bool // not yet reported
+	surrendered bool // final: no more grants of this holder are accepted
+	unreported  bool // changed since the last report
 }
 
 func (s *slice) unspent() bbunit.Tokens { return s.granted - s.spent - s.returned }
 
-// Reserve sets n tokens aside. False when the pot has too little, or n is
+// Reserve sets n tokens aside. It reports false when fewer are free or n is
 // negative. It does not block.
 func (b *Balance) Reserve(n bbunit.Tokens) bool {
 	if n < 0 {
@@ -62,29 +63,31 @@
 	}
 }
 
-// Commit spends used of the most tokens that Reserve set aside and returns the
-// rest. It must be called once a reservation; used is held within 0 and most.
+// Commit ends a reservation: it spends used of the reserved tokens and frees the
+// rest. It must be called once per reservation; used is clamped to 0..reserved.
 func (b *Balance) Commit(reserved, used bbunit.Tokens) {
 	used = min(max(used, 0), reserved)
 	b.unattributed.Add(int64(used))
 	b.free.Add(int64(reserved - used))
 }
 
-// Refund takes back n tokens of what End spent, when the request turned out to
-// have been billed elsewhere. It must not be more than End spent. Where the
-// spending was put on slices already, it is set off against what comes next.
+// Refund frees n of the tokens that Commit spent, when the request turned out to
+// have been billed elsewhere. n must not exceed what Commit spent. Spending that
+// was already attributed to slices is offset against later spending.
 func (b *Balance) Refund(n bbunit.Tokens) {
 	b.unattributed.Add(-int64(n))
 	b.free.Add(int64(n))
 }
 
-// Low tells whether more should be asked for.
+// Low reports whether the free tokens are below the low watermark, so that more
+// should be requested.
 func (b *Balance) Low() bool { return b.free.Load() < b.lowWatermark.Load() }
 
-// Free is what may be reserved now.
+// Free returns how many tokens may be reserved now.
 func (b *Balance) Free() bbunit.Tokens { return bbunit.Tokens(b.free.Load()) }
 
-// Holder names the holder that funds the next request; "" for none.
+// Holder returns the holder whose slice is charged next, or "" before the first
+// grant.
 func (b *Balance) Holder() bbunit.HolderID {
 	if h := b.nextHolder.Load(); h != nil {
 		return *h
@@ -92,7 +95,7 @@
 	return ""
 }
 
-// takeFree takes up to n of what is free.
+// takeFree takes up to n free tokens and returns how many it took.
 func (b *Balance) takeFree(n bbunit.Tokens) bbunit.Tokens {
 	for {
 		free := b.free.Load()
@@ -106,7 +109,7 @@
 	}
 }
 
-// attributeSpent puts what ended requests used on the slices, oldest first.
+// attributeSpent charges what finished requests spent to the slices, oldest first.
 func (b *Balance) attributeSpent() {
 	unattributed := bbunit.Tokens(b.unattributed.Swap(0))
 	for _, s := range b.slices {
@@ -118,14 +121,14 @@
 		s.unreported = true
 		unattributed -= n
 	}
-	// What no slice covers can only come from a fault of the caller; it is kept
-	// so that it still counts.
+	// More than the slices cover can only be a caller's bug, or a refund when it
+	// is negative. It is kept for the next call.
 	b.unattributed.Add(int64(unattributed))
 	b.returnClosed()
 	b.updateNextHolder()
 }
 
-// returnClosed returns what closed slices still have, as far as it is free.
+// returnClosed returns the free part of what surrendered slices have left.
 func (b *Balance) returnClosed() {
 	for _, s := range b.slices {
 		if s.surrendered && s.unspent() > 0 {
@@ -134,7 +137,7 @@
 	}
 }
 
-// returnFrom returns up to n of the slice to its holder.
+// returnFrom returns up to n free tokens of the slice to its holder.
 func (b *Balance) returnFrom(s *slice, n bbunit.Tokens) {
 	n = b.takeFree(min(n, s.unspent()))
 	if n > 0 {
@@ -143,7 +146,7 @@
 	}
 }
 
-// updateNextHolder sets the holder that funds the next request.
+// updateNextHolder sets Holder to the oldest slice with tokens left.
 func (b *Balance) updateNextHolder() {
 	for _, s := range b.slices {
 		if s.unspent() > 0 && !s.surrendered {
@@ -156,7 +159,7 @@
 	}
 }
 
-// findSlice returns the slice of the holder, or nil.
+// findSlice returns the holder's slice, or nil.
 func (b *Balance) findSlice(h bbunit.HolderID) *slice {
 	for _, s := range b.slices {
 		if s.holder == h {
@@ -166,8 +169,8 @@
 	return nil
 }
 
-// addGrant raises the slice of the holder to granted. It reports whether more
-// became free.
+// addGrant raises the amount granted by the holder. It reports false when the
+// amount is not new or the slice is surrendered.
 func (b *Balance) addGrant(h bbunit.HolderID, granted bbunit.Tokens) bool {
 	s := b.findSlice(h)
 	if s == nil {
@@ -184,7 +187,8 @@
 	return true
 }
 
-// sampleDemand measures demand and sets the mark below which more is asked for.
+// sampleDemand updates the demand rate and the low watermark, and returns surplus
+// that has lasted for two horizons.
 func (b *Balance) sampleDemand(now time.Time, horizon time.Duration) {
 	total := b.reservedTotal.Load()
 	b.demand.add(bbunit.Tokens(max(0, total-b.sampledTotal)))
@@ -205,7 +209,7 @@
 	}
 }
 
-// returnFree returns up to n, newest slices first.
+// returnFree returns up to n free tokens to their holders, newest slices first.
 func (b *Balance) returnFree(n bbunit.Tokens) {
 	for i := len(b.slices) - 1; i >= 0 && n > 0; i-- {
 		s := b.slices[i]
@@ -215,7 +219,7 @@
 	}
 }
 
-// sliceMessage returns the slice as a message.
+// sliceMessage returns the slice as a message from self.
 func (b *Balance) sliceMessage(s *slice, self Peer) *bbwire.Slice {
 	return &bbwire.Slice{
 		Budget: string(b.Budget), Holder: string(s.holder), Grantee: self.String(),
@@ -223,19 +227,20 @@
 	}
 }
 
-// refill is what requests that wait for money need of a pot.
+// refill tracks what waiting requests need of a balance and which allocator is
+// asked for it.
 type refill struct {
-	waitingTotal bbunit.Tokens // sum over the waiting requests
-	smallestWait bbunit.Tokens // the smallest of them
-	askedAt      time.Time     // when a keeper was last asked
-	lastAskedAt  time.Time     // the same, but never reset
-	nextIndex    int           // which keeper is asked: 0 is the own failure domain's
-	emptyReplies map[bbunit.DomainID]emptyReply
-	recalledAt   time.Time // when a keeper last asked for what is free
+	waitingTotal bbunit.Tokens                  // sum over the waiting requests
+	smallestWait bbunit.Tokens                  // the smallest waiting request so far; 0 when none waits
+	askedAt      time.Time                      // when an allocator was last asked; zero to ask the next at once
+	lastAskedAt  time.Time                      // when an allocator was last asked; never reset
+	nextIndex    int                            // the next allocator to ask; 0 is that of the own failure domain
+	emptyReplies map[bbunit.DomainID]emptyReply // last reply of each failure domain that had nothing to grant
+	recalledAt   time.Time                      // when an allocator last recalled free tokens
 }
 
-// nextAllocator is the keeper to be asked: the first from the turn on that has not said
-// lately that it can grant nothing. When all have, dry is true.
+// nextAllocator returns the allocator to ask: the first, from nextIndex on, without
+// a recent reply that it has nothing to grant. allEmpty is true when there is none.
 func (r *refill) nextAllocator(now time.Time, allocators []bbmember.Member) (m bbmember.Member, allEmpty bool) {
 	for i := range allocators {
 		m = allocators[(r.nextIndex+i)%len(allocators)]
@@ -247,9 +252,10 @@
 	return allocators[r.nextIndex%len(allocators)], true
 }
 
+// reset makes the next request go at once to the own failure domain's allocator.
 func (r *refill) reset() { r.nextIndex, r.askedAt = 0, time.Time{} }
 
-// addWaiter and leave count a waiting request in and out.
+// addWaiter counts in a request that waits for n tokens.
 func (r *refill) addWaiter(n bbunit.Tokens) {
 	r.waitingTotal += n
 	if r.smallestWait == 0 || n < r.smallestWait {
@@ -257,6 +263,7 @@
 	}
 }
 
+// removeWaiter counts out a request that addWaiter counted in.
 func (r *refill) removeWaiter(n bbunit.Tokens) {
 	r.waitingTotal -= n
 	if r.waitingTotal <= 0 {
@@ -265,7 +272,8 @@
 	}
 }
 
-// saturate guards sums of waiting amounts.
+// saturate bounds a sum of waiting amounts, so that it cannot overflow when added
+// to another.
 func saturate(n bbunit.Tokens) bbunit.Tokens {
 	return min(n, bbunit.Tokens(math.MaxInt64/4))
 }
--- a/shared/bbledger/close.go
+++ b/shared/bbledger/close.go
@@ -8,27 +8,27 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// holderClosing closes one holder: its witness is frozen, its grantees surrender, then the
-// page is settled by one write.
+// holderClosing is the state of closing one holder: freeze its witness, have its
+// grantees surrender their slices, then settle the page in one write.
 type holderClosing struct {
 	holder         bbunit.HolderID
 	witness        Peer
-	own            bool // a holder of this very instance: no witness is needed
-	frozen         bool
-	marks          []*bbwire.Slice
+	own            bool            // a former holder id of this allocator: the marks are known without the witness
+	frozen         bool            // marks is final
+	marks          []*bbwire.Slice // what each grantee may hold at most
 	finalReports   map[Peer][]*bbwire.Slice
-	surrenderSince time.Time // of the surrender
-	sentAt         time.Time
+	surrenderSince time.Time // when grantees were first asked
+	sentAt         time.Time // when the last message was sent
 }
 
-// granteeKey names a grantee's account of a closed holder.
+// granteeKey identifies what one holder granted to one grantee.
 type granteeKey struct {
 	holder  bbunit.HolderID
 	grantee Peer
 }
 
-// retireHolder gives the present holder id up for good. What it granted is closed by
-// a job; new draws use a new id.
+// retireHolder gives up the current holder id for good and starts closing it. Later
+// draws use a new id.
 func (al *Allocator) retireHolder() {
 	old := al.holder
 	if al.onPage || al.maybeOnPage {
@@ -45,7 +45,7 @@
 	al.needsRead = true
 }
 
-// grantedSlices lists what the present holder has handed out.
+// grantedSlices lists the current holder's grants without the stuck ones.
 func (al *Allocator) grantedSlices() []*bbwire.Slice {
 	var out []*bbwire.Slice
 	for _, a := range al.sortedAllocations() {
@@ -58,8 +58,9 @@
 	return out
 }
 
-// mustClose tells whether a holder on the page must be closed by this keeper: an old
-// one of its own, or one of its failure domain whose instance is gone.
+// mustClose reports whether this allocator must close a holder on the page: a former
+// one of its own or, when it is the page's home, one of its failure domain whose
+// instance is gone.
 func (al *Allocator) mustClose(h *bbwire.Holder) bool {
 	id := bbunit.HolderID(h.Holder)
 	if id == al.holder {
@@ -80,7 +81,7 @@
 	return al.page != nil && al.summary().hasStuck
 }
 
-// closeDeadHolders starts and drives the jobs that close dead holders.
+// closeDeadHolders starts and advances the closing of dead holders.
 func (al *Allocator) closeDeadHolders() {
 	if al.page != nil && !al.writeUncertain {
 		for _, h := range al.summary().deadHolders {
@@ -92,6 +93,8 @@
 	}
 }
 
+// ensureClosing starts closing a holder, or starts over with the witness that the
+// page names when that has changed.
 func (al *Allocator) ensureClosing(h *bbwire.Holder) {
 	id := bbunit.HolderID(h.Holder)
 	w := ParsePeer(h.Witness)
@@ -119,10 +122,10 @@
 	return out
 }
 
-// driveClosing sends a job's next messages, again when they are not answered.
+// driveClosing sends the next messages of a closing, and repeats unanswered ones.
 func (al *Allocator) driveClosing(c *holderClosing) {
 	if !c.own && alive(al.view, HolderPeer(c.holder)) {
-		delete(al.closings, c.holder) // it came back before it was closed
+		delete(al.closings, c.holder) // its instance came back before it was closed
 		return
 	}
 	if al.now.Sub(c.sentAt) < resendInterval {
@@ -143,7 +146,7 @@
 	}
 }
 
-// grantees lists who may have a slice of the job's holder.
+// grantees lists who may have a slice of the holder, sorted by name.
 func (c *holderClosing) grantees() []Peer {
 	seen := map[Peer]bool{}
 	var out []Peer
@@ -157,7 +160,7 @@
 	return out
 }
 
-// handleFrozen takes the promise of a witness, if it is the one that the page names.
+// handleFrozen takes the final marks, if they come from the holder's witness.
 func (al *Allocator) handleFrozen(e Frozen) {
 	c := al.closings[bbunit.HolderID(e.Msg.Holder)]
 	if c == nil || c.own || c.frozen || e.From != c.witness {
@@ -167,7 +170,7 @@
 	al.driveClosing(c)
 }
 
-// handleSurrendered takes a grantee's account of a closed holder.
+// handleSurrendered takes a grantee's final report on a closed holder.
 func (al *Allocator) handleSurrendered(e Surrendered) {
 	h := bbunit.HolderID(e.Msg.Holder)
 	slices := []*bbwire.Slice{}
@@ -181,12 +184,12 @@
 	}
 	al.finalReports[granteeKey{h, e.From}] = slices
 	if h == al.holder {
-		al.retireHolder() // a closer has been here
+		al.retireHolder() // another allocator is closing it
 	}
 }
 
-// reportToClosing merges a grantee's report into the job that closes its holder,
-// for a grantee that leaves before it is asked to surrender.
+// reportToClosing merges a grantee's report into the closing of its holder, in case
+// the grantee leaves before it is asked to surrender.
 func (al *Allocator) reportToClosing(s *bbwire.Slice) {
 	c := al.closings[bbunit.HolderID(s.Holder)]
 	if c == nil {
@@ -199,8 +202,8 @@
 	}
 }
 
-// readyToSettle tells whether the job's write may be made: every grantee answered, or
-// those that can be reached had their time.
+// readyToSettle reports whether the holder may be settled: its marks are final, and
+// every reachable grantee has answered or surrenderTimeout has passed.
 func (al *Allocator) readyToSettle(c *holderClosing) bool {
 	if !c.frozen {
 		return false
@@ -216,7 +219,7 @@
 	return true
 }
 
-// editClosings settles the holders whose jobs are ready.
+// editClosings settles the holders that are ready for it.
 func (al *Allocator) editClosings(p *bbwire.Page) bool {
 	changed := false
 	for _, c := range al.sortedClosings() {
@@ -233,8 +236,8 @@
 	return changed
 }
 
-// settle takes the holder off the entry: what its grantees spent is settled,
-// what they may still spend is stuck, and the rest is the budget's again.
+// settle removes the holder from the entry. What its grantees spent is settled,
+// what they may still spend becomes stuck, and the budget gets the rest back.
 func (c *holderClosing) settle(e *bbwire.Entry) {
 	for _, m := range c.marks {
 		g := ParsePeer(m.Grantee)
@@ -254,7 +257,7 @@
 	dropHolder(e, c.holder)
 }
 
-// sliceOf returns the slice of a budget, or an empty one.
+// sliceOf returns the slice of the budget, or an empty one.
 func sliceOf(slices []*bbwire.Slice, budget string) *bbwire.Slice {
 	for _, s := range slices {
 		if s.Budget == budget {
@@ -264,8 +267,8 @@
 	return &bbwire.Slice{}
 }
 
-// pruneClosings drops the jobs whose holder the page names no more, and accounts
-// that nothing waits for.
+// pruneClosings drops closings whose holder is no longer on the page, and final
+// reports that are no longer needed.
 func (al *Allocator) pruneClosings() {
 	for id := range al.closings {
 		if !namesHolder(al.page, id) {
@@ -285,7 +288,7 @@
 	}
 }
 
-// requestStuckReports asks grantees of closed holders again for their final account.
+// requestStuckReports asks live grantees with stuck amounts for a final report.
 func (al *Allocator) requestStuckReports() {
 	if al.page == nil || al.now.Sub(al.stuckAskedAt) < stuckRetryInterval || !al.summary().hasStuck || !al.viewSummary().isHome && !al.retiring {
 		return
@@ -302,9 +305,10 @@
 	}
 }
 
-// settleStuck settles stuck amounts whose grantee has given its final account, and
-// lowers those that shrank. While the holder is on the entry an amount of 0
-// stays, so that closing the holder does not count the grantee again.
+// settleStuck settles stuck amounts whose grantee has sent its final report, and
+// lowers those of which the report leaves less. While the holder is on the entry,
+// a stuck amount of 0 stays behind, so that closing the holder does not charge
+// the grantee again.
 func (al *Allocator) settleStuck(p *bbwire.Page) bool {
 	changed := false
 	for _, e := range p.Entries {
--- a/shared/bbledger/doc.go
+++ b/shared/bbledger/doc.go
@@ -1,6 +1,19 @@
-// Package bbledger decides who may spend what of prepaid budgets: the budget
-// pages kept in the key-value service, the keepers that draw from them, the
-// witnesses that bound what a lost keeper handed out, and the purses that
-// requests reserve from. It is deterministic: events and the time come in,
-// actions go out.
+// Package bbledger distributes prepaid budgets over instances without
+// overspending them, whatever fails.
+//
+// Budgets are spread over pages, each one key of the key-value service that is
+// written by compare-and-swap. An Allocator draws tokens from a page under a
+// holder id and grants parts of them, called slices, to instances, the
+// grantees. Each grantee keeps its slices in a Wallet, with one Balance a
+// budget that requests reserve from.
+//
+// Before an allocator grants anything, its witness, another instance, has
+// acknowledged a mark: an upper bound of what the grantee may receive. When the
+// allocator's instance is lost, another allocator closes its holder: it freezes
+// the witness, so that the marks are final, asks the grantees to surrender
+// their slices and settles what was spent on the page. Tokens of a grantee that
+// does not answer stay charged to the budget as stuck.
+//
+// The package is deterministic: methods take events and the time, and return
+// the actions to carry out.
 package bbledger
--- a/shared/bbledger/draw.go
+++ b/shared/bbledger/draw.go
@@ -7,8 +7,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// serveWants answers wants out of acknowledged marks and drops those that cannot be
-// met.
+// serveWants grants wants up to the acknowledged marks and answers those that
+// cannot be met. Answered wants leave the queue.
 func (al *Allocator) serveWants() {
 	if len(al.wants) == 0 {
 		return
@@ -22,7 +22,7 @@
 	al.wants = kept
 }
 
-// serveWant reports whether the want is done with.
+// serveWant reports whether the want was answered.
 func (al *Allocator) serveWant(w *want) bool {
 	a := al.allocation(w.budget)
 	gr := a.grant(w.grantee)
@@ -34,7 +34,7 @@
 		return true
 	}
 	if a.headroom() >= w.least-(gr.markSent-gr.granted) {
-		return false // the next mark will do
+		return false // the next mark covers it
 	}
 	if al.budgetEmpty(a, w) {
 		if al.recallUnspent(a, w) || al.lowerToAvailable(a, w) {
@@ -50,13 +50,13 @@
 	return false
 }
 
-// sendSlice sends a grantee its slice of an account.
+// sendSlice sends a grantee its slice of a budget.
 func (al *Allocator) sendSlice(p Peer, a *allocation) {
 	al.send(p.ID, &bbwire.GrantTell{Slices: []*bbwire.Slice{a.sliceMessage(al.holder, p)}})
 }
 
-// budgetEmpty tells whether the budget has too little left for a want, by a page that
-// is fresh. An old page is read again.
+// budgetEmpty reports whether the budget has too little left for a want according
+// to a recently read page. It schedules a read when the page is too old.
 func (al *Allocator) budgetEmpty(a *allocation, w *want) bool {
 	if al.page == nil || al.writeUncertain || al.callInFlight {
 		return false
@@ -71,6 +71,7 @@
 	return true
 }
 
+// entryOrEmpty returns the budget's entry, or a new one that is not on the page.
 func entryOrEmpty(p *bbwire.Page, b bbunit.BudgetID) *bbwire.Entry {
 	if e := findEntry(p, b); e != nil {
 		return e
@@ -78,7 +79,7 @@
 	return &bbwire.Entry{Budget: string(b)}
 }
 
-// drawHorizon is how long a draw should last.
+// drawHorizon is how long a draw should last at the current demand.
 func (al *Allocator) drawHorizon() time.Duration {
 	if al.onPage && al.witness == (Peer{}) {
 		return al.policy.UnwitnessedHorizon
@@ -86,8 +87,8 @@
 	return al.policy.DrawHorizon
 }
 
-// editPage changes a copy of the page to what the keeper needs now and reports
-// whether anything is worth a write.
+// editPage makes the allocator's pending changes to a copy of the page and reports
+// whether they justify a write.
 func (al *Allocator) editPage(p *bbwire.Page) bool {
 	changed := false
 	for _, e := range p.Entries {
@@ -103,8 +104,8 @@
 	return changed
 }
 
-// editDraws raises and lowers what the holder has drawn. Accounts that could
-// wait are taken along when something is written anyway.
+// editDraws raises and lowers the holder's draws. Changes that are not urgent are
+// made only together with an urgent one, or when the page is written anyway.
 func (al *Allocator) editDraws(page *bbwire.Page, alreadyWriting bool) bool {
 	type plan struct {
 		a     *allocation
@@ -131,7 +132,7 @@
 	return len(plans) > 0
 }
 
-// editDraw changes the holder's place on one entry.
+// editDraw changes the holder's draw on one entry.
 func (al *Allocator) editDraw(e *bbwire.Entry, a *allocation, delta bbunit.Tokens) {
 	applyTicket(e, al.state)
 	h := findHolder(e, al.holder)
@@ -150,8 +151,8 @@
 	h.Spent = int64(a.reportedSpent(e, al.holder))
 }
 
-// drawDelta is by how much the account's draw should change, and whether that is
-// worth a write of its own.
+// drawDelta returns by how much a budget's draw should change, and whether the
+// change is urgent enough for a write of its own.
 func (al *Allocator) drawDelta(a *allocation, e *bbwire.Entry) (bbunit.Tokens, bool) {
 	var amount, least bbunit.Tokens
 	for _, w := range al.wants {
@@ -169,15 +170,15 @@
 	return al.decrease(a, headroom, goal, least)
 }
 
-// increase is how much to draw: what is lacking, less when the budget runs out,
-// but what is wanted at least while the rest has it.
+// increase returns how much to draw: the shortfall, but no more than a fair share
+// of the remaining budget, or than least if that is more.
 func (al *Allocator) increase(e *bbwire.Entry, shortfall, least bbunit.Tokens) bbunit.Tokens {
 	remaining := Remaining(e)
 	fairShare := remaining / bbunit.Tokens(2*al.viewSummary().domainCount)
 	return max(0, min(remaining, shortfall, max(fairShare, least)))
 }
 
-// decrease gives surplus back after it has stood for a while.
+// decrease returns surplus to the budget once it has lasted for the horizon.
 func (al *Allocator) decrease(a *allocation, headroom, goal, least bbunit.Tokens) (bbunit.Tokens, bool) {
 	surplus := headroom > 2*goal+least && a.onPage && !al.writeUncertain
 	if lasted := a.surplusDuration(al.now, surplus); !surplus || lasted < al.drawHorizon() {
@@ -186,19 +187,19 @@
 	return -(headroom - goal - least), goal == 0 || headroom > urgentSurplusFactor*goal
 }
 
-// urgentSurplusFactor is how many times its goal an account must have for giving back
-// to be worth a write of its own.
+// urgentSurplusFactor is how many times its goal the headroom must be for a
+// decrease to justify a write of its own.
 const urgentSurplusFactor = 4
 
-// tickInterval is how often a keeper is told the time.
+// tickInterval is the value of TickInterval.
 const tickInterval = 50 * time.Millisecond
 
-// TickInterval is how often the owner of keepers, purse and witness should tell
-// them the time.
+// TickInterval is how often the owner should send Tick to allocators and call
+// Wallet.DueMessages.
 const TickInterval = tickInterval
 
-// witnessForDraw picks the witness of a holder that is being opened, or keeps the
-// one that it has.
+// witnessForDraw returns the witness to record with a new draw: the next one during
+// a change, else the current one, or a candidate when the holder is new.
 func (al *Allocator) witnessForDraw() Peer {
 	switch {
 	case al.witnessChange != nil && al.witnessChange.marksCopied:
@@ -209,8 +210,8 @@
 	return al.nextWitness()
 }
 
-// nextWitness is the peer of the failure domain that may be the next witness; the
-// zero peer when there is none.
+// nextWitness returns the highest ranked peer of the failure domain that may become
+// the witness, or the zero peer.
 func (al *Allocator) nextWitness() Peer {
 	for _, m := range al.view.Rank(PageHomeKey(al.pageNumber), al.self.Domain, maxWitnessCandidates) {
 		p := PeerOf(m)
@@ -223,8 +224,9 @@
 }
 
 const (
-	// maxWitnessCandidates is how many instances are looked at for a witness.
+	// maxWitnessCandidates is how many instances are considered as witness.
 	maxWitnessCandidates = 6
-	// witnessSuspicion is how long a witness that was silent is not chosen again.
+	// witnessSuspicion is how long a witness that did not answer is not chosen
+	// again.
 	witnessSuspicion = 10 * time.Second
 )
--- a/shared/bbledger/mark.go
+++ b/shared/bbledger/mark.go
@@ -7,24 +7,25 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// pendingMark is a mark that the witness has not acknowledged.
+// pendingMark is a Mark message that the witness has not acknowledged.
 type pendingMark struct {
 	msg         *bbwire.Mark
 	firstSentAt time.Time
 	sentAt      time.Time
 }
 
-// witnessChange is a change of witness: its marks are carried to the new one first, then
-// the page names it. From its start no acknowledgement of the old witness is
-// taken.
+// witnessChange is a change of witness in progress. First all marks are copied to
+// the new witness, then a write names it on the page. From the start,
+// acknowledgements of the old witness are ignored.
 type witnessChange struct {
-	next         Peer
+	next         Peer // zero to go on without a witness
 	mark         *pendingMark
-	marksCopied  bool // the new witness has the marks
-	writeStarted bool // a write that names the new witness is out
+	marksCopied  bool // the new witness has acknowledged the marks
+	writeStarted bool // a write that names the new witness was started
 }
 
-// sendMarks sends the next batch of marks, ahead of need.
+// sendMarks raises marks for the queued wants and sends all changed ones in one
+// batch. Without a witness they take effect at once.
 func (al *Allocator) sendMarks() {
 	if !al.onPage || al.pendingMark != nil || al.witnessChange != nil {
 		return
@@ -57,8 +58,8 @@
 	al.pendingMark = al.sendMark(al.witness, batch)
 }
 
-// raiseMark raises the mark of one grantee to twice what it wants, less when
-// there is little.
+// raiseMark raises a grantee's mark to twice its want, so that later grants need no
+// new mark; less, but no less than the want's least, when headroom is short.
 func (al *Allocator) raiseMark(a *allocation, gr *grant, w *want) {
 	unusedMark := gr.markSent - gr.granted
 	headroom := a.headroom()
@@ -71,13 +72,14 @@
 	a.marksPending = true
 }
 
-// markedSlice is what the witness is to remember of a grantee.
+// markedSlice is a grantee's slice with the amount granted replaced by the mark.
 func (a *allocation) markedSlice(h bbunit.HolderID, p Peer) *bbwire.Slice {
 	m := a.sliceMessage(h, p)
 	m.Granted = int64(a.grant(p).markSent)
 	return m
 }
 
+// sendMark sends a batch to a witness under the next sequence number.
 func (al *Allocator) sendMark(to Peer, batch []*bbwire.Slice) *pendingMark {
 	al.markSeq++
 	m := &pendingMark{msg: &bbwire.Mark{Holder: string(al.holder), Seq: al.markSeq, Slices: batch}, firstSentAt: al.now, sentAt: al.now}
@@ -85,8 +87,8 @@
 	return m
 }
 
-// handleMarkAck takes a witness's acknowledgement, from the witness that counts and of
-// the mark that is out.
+// handleMarkAck handles an acknowledgement of the pending mark by the current witness,
+// or by the next one during a change.
 func (al *Allocator) handleMarkAck(e MarkAcked) {
 	if e.Msg.Holder != string(al.holder) {
 		return
@@ -109,7 +111,7 @@
 	al.applyAckedMarks(batch)
 }
 
-// applyAckedMarks notes what the witness remembers now.
+// applyAckedMarks notes the amounts that the witness has acknowledged.
 func (al *Allocator) applyAckedMarks(batch []*bbwire.Slice) {
 	for _, m := range batch {
 		gr := al.allocation(bbunit.BudgetID(m.Budget)).grant(ParsePeer(m.Grantee))
@@ -118,8 +120,8 @@
 	}
 }
 
-// checkWitness sends marks again and moves away from a witness that is gone or
-// silent.
+// checkWitness resends an unacknowledged mark, and changes the witness when it is
+// gone or does not answer.
 func (al *Allocator) checkWitness() {
 	if !al.onPage {
 		return
@@ -146,6 +148,7 @@
 	al.startWitnessChange(to)
 }
 
+// startWitnessChange copies all marks to the next witness.
 func (al *Allocator) startWitnessChange(to Peer) {
 	al.pendingMark = nil
 	al.witnessChange = &witnessChange{next: to, marksCopied: to == (Peer{})}
@@ -163,8 +166,8 @@
 	al.witnessChange.mark = al.sendMark(to, all)
 }
 
-// checkWitnessChange sends the carried marks again and gives up on a new witness that is
-// silent, unless a write that names it is out.
+// checkWitnessChange resends the copied marks. It gives up on a new witness that does
+// not answer, unless a write that names it was started.
 func (al *Allocator) checkWitnessChange() {
 	wc := al.witnessChange
 	if wc.marksCopied || wc.writeStarted {
@@ -181,7 +184,7 @@
 	}
 }
 
-// editWitness names the new witness on every entry of the holder.
+// editWitness writes the new witness to every entry of the holder.
 func (al *Allocator) editWitness(p *bbwire.Page) bool {
 	if al.witnessChange == nil || !al.witnessChange.marksCopied {
 		return false
@@ -198,8 +201,8 @@
 	return changed
 }
 
-// finishWitnessChange takes the witness that the page names, after no write can land any
-// more.
+// finishWitnessChange takes over the witness that the page names. It must be called
+// only when no write of this allocator can still take effect.
 func (al *Allocator) finishWitnessChange(current Peer) {
 	wc := al.witnessChange
 	if wc == nil || !wc.writeStarted {
--- a/shared/bbledger/operator.go
+++ b/shared/bbledger/operator.go
@@ -11,23 +11,23 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Sentinel errors of the operators' calls, tested with errors.Is.
+// Sentinel errors of the calls for operators, tested with errors.Is.
 const (
-	// ErrBelowDrawn means that a budget cannot be lowered to an amount of
-	// which more is already drawn, settled or stuck.
+	// ErrBelowDrawn means that a budget cannot be lowered to an amount because
+	// more is already drawn, settled or stuck.
 	ErrBelowDrawn = errors.ConstError("budget below what is drawn")
-	// ErrNoHolder means that the budget names no such holder.
+	// ErrNoHolder means that the budget's entry has no such holder.
 	ErrNoHolder = errors.ConstError("holder not found")
-	// ErrCapped means that another ticket is about to lower the budget.
+	// ErrCapped means that another pending ticket has capped the budget.
 	ErrCapped = errors.ConstError("budget capped by another ticket")
-	// ErrBusy means that the page changed under every try.
-	ErrBusy = errors.ConstError("budget page busy")
+	// ErrBusy means that another writer changed the page during every attempt.
+	ErrBusy = errors.ConstError("budget page changed during every attempt")
 )
 
-// maxEditAttempts bounds how often an operator's call tries again after a conflict.
+// maxEditAttempts is how often a call for operators tries to write a page.
 const maxEditAttempts = 20
 
-// BudgetStatus is what a page says of one budget, in tokens.
+// BudgetStatus is the state of one budget as recorded on its page, in tokens.
 type BudgetStatus struct {
 	Budget       bbunit.BudgetID     `json:"budget"`
 	Paid         bbunit.Tokens       `json:"paid"`
@@ -36,24 +36,24 @@
 	Cap          bbunit.Tokens       `json:"cap,omitempty"`
 	Settled      bbunit.Tokens       `json:"settled"`
 	Drawn        bbunit.Tokens       `json:"drawn"`
-	Spent        bbunit.Tokens       `json:"spent"` // settled and reported by holders
+	Spent        bbunit.Tokens       `json:"spent"` // settled, or reported as spent by holders
 	Stuck        bbunit.Tokens       `json:"stuck"`
 	Remaining    bbunit.Tokens       `json:"rest"`
 	Holders      []HolderStatus      `json:"holders,omitempty"`
 	StuckGrants  []StuckStatus       `json:"stucks,omitempty"`
 }
 
-// HolderStatus is one holder's place on a budget.
+// HolderStatus is one holder's draw on a budget.
 type HolderStatus struct {
 	Holder  bbunit.HolderID `json:"holder"`
 	Domain  bbunit.DomainID `json:"domain"`
 	Drawn   bbunit.Tokens   `json:"drawn"`
-	Spent   bbunit.Tokens   `json:"spent"` // as last reported
+	Spent   bbunit.Tokens   `json:"spent"` // as last written
 	Witness string          `json:"witness"`
 }
 
-// StuckStatus is money with a grantee that has not accounted for it, why it is
-// counted as spent.
+// StuckStatus is an amount that a grantee has not accounted for, and the reason why
+// it stays charged to the budget.
 type StuckStatus struct {
 	Holder  bbunit.HolderID `json:"holder"`
 	Grantee string          `json:"grantee"`
@@ -61,7 +61,7 @@
 	Reason  string          `json:"why"`
 }
 
-// StatusOf returns what an entry says.
+// StatusOf returns the status of an entry's budget.
 func StatusOf(e *bbwire.Entry) BudgetStatus {
 	s := BudgetStatus{
 		Budget: bbunit.BudgetID(e.Budget), Paid: bbunit.Tokens(e.Paid), TicketNumber: bbunit.TicketNumber(e.Number),
@@ -92,7 +92,7 @@
 	return s
 }
 
-// ListBudgets reads all budgets of all pages. It blocks on the key-value service.
+// ListBudgets reads the budgets of all pages. It blocks on the key-value service.
 func ListBudgets(ctx context.Context, store bbstore.Store) ([]BudgetStatus, error) {
 	list, _, err := store.List(ctx, PagePrefix)
 	if err != nil {
@@ -111,11 +111,11 @@
 	return out, nil
 }
 
-// Cap limits what may be drawn of a budget to paid until the ticket of that
-// number is in force, so that the ticket can lower it. ErrBelowDrawn with the
-// figure when more is taken; ErrCapped when a ticket of that number or a later
-// one, with another nonce, has capped it. Repeating it with the same nonce
-// changes nothing. It blocks on the key-value service.
+// Cap limits a budget to paid until the ticket of that number is in force, so that
+// the ticket can lower the budget without overspending it. It returns
+// ErrBelowDrawn when more than paid is charged, and ErrCapped when a ticket of
+// that number or a later one, with another nonce, has capped the budget. A repeat
+// with the same nonce changes nothing. It blocks on the key-value service.
 func Cap(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, paid bbunit.Tokens, number bbunit.TicketNumber, nonce string) error {
 	if err := CheckAmount(paid); err != nil {
 		return err
@@ -125,18 +125,18 @@
 			return errors.Annotatef(ErrCapped, "budget %s, ticket %d, nonce %s", b, e.Capnumber, e.Capnonce)
 		}
 		if t := Charged(e); t > paid {
-			return errors.Annotatef(ErrBelowDrawn, "budget %s: %d tokens are drawn, settled or stuck, %d asked for", b, t, paid)
+			return errors.Annotatef(ErrBelowDrawn, "budget %s: %d tokens are drawn, settled or stuck, cannot be capped at %d", b, t, paid)
 		}
 		if e.Capnumber > e.Number {
-			paid = min(paid, bbunit.Tokens(e.Cap)) // an accepted ticket may still need the older cap
+			paid = min(paid, bbunit.Tokens(e.Cap)) // the earlier ticket may have been accepted and need its cap
 		}
 		e.Cap, e.Capnumber, e.Capnonce = int64(paid), uint64(number), nonce
 		return nil
 	})
 }
 
-// Uncap takes back the cap of that number and nonce, and none else. It blocks
-// on the key-value service.
+// Uncap removes the cap if it has that number and nonce. It blocks on the key-value
+// service.
 func Uncap(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, number bbunit.TicketNumber, nonce string) error {
 	return editEntry(ctx, store, b, func(e *bbwire.Entry) error {
 		if e.Capnumber == uint64(number) && e.Capnonce == nonce {
@@ -146,11 +146,12 @@
 	})
 }
 
-// Release gives back to a budget the amounts that are stuck under a holder; when
-// there are none, what the holder itself has drawn beyond its reported spend. An
-// operator calls it who knows that the instances concerned are gone for good: it
-// is the only way by which money comes back on a person's word. It returns the
-// tokens given back; ErrNoHolder. It blocks on the key-value service.
+// Release gives the amounts that are stuck under a holder back to the budget; when
+// there are none, it removes the holder and gives back what it has drawn beyond
+// its reported spending. It is for an operator who knows that the instances
+// concerned are gone for good: no other call frees tokens that may still be spent.
+// It returns the tokens given back, or ErrNoHolder. It blocks on the key-value
+// service.
 func Release(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, h bbunit.HolderID) (bbunit.Tokens, error) {
 	var released bbunit.Tokens
 	var attempted, hadStuck bool
@@ -159,7 +160,7 @@
 		if !attempted {
 			attempted, hadStuck = true, hasStuck
 		} else if hadStuck && !hasStuck || !hadStuck && findHolder(e, h) == nil {
-			return nil // an earlier try of this call landed
+			return nil // an earlier attempt of this call took effect
 		}
 		n, err := ReleaseEntry(e, h)
 		released = n
@@ -182,7 +183,7 @@
 	return out
 }
 
-// ReleaseEntry is Release on an entry.
+// ReleaseEntry applies Release to an entry in memory.
 func ReleaseEntry(e *bbwire.Entry, h bbunit.HolderID) (bbunit.Tokens, error) {
 	before := Charged(e)
 	grantees, draw := granteesStuckUnder(e, h), findHolder(e, h)
@@ -200,9 +201,9 @@
 	return before - Charged(e), nil
 }
 
-// editEntry changes one entry by compare-and-swap until it stands. A lost
-// answer is resolved by doing it again on the page as read, so fn must be such
-// that a repeat changes nothing.
+// editEntry applies fn to one entry by compare-and-swap, with up to maxEditAttempts.
+// After a write of unknown outcome it reads the page and applies fn again, so fn
+// must be idempotent.
 func editEntry(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, fn func(*bbwire.Entry) error) error {
 	key := PageKey(PageOf(b))
 	for range maxEditAttempts {
--- a/shared/bbledger/page.go
+++ b/shared/bbledger/page.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// PageCount is how many pages the budgets are spread over. It never changes
-	// for the life of a fleet.
+	// PageCount is how many pages the budgets are spread over. It must never
+	// change in the life of a fleet, since it determines each budget's page.
 	PageCount = 256
 	// PagePrefix is the key prefix of all pages.
 	PagePrefix = "/bb/page/"
-	// MaxPaid is the largest amount that a budget may hold, in tokens. Sums
-	// over a page stay far from overflow.
+	// MaxPaid is the largest amount of a budget, in tokens, low enough that
+	// sums over a page cannot overflow.
 	MaxPaid = bbunit.Tokens(1) << 50
 )
 
 // Sentinel errors of pages, tested with errors.Is.
 const (
-	// ErrMalformedPage means that a page's value could not be read.
+	// ErrMalformedPage means that a page's value cannot be decoded.
 	ErrMalformedPage = errors.ConstError("budget page malformed")
-	// ErrAmountRange means that an amount is negative or above MostPaid.
+	// ErrAmountRange means that an amount is negative or above MaxPaid.
 	ErrAmountRange = errors.ConstError("amount out of range")
 )
 
@@ -40,10 +40,12 @@
 // PageKey returns the key of a page in the key-value service.
 func PageKey(n int) string { return fmt.Sprintf("%s%04d", PagePrefix, n) }
 
-// PageHomeKey returns the name under which keepers of a page are ranked.
+// PageHomeKey returns the key by which instances are ranked to find the home of a
+// page and its witness.
 func PageHomeKey(n int) string { return fmt.Sprintf("page/%04d", n) }
 
-// DecodePage reads a page's value; nil gives an empty page. ErrPage.
+// DecodePage decodes the stored value of a page; nil gives an empty page. It returns
+// ErrMalformedPage.
 func DecodePage(value []byte) (*bbwire.Page, error) {
 	p := &bbwire.Page{}
 	if err := proto.Unmarshal(value, p); err != nil {
@@ -55,7 +57,7 @@
 				continue
 			}
 			if int(h.Name) > len(p.Names) {
-				return nil, errors.Annotatef(ErrMalformedPage, "budget %s: name %d of %d", e.Budget, h.Name, len(p.Names))
+				return nil, errors.Annotatef(ErrMalformedPage, "budget %s: holder name %d, page has %d names", e.Budget, h.Name, len(p.Names))
 			}
 			n := p.Names[h.Name-1]
 			h.Holder, h.Instance, h.Domain, h.Witness, h.Name = n.Holder, n.Instance, n.Domain, n.Witness, 0
@@ -65,8 +67,8 @@
 	return p, nil
 }
 
-// EncodePage returns the value of a page. A keeper holds many budgets of a page
-// under one name, which is stored once.
+// EncodePage encodes a page for storage. An allocator holds many budgets of a page
+// under one holder id, so each distinct holder is stored once in the page's names.
 func EncodePage(p *bbwire.Page) ([]byte, error) {
 	type name struct{ holder, instance, domain, witness string }
 	nameIndex := map[name]uint32{}
@@ -89,7 +91,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(out)
 }
 
-// CheckAmount returns ErrAmount unless 0 <= n <= MostPaid.
+// CheckAmount returns ErrAmountRange unless 0 <= n <= MaxPaid.
 func CheckAmount(n bbunit.Tokens) error {
 	if n < 0 || n > MaxPaid {
 		return errors.Annotatef(ErrAmountRange, "%d tokens", n)
@@ -97,8 +99,8 @@
 	return nil
 }
 
-// EffectiveLimit is how much of the budget may be taken: paid, or the cap of a
-// ticket that is about to lower it.
+// EffectiveLimit is how much may be charged to the budget: the paid amount, or the
+// lower cap of a ticket that is not in force yet.
 func EffectiveLimit(e *bbwire.Entry) bbunit.Tokens {
 	if e.Capnumber > e.Number && e.Cap < e.Paid {
 		return bbunit.Tokens(e.Cap)
@@ -106,7 +108,7 @@
 	return bbunit.Tokens(e.Paid)
 }
 
-// Charged is all that counts against the budget: settled, stuck and drawn.
+// Charged is all that counts against the budget: what is settled, stuck or drawn.
 func Charged(e *bbwire.Entry) bbunit.Tokens {
 	n := e.Settled
 	for _, s := range e.Stuck {
@@ -118,7 +120,7 @@
 	return bbunit.Tokens(n)
 }
 
-// Remaining is what may still be drawn of the budget, never below 0.
+// Remaining is what may still be drawn of the budget, at least 0.
 func Remaining(e *bbwire.Entry) bbunit.Tokens {
 	return max(0, EffectiveLimit(e)-Charged(e))
 }
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// ensureEntry returns the budget's entry and adds it in order when absent.
+// ensureEntry returns the budget's entry, adding an empty one if there is none.
 func ensureEntry(p *bbwire.Page, b bbunit.BudgetID) *bbwire.Entry {
 	if e := findEntry(p, b); e != nil {
 		return e
@@ -143,7 +145,7 @@
 	return e
 }
 
-// findHolder returns the holder's place on the entry, or nil.
+// findHolder returns the holder's record on the entry, or nil. The entry may be nil.
 func findHolder(e *bbwire.Entry, h bbunit.HolderID) *bbwire.Holder {
 	if e == nil {
 		return nil
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// dropHolder takes the holder's place off the entry.
+// dropHolder removes the holder's record from the entry.
 func dropHolder(e *bbwire.Entry, h bbunit.HolderID) {
 	for i, x := range e.Holders {
 		if x.Holder == string(h) {
@@ -166,7 +168,7 @@
 	}
 }
 
-// findStuck returns the stuck amount of a holder with a grantee, or nil.
+// findStuck returns the stuck amount that a grantee has of a holder, or nil.
 func findStuck(e *bbwire.Entry, h bbunit.HolderID, g Peer) *bbwire.Stuck {
 	for _, s := range e.Stuck {
 		if s.Holder == string(h) && s.Grantee == g.String() {
@@ -176,14 +178,14 @@
 	return nil
 }
 
-// addStuck counts what a grantee may still spend, apart from what it is known to
-// have spent.
+// addStuck records what a grantee may still spend and, separately, what it has
+// reported as spent.
 func addStuck(e *bbwire.Entry, h bbunit.HolderID, g Peer, unspent, spent int64) {
 	e.Stuck = append(e.Stuck, &bbwire.Stuck{Holder: string(h), Grantee: g.String(), Amount: unspent, Spent: spent})
 }
 
-// dropStuck takes a grantee's stuck amount off the entry and returns what it was
-// known to have spent beside.
+// dropStuck removes a grantee's stuck amount from the entry and returns what the
+// grantee had reported as spent.
 func dropStuck(e *bbwire.Entry, h bbunit.HolderID, g Peer) int64 {
 	var spent int64
 	kept := e.Stuck[:0:0]
@@ -198,7 +200,7 @@
 	return spent
 }
 
-// stuckKeys lists whose final account the entry waits for.
+// stuckKeys lists the holders and grantees of the entry's stuck amounts.
 func stuckKeys(e *bbwire.Entry) []granteeKey {
 	var out []granteeKey
 	for _, s := range e.Stuck {
@@ -207,13 +209,14 @@
 	return out
 }
 
-// outdated tells whether advance would change the entry.
+// outdated reports whether applyTicket would change the entry.
 func outdated(e *bbwire.Entry, st *bbticket.State) bool {
 	return uint64(st.Budgets.Get(bbunit.BudgetID(e.Budget)).Number) > e.Number || e.Capnumber > 0 && uint64(st.Number) >= e.Capnumber
 }
 
-// applyTicket puts a ticket's paid amount on the entry, only forward by number, and
-// drops a cap whose ticket came to nothing. It reports whether the entry changed.
+// applyTicket updates the paid amount to that of the ticket in force, unless the
+// entry has a later one, and drops a cap that is obsolete. It reports whether the
+// entry changed.
 func applyTicket(e *bbwire.Entry, st *bbticket.State) bool {
 	changed := false
 	if o := st.Budgets.Get(bbunit.BudgetID(e.Budget)); uint64(o.Number) > e.Number {
@@ -224,8 +227,8 @@
 		e.Paid, e.Number = int64(paid), uint64(o.Number)
 		changed = true
 	}
-	// With every ticket up to the cap's in force, the cap is either carried out
-	// or its ticket was never accepted.
+	// Once the tickets up to the cap's number are in force, the paid amount is
+	// lowered or the cap's ticket was never accepted: either way the cap is over.
 	if e.Capnumber > 0 && uint64(st.Number) >= e.Capnumber {
 		e.Cap, e.Capnumber, e.Capnonce = 0, 0, ""
 		changed = true
--- a/shared/bbledger/peer.go
+++ b/shared/bbledger/peer.go
@@ -8,17 +8,17 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Peer is one life of an instance: the unit that is granted slices, that holds
-// and that witnesses.
+// Peer is one incarnation of an instance. Grantees, holders and witnesses are
+// peers, so that a restarted instance is not taken for its predecessor.
 type Peer struct {
 	ID  bbunit.InstanceID
 	Inc bbunit.Incarnation
 }
 
-// PeerOf returns the peer that a member of the fleet is.
+// PeerOf returns the peer of a fleet member.
 func PeerOf(m bbmember.Member) Peer { return Peer{ID: m.ID, Inc: m.Inc} }
 
-// String is instance/incarnation, or "" for the zero peer.
+// String returns instance/incarnation, or "" for the zero peer.
 func (p Peer) String() string {
 	if p == (Peer{}) {
 		return ""
@@ -26,7 +26,8 @@
 	return string(p.ID) + "/" + strconv.FormatUint(uint64(p.Inc), 16)
 }
 
-// ParsePeer reads what String wrote; the zero peer when s is malformed.
+// ParsePeer parses the result of String. It returns the zero peer when s is
+// malformed.
 func ParsePeer(s string) Peer {
 	i := strings.LastIndexByte(s, '/')
 	if i < 0 {
@@ -39,12 +40,12 @@
 	return Peer{ID: bbunit.InstanceID(s[:i]), Inc: bbunit.Incarnation(inc)}
 }
 
-// NewHolder names the nth holder of a peer on a page.
+// NewHolder returns the id of the nth holder of a peer on a page.
 func NewHolder(p Peer, page int, n uint64) bbunit.HolderID {
 	return bbunit.HolderID(p.String() + "/" + strconv.Itoa(page) + "-" + strconv.FormatUint(n, 10))
 }
 
-// HolderPeer returns the peer whose holder h is.
+// HolderPeer returns the peer that a holder id belongs to, or the zero peer.
 func HolderPeer(h bbunit.HolderID) Peer {
 	i := strings.LastIndexByte(string(h), '/')
 	if i < 0 {
@@ -53,7 +54,7 @@
 	return ParsePeer(string(h[:i]))
 }
 
-// HolderPage returns the page that h holds on, or -1.
+// HolderPage returns the page number in a holder id, or -1.
 func HolderPage(h bbunit.HolderID) int {
 	s := string(h[strings.LastIndexByte(string(h), '/')+1:])
 	i := strings.IndexByte(s, '-')
@@ -67,7 +68,7 @@
 	return n
 }
 
-// alive tells whether the very same life of the instance is in the view.
+// alive reports whether the view has the same incarnation of the instance.
 func alive(v *bbmember.View, p Peer) bool {
 	m, ok := v.Find(p.ID)
 	return ok && m.Inc == p.Inc
--- a/shared/bbledger/recall.go
+++ b/shared/bbledger/recall.go
@@ -9,8 +9,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// recallUnspent asks grantees of a budget for what they have free, when a want cannot
-// be met otherwise. It reports whether the want should wait for their answers.
+// recallUnspent asks the other grantees of a budget to return free tokens, for a want
+// that cannot be met otherwise. It reports whether the want should wait for them.
 func (al *Allocator) recallUnspent(a *allocation, w *want) bool {
 	if !w.recalledAt.IsZero() {
 		return al.now.Sub(w.recalledAt) < recallWait
@@ -30,7 +30,7 @@
 		}
 	}
 	for _, p := range al.recallableGrantees(a, first) {
-		// What only the marks say that it may have comes back by the same way.
+		// Grant up to the mark first, so that the grantee returns that part too.
 		a.grant(p).granted = max(a.grant(p).granted, a.grant(p).markAcked)
 		al.send(p.ID, &bbwire.GrantTell{
 			Slices:  []*bbwire.Slice{a.sliceMessage(al.holder, p)},
@@ -40,7 +40,7 @@
 	return true
 }
 
-// smallerPeer returns the peer that comes first.
+// smallerPeer returns the peer whose name sorts first.
 func smallerPeer(p, q Peer) Peer {
 	if q.String() < p.String() {
 		return q
@@ -48,7 +48,7 @@
 	return p
 }
 
-// recallableGrantees lists who else may have something of the account left.
+// recallableGrantees lists the live grantees, except one, that may have tokens left.
 func (al *Allocator) recallableGrantees(a *allocation, except Peer) []Peer {
 	var out []Peer
 	for _, p := range a.grantees() {
@@ -59,8 +59,8 @@
 	return out
 }
 
-// maxUnspent is what the grantee may still spend, or could if it were told, unless the
-// page counts it as stuck.
+// maxUnspent is what the grantee may still spend if it were granted all of its mark;
+// 0 when it is recorded as stuck.
 func (gr *grant) maxUnspent() bbunit.Tokens {
 	if gr.stuck {
 		return 0
@@ -68,8 +68,9 @@
 	return max(gr.granted, gr.markAcked) - gr.spent - gr.returned
 }
 
-// lowerToAvailable lowers a want that cannot be met to what there is, so that the grantee
-// can get the rest in another failure domain. It reports whether there is any.
+// lowerToAvailable lowers a want that cannot be met to all that is available, so that
+// the grantee can borrow the rest from another failure domain. It reports false
+// when nothing is available or borrowing is not possible.
 func (al *Allocator) lowerToAvailable(a *allocation, w *want) bool {
 	n := al.available(a, w)
 	if !w.urgent || !al.policy.Borrow || al.viewSummary().domainCount < 2 || n <= 0 {
@@ -79,7 +80,8 @@
 	return true
 }
 
-// sendGrant tells a grantee what it was granted, and whether that was the last.
+// sendGrant sends a grantee its slice, and for a lowered want also that the budget
+// is empty.
 func (al *Allocator) sendGrant(w *want, a *allocation) {
 	tell := &bbwire.GrantTell{Slices: []*bbwire.Slice{a.sliceMessage(al.holder, w.grantee)}}
 	if w.partial {
@@ -88,8 +90,9 @@
 	al.send(w.grantee.ID, tell)
 }
 
-// addEmpty adds to an answer that nothing of the account can be granted, and
-// what may come back.
+// addEmpty adds to an answer that the budget is empty, and how much of it may still
+// be returned: Lent by grantees and closing holders of this failure domain, Rest by
+// the page and by holders that nobody can ask.
 func (al *Allocator) addEmpty(a *allocation, tell *bbwire.GrantTell) *bbwire.GrantTell {
 	tell.Empty = append(tell.Empty, string(a.budget))
 	left := &bbwire.Left{Budget: string(a.budget), Lent: int64(al.unspentDraw(a))}
@@ -101,7 +104,7 @@
 			case al.willBeClosed(h):
 				left.Lent += h.Drawn - h.Spent
 			case al.policy.Borrow && !slices.Contains(domainsOf(al.view), bbunit.DomainID(h.Domain)):
-				left.Rest += h.Drawn - h.Spent // of a failure domain that cannot be asked
+				left.Rest += h.Drawn - h.Spent // no instance is left there to ask
 			}
 		}
 	}
@@ -109,8 +112,8 @@
 	return tell
 }
 
-// willBeClosed tells whether a holder of the own failure domain is about to be
-// closed, so that what it has left comes back to the page.
+// willBeClosed reports whether a holder of the own failure domain is about to be
+// closed, so that its unspent tokens return to the page.
 func (al *Allocator) willBeClosed(h *bbwire.Holder) bool {
 	p := HolderPeer(bbunit.HolderID(h.Holder))
 	if h.Domain != string(al.self.Domain) || h.Holder == string(al.holder) {
@@ -119,8 +122,8 @@
 	return p == al.peer || !alive(al.view, p) && alive(al.view, ParsePeer(h.Witness))
 }
 
-// unspentDraw is what of the account's draw is not known to be spent, without what
-// grantees have that are gone.
+// unspentDraw is how much of the draw is not reported as spent, without what missing
+// grantees hold.
 func (al *Allocator) unspentDraw(a *allocation) bbunit.Tokens {
 	n := a.drawLimit
 	for p, gr := range a.grants {
@@ -135,22 +138,24 @@
 	return max(0, n)
 }
 
-// currentEntry is the account's entry of the page as it stands with what is in force.
+// currentEntry returns a copy of the budget's entry with the tickets in force applied.
+// The page must not be nil.
 func (al *Allocator) currentEntry(a *allocation) *bbwire.Entry {
 	e := clonePage(&bbwire.Page{Entries: []*bbwire.Entry{entryOrEmpty(al.page, a.budget)}}).Entries[0]
 	applyTicket(e, al.state)
 	return e
 }
 
-// available is what a want can be given without a recall; the page must not be nil.
+// available is what a want can be granted without a recall. The page must not be nil.
 func (al *Allocator) available(a *allocation, w *want) bbunit.Tokens {
 	gr := a.grant(w.grantee)
 	return Remaining(al.currentEntry(a)) + a.headroom() + gr.markSent - gr.granted
 }
 
-// handleRecall returns what is free of a budget for another grantee. While requests
-// wait here, only what is too little for any of them is returned, and only to
-// a grantee that comes before this one: two that are short do not take turns.
+// handleRecall returns free tokens of a budget for another grantee. While requests
+// wait here, it does so only when the tokens are too few for any of them and the
+// other grantee sorts first: otherwise two grantees that are short could pass the
+// tokens back and forth.
 func (w *Wallet) handleRecall(now time.Time, r *bbwire.Recall) []Send {
 	bal := w.Balance(bbunit.BudgetID(r.Budget))
 	refill := &bal.refill
@@ -164,29 +169,30 @@
 	return batch.messages()
 }
 
-// emptyReply is what a keeper said when it could grant nothing.
+// emptyReply is an allocator's answer that a budget is empty. unspent and remaining
+// are the message's lent and rest.
 type emptyReply struct {
 	receivedAt time.Time
 	unspent    bbunit.Tokens
 	remaining  bbunit.Tokens
 }
 
-// AllAllocatorsEmpty tells whether every keeper that the policy lets the pot ask has said, not
-// long ago, that it can grant nothing.
+// AllAllocatorsEmpty reports whether every allocator that the policy allows to ask
+// has recently answered that the budget is empty.
 func (w *Wallet) AllAllocatorsEmpty(now time.Time, v *bbmember.View, bal *Balance) bool {
 	_, ok := w.possibleRefill(now, v, bal)
 	return ok
 }
 
-// Exhausted tells whether the pot is dry and what may still come back, when open
-// requests end, is less than n tokens.
+// Exhausted reports whether all allocators are empty and fewer than n tokens may
+// still be returned when open requests end.
 func (w *Wallet) Exhausted(now time.Time, v *bbmember.View, bal *Balance, n bbunit.Tokens) bool {
 	possible, ok := w.possibleRefill(now, v, bal)
 	return ok && possible < n
 }
 
-// possibleRefill sums what the keepers know to be unspent; false when not all of them said
-// not long ago that they can grant nothing.
+// possibleRefill sums what may still be returned according to the allocators. It
+// reports false unless all of them recently answered that the budget is empty.
 func (w *Wallet) possibleRefill(now time.Time, v *bbmember.View, bal *Balance) (bbunit.Tokens, bool) {
 	var unspent, remaining bbunit.Tokens
 	allocators := w.allocators(v, PageOf(bal.Budget))
--- a/shared/bbledger/status.go
+++ b/shared/bbledger/status.go
@@ -7,19 +7,19 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// AllocatorStatus is what a keeper holds, for operators.
+// AllocatorStatus is the state of an allocator, for operators.
 type AllocatorStatus struct {
 	Page    int               `json:"page"`
 	Holder  bbunit.HolderID   `json:"holder"`
-	Witness string            `json:"witness"` // "" without one
-	Budgets []BudgetStatus    `json:"budgets"` // as the page was last read
-	Closing []bbunit.HolderID `json:"closing,omitempty"`
+	Witness string            `json:"witness"`           // "" without one
+	Budgets []BudgetStatus    `json:"budgets"`           // as last read from the page or written to it
+	Closing []bbunit.HolderID `json:"closing,omitempty"` // being closed
 	// Lost are the holders that cannot be closed because their witness is gone
-	// too; only an operator can release them.
+	// too. Only an operator can release them.
 	Lost []bbunit.HolderID `json:"lost,omitempty"`
 }
 
-// Status returns what the keeper holds.
+// Status returns the allocator's state.
 func (al *Allocator) Status() AllocatorStatus {
 	s := AllocatorStatus{Page: al.pageNumber, Holder: al.holder, Witness: al.witness.String()}
 	if al.page != nil {
@@ -37,13 +37,13 @@
 	return s
 }
 
-// PageRequest is the part of an ask that concerns one page.
+// PageRequest is the part of a GrantAsk that concerns one page.
 type PageRequest struct {
 	Page    int
 	Request *bbwire.GrantAsk
 }
 
-// SplitByPage deals an ask out by pages, in their order.
+// SplitByPage splits a GrantAsk by the pages of its budgets, in their order.
 func SplitByPage(m *bbwire.GrantAsk) []PageRequest {
 	byPage := map[int]*bbwire.GrantAsk{}
 	forBudget := func(budget string) *bbwire.GrantAsk {
--- a/shared/bbledger/stuck.go
+++ b/shared/bbledger/stuck.go
@@ -7,9 +7,10 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// checkGrantees notes which grantees are gone. What they had is not taken back:
-// it moves from the holder to the budget's stuck amounts, where operators see
-// it and where a grantee that was only cut off can still account for it.
+// checkGrantees notes since when grantees are missing from the view. Tokens of a
+// missing grantee are not taken back, since it may still spend them. They move
+// from the holder to the budget's stuck amounts, where operators see them, and
+// where a grantee that was only unreachable can still account for them.
 func (al *Allocator) checkGrantees() {
 	if al.checkedView == al.view && !al.granteeMissing {
 		return
@@ -29,13 +30,12 @@
 	}
 }
 
-// becomesStuck tells whether a share is to be moved to the stuck amounts.
+// becomesStuck reports whether a grant must be moved to the stuck amounts.
 func (al *Allocator) becomesStuck(gr *grant) bool {
 	return gr.outstanding() > 0 && !gr.missingSince.IsZero() && al.now.Sub(gr.missingSince) >= stuckDelay
 }
 
-// outstanding is what the grantee may still spend, unless the page counts it as
-// stuck.
+// outstanding is what the grantee may still spend; 0 when it is recorded as stuck.
 func (gr *grant) outstanding() bbunit.Tokens {
 	if gr.stuck {
 		return 0
@@ -43,12 +43,12 @@
 	return gr.granted - gr.spent - gr.returned
 }
 
-// canRecordStuck tells whether the page may take the stuck amounts now.
+// canRecordStuck reports whether there are stuck amounts that may be written now.
 func (al *Allocator) canRecordStuck() bool {
 	return al.granteeLost && al.onPage && !al.writeUncertain && al.witnessChange == nil
 }
 
-// recordStuck moves what gone grantees have to the stuck amounts.
+// recordStuck moves the grants of lost grantees to the stuck amounts.
 func (al *Allocator) recordStuck(p *bbwire.Page) bool {
 	if !al.canRecordStuck() {
 		return false
@@ -73,7 +73,7 @@
 	return changed
 }
 
-// adoptStuck takes over which shares the page counts as stuck.
+// adoptStuck marks the grants that the page lists as stuck.
 func (al *Allocator) adoptStuck(a *allocation) {
 	e := findEntry(al.page, a.budget)
 	for g, gr := range a.grants {
--- a/shared/bbledger/summary.go
+++ b/shared/bbledger/summary.go
@@ -9,16 +9,16 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// viewSummary is what a view means for a keeper.
+// viewSummary caches what an allocator derives from a view.
 type viewSummary struct {
 	view        *bbmember.View
-	isHome      bool
-	domainCount int
+	isHome      bool // this instance is the page's home in its failure domain
+	domainCount int  // at least 1
 	alivePeers  map[Peer]bool
 }
 
-// pageSummary is what the page means for a keeper, worked out once for each page, view,
-// state and holder.
+// pageSummary caches what an allocator derives from its page. It is valid for one
+// page, view, state and holder.
 type pageSummary struct {
 	page   *bbwire.Page
 	view   *bbmember.View
@@ -26,13 +26,13 @@
 	holder bbunit.HolderID
 
 	entries         map[bbunit.BudgetID]*bbwire.Entry
-	deadHolders     []*bbwire.Holder // holders that this keeper must close, each once
+	deadHolders     []*bbwire.Holder // holders that this allocator must close, without duplicates
 	hasStuck        bool             // an entry has stuck amounts
-	hasOutdated     bool             // an entry is older than what is in force
-	hasSettledStuck bool             // an entry has a stuck amount of 0 that is not needed any more
+	hasOutdated     bool             // an entry is behind the tickets in force
+	hasSettledStuck bool             // an entry has a stuck amount of 0 that can be dropped
 }
 
-// viewSummary returns what the present view means.
+// viewSummary returns the summary of the current view.
 func (al *Allocator) viewSummary() *viewSummary {
 	if al.viewCache.view != al.view {
 		m, ok := al.view.Home(PageHomeKey(al.pageNumber), al.self.Domain)
@@ -44,7 +44,7 @@
 	return &al.viewCache
 }
 
-// summary returns what the cached page means; the page must not be nil.
+// summary returns the summary of the page, which must not be nil.
 func (al *Allocator) summary() *pageSummary {
 	s := al.summaryCache
 	if s != nil && s.page == al.page && s.view == al.view && s.state == al.state && s.holder == al.holder {
@@ -70,7 +70,7 @@
 	return s
 }
 
-// needsWrite tells, without a copy of the page, whether edit may change it.
+// needsWrite reports whether editPage may change the page. It needs no copy.
 func (al *Allocator) needsWrite() bool {
 	s := al.summary()
 	if s.hasOutdated || s.hasSettledStuck || al.canRecordStuck() || s.hasStuck && len(al.finalReports) > 0 || al.witnessChange != nil && al.witnessChange.marksCopied {
@@ -84,7 +84,7 @@
 	return !al.retiring && al.needsDrawWrite(s)
 }
 
-// needsDrawWrite tells whether an account's draw should change by a write of its own.
+// needsDrawWrite reports whether any draw needs an urgent change.
 func (al *Allocator) needsDrawWrite(s *pageSummary) bool {
 	for _, a := range al.sortedAllocations() {
 		e := s.entries[a.budget]
@@ -99,8 +99,8 @@
 	return false
 }
 
-// surplusDuration notes whether an account has surplus now and returns for how long it
-// has had.
+// surplusDuration notes whether there is surplus now and returns for how long there
+// has been.
 func (a *allocation) surplusDuration(now time.Time, surplus bool) time.Duration {
 	if !surplus {
 		a.surplusSince = time.Time{}
--- a/shared/bbledger/wallet.go
+++ b/shared/bbledger/wallet.go
@@ -11,41 +11,41 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Wallet is all the money of one instance. Pot may be called by any goroutine;
-// the other methods belong to one goroutine.
+// Wallet is all that one instance holds of the budgets. Balance is safe for
+// concurrent use; the other methods belong to one goroutine.
 type Wallet struct {
 	self   Peer
 	domain bbunit.DomainID
 	policy Policy
 
-	mu       sync.Mutex // writers of pots
-	balances atomic.Pointer[map[bbunit.BudgetID]*Balance]
+	mu       sync.Mutex                                   // serializes writers of balances
+	balances atomic.Pointer[map[bbunit.BudgetID]*Balance] // copied on write
 
-	sorted       []*Balance // of listed, in order
+	sorted       []*Balance // by budget, from sortedFrom
 	sortedFrom   *map[bbunit.BudgetID]*Balance
-	rankedView   *bbmember.View // of byPage
+	rankedView   *bbmember.View // the view of rankedByPage
 	rankedByPage map[int][]bbmember.Member
-	fullPassAt   time.Time // when all pots were last gone through
+	fullPassAt   time.Time // when DueMessages last visited all balances
 
-	closedHolders map[bbunit.HolderID]bool
+	closedHolders map[bbunit.HolderID]bool // surrendered; their grants are refused
 	reportedAt    time.Time
 	draining      bool
 }
 
-// Send is a message to another instance, or to the own one.
+// Send asks for a message to be sent to an instance, which may be this one.
 type Send struct {
 	To   bbunit.InstanceID
 	Body any // one of the messages of bbwire
 }
 
-// NewWallet returns an empty purse.
+// NewWallet returns an empty wallet.
 func NewWallet(self bbmember.Member, policy Policy) *Wallet {
 	w := &Wallet{self: PeerOf(self), domain: self.Domain, policy: policy, closedHolders: map[bbunit.HolderID]bool{}}
 	w.balances.Store(&map[bbunit.BudgetID]*Balance{})
 	return w
 }
 
-// Balance returns the pot of a budget; it takes a lock only the first time.
+// Balance returns the balance of a budget. It takes a lock only when it creates it.
 func (w *Wallet) Balance(b bbunit.BudgetID) *Balance {
 	if bal, ok := (*w.balances.Load())[b]; ok {
 		return bal
@@ -66,8 +66,8 @@
 	return bal
 }
 
-// Balances returns all pots in the order of their budgets. The list must not be
-// changed.
+// Balances returns all balances in the order of their budgets. The caller must not
+// modify the list.
 func (w *Wallet) Balances() []*Balance {
 	m := w.balances.Load()
 	if w.sortedFrom == m {
@@ -82,15 +82,15 @@
 	return out
 }
 
-// AddWaiter counts in a request that waits for n tokens of the pot, Done counts it
-// out.
+// AddWaiter counts in a request that waits for n tokens of the balance. RemoveWaiter
+// must follow when it stops waiting.
 func (w *Wallet) AddWaiter(bal *Balance, n bbunit.Tokens) { bal.refill.addWaiter(n) }
 
-// RemoveWaiter counts out a request that Wait counted in.
+// RemoveWaiter counts out a request that AddWaiter counted in.
 func (w *Wallet) RemoveWaiter(bal *Balance, n bbunit.Tokens) { bal.refill.removeWaiter(n) }
 
-// allocators lists the keepers that may be asked, the own failure domain's first. It
-// is worked out once for each view.
+// allocators lists the instances whose allocators of the page may be asked, that of
+// the own failure domain first. The result is cached for the view.
 func (w *Wallet) allocators(v *bbmember.View, page int) []bbmember.Member {
 	if w.rankedView != v {
 		w.rankedView, w.rankedByPage = v, map[int][]bbmember.Member{}
@@ -103,6 +103,7 @@
 	return out
 }
 
+// rankAllocators computes what allocators returns.
 func (w *Wallet) rankAllocators(v *bbmember.View, page int) []bbmember.Member {
 	var out []bbmember.Member
 	if m, ok := v.Home(PageHomeKey(page), w.domain); ok {
@@ -119,7 +120,7 @@
 	return out
 }
 
-// domainsOf lists the failure domains that have an instance that stays.
+// domainsOf lists the failure domains with an instance that is not leaving.
 func domainsOf(v *bbmember.View) []bbunit.DomainID {
 	seen := map[bbunit.DomainID]bool{}
 	var out []bbunit.DomainID
@@ -133,8 +134,9 @@
 	return out
 }
 
-// DueMessages returns what to send now: wants of pots that run short, and every so
-// often what was spent. Between ticks it looks only at pots that run short.
+// DueMessages returns the messages to send now: wants of balances that run short,
+// and every reportInterval what was spent. Calls within a TickInterval visit only
+// balances that run short.
 func (w *Wallet) DueMessages(now time.Time, v *bbmember.View) []Send {
 	batch := requestBatch{self: w.self, byInstance: map[bbunit.InstanceID]*bbwire.GrantAsk{}}
 	report := now.Sub(w.reportedAt) >= reportInterval || w.draining
@@ -164,7 +166,7 @@
 	return batch.messages()
 }
 
-// requestRefill adds what the pot needs of the keeper whose turn it is.
+// requestRefill adds a want for the next allocator when the balance runs short.
 func (w *Wallet) requestRefill(now time.Time, v *bbmember.View, bal *Balance, batch *requestBatch) {
 	r := &bal.refill
 	short := r.waitingTotal > 0 && bal.Free() < r.smallestWait
@@ -193,8 +195,9 @@
 	r.nextIndex++
 }
 
-// HandleGrant takes the answer of a keeper of that failure domain. It returns what
-// tells a keeper that goes on granting under a closed holder.
+// HandleGrant handles the answer of an allocator of that failure domain. It returns
+// messages to send: answers to recalls, and a repeated surrender to an allocator
+// that still grants under a surrendered holder.
 func (w *Wallet) HandleGrant(now time.Time, domain bbunit.DomainID, t *bbwire.GrantTell) []Send {
 	var out []Send
 	for _, s := range t.Slices {
@@ -232,8 +235,8 @@
 	return out
 }
 
-// Surrender stops the use of what a holder granted, for good, and accounts for
-// it. What open requests still have reserved is neither spent nor returned.
+// Surrender gives up the slices of a holder for good and reports on them. Tokens
+// that open requests have reserved are neither spent nor returned yet.
 func (w *Wallet) Surrender(h bbunit.HolderID) *bbwire.SurrenderTell {
 	w.closedHolders[h] = true
 	tell := &bbwire.SurrenderTell{Holder: string(h)}
@@ -249,10 +252,10 @@
 	return tell
 }
 
-// Drain makes the purse return all that is free from now on.
+// Drain makes the wallet return all free tokens from now on and request none.
 func (w *Wallet) Drain() { w.draining = true }
 
-// Drained tells whether no slice has anything left.
+// Drained reports whether no slice has tokens left.
 func (w *Wallet) Drained() bool {
 	for _, bal := range w.Balances() {
 		for _, s := range bal.slices {
@@ -264,7 +267,7 @@
 	return true
 }
 
-// Slices returns all slices of the purse, for operators.
+// Slices returns all slices of the wallet, for operators.
 func (w *Wallet) Slices() []*bbwire.Slice {
 	var out []*bbwire.Slice
 	for _, bal := range w.Balances() {
@@ -275,12 +278,13 @@
 	return out
 }
 
-// requestBatch gathers one message for each instance that is written to.
+// requestBatch collects reports and wants into one message per instance.
 type requestBatch struct {
 	self       Peer
 	byInstance map[bbunit.InstanceID]*bbwire.GrantAsk
 }
 
+// request returns the message to an instance, adding an empty one if there is none.
 func (r *requestBatch) request(to bbunit.InstanceID) *bbwire.GrantAsk {
 	if r.byInstance[to] == nil {
 		r.byInstance[to] = &bbwire.GrantAsk{}
@@ -288,8 +292,8 @@
 	return r.byInstance[to]
 }
 
-// addReport adds the slices that changed, or all of them, each to the instance
-// that holds it.
+// addReport adds the changed slices of a balance, or all of them, each to the
+// message for the instance that granted it.
 func (r *requestBatch) addReport(bal *Balance, all bool) {
 	for _, s := range bal.slices {
 		if s.unreported || all {
@@ -300,7 +304,8 @@
 	}
 }
 
-// addWant adds a want, with all slices of that budget that the keeper holds.
+// addWant adds a want together with all slices of the budget that the allocator
+// granted.
 func (r *requestBatch) addWant(allocator bbmember.Member, bal *Balance, want *bbwire.Want) {
 	m := r.request(allocator.ID)
 	for _, s := range bal.slices {
@@ -312,6 +317,7 @@
 	m.Wants = append(m.Wants, want)
 }
 
+// messages returns the batch in the order of the instances.
 func (r *requestBatch) messages() []Send {
 	out := make([]Send, 0, len(r.byInstance))
 	for id, m := range r.byInstance {
--- a/shared/bbledger/witness.go
+++ b/shared/bbledger/witness.go
@@ -7,24 +7,27 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Witness remembers, for holders of other instances, the most that each of
-// their grantees may have. Once frozen, a holder's marks never rise again. The
-// zero value is ready.
+// Witness stores the marks of holders of other instances: the most that each of
+// their grantees may hold. A frozen holder's marks never change again. The zero
+// value is ready to use.
 type Witness struct {
 	holders map[bbunit.HolderID]*holderMarks
 }
 
+// holderMarks are the marks of one holder.
 type holderMarks struct {
-	marked bool
+	marked bool // a mark was received before the freeze
 	frozen bool
 	marks  map[sliceKey]*bbwire.Slice
 }
 
+// sliceKey identifies a slice among those of one holder.
 type sliceKey struct {
 	budget  string
 	grantee string
 }
 
+// ensure returns the holder's marks, adding an empty record if there is none.
 func (w *Witness) ensure(h bbunit.HolderID) *holderMarks {
 	if w.holders == nil {
 		w.holders = map[bbunit.HolderID]*holderMarks{}
@@ -37,7 +40,7 @@
 	return t
 }
 
-// Mark raises the marks of a holder and acknowledges them, unless it is frozen.
+// Mark raises the marks of a holder, unless it is frozen, and returns the answer.
 func (w *Witness) Mark(m *bbwire.Mark) *bbwire.MarkAck {
 	t := w.ensure(bbunit.HolderID(m.Holder))
 	ack := &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq, Frozen: t.frozen}
@@ -57,8 +60,8 @@
 	return ack
 }
 
-// Freeze promises that no mark of the holder is taken any more, also when the
-// holder was never heard of, and returns the last ones.
+// Freeze refuses all further marks of the holder, even of an unknown one, and
+// returns the last ones.
 func (w *Witness) Freeze(f *bbwire.Freeze) *bbwire.FreezeTell {
 	t := w.ensure(bbunit.HolderID(f.Holder))
 	t.frozen = true
@@ -77,6 +80,7 @@
 	old.Returned = max(old.Returned, s.Returned)
 }
 
+// sortSlices sorts by budget, holder and grantee.
 func sortSlices(s []*bbwire.Slice) {
 	sort.Slice(s, func(i, j int) bool {
 		if s[i].Budget != s[j].Budget {
