--- a/shared/bbledger/allocator_test.go
+++ b/shared/bbledger/allocator_test.go
@@ -13,7 +13,7 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// fixture is one keeper whose every message and store call the test answers.
+// fixture runs one Allocator; the test answers all its messages and store calls.
 type fixture struct {
 	is      *is.I
 	al      *Allocator
@@ -35,7 +35,8 @@
 	return bbmember.Member{ID: p.ID, Inc: p.Inc, Domain: d}
 }
 
-// newFixture returns a keeper that is home, with one possible witness.
+// newFixture returns an allocator on the page's home, with witness1 as the only
+// possible witness and a paid amount of 100.
 func newFixture(t *testing.T) *fixture {
 	self := memberOf(selfPeer, "d")
 	var n uint64
@@ -53,7 +54,7 @@
 	f.handle(Tick{View: f.view, State: (&bbticket.State{}).Apply(bbticket.Ticket{Number: 1, Budgets: []bbticket.Budget{{ID: "b", Paid: 100}}})})
 }
 
-// request asks for an amount for the grantee, who knows of granted so far.
+// request sends a want of the grantee, which has received granted so far.
 func (f *fixture) request(amount, granted int64) {
 	ask := &bbwire.GrantAsk{Wants: []*bbwire.Want{{Budget: "b", Amount: amount, Least: amount}}}
 	if granted > 0 {
@@ -62,7 +63,8 @@
 	f.handle(GrantRequested{From: granteePeer, Msg: ask})
 }
 
-// takeAction returns the last action of type T, and forgets it with all before it.
+// takeAction returns the last action or message of type T and removes it together
+// with all earlier ones.
 func takeAction[T any](f *fixture) (T, bool) {
 	for i := len(f.actions) - 1; i >= 0; i-- {
 		if a, ok := f.actions[i].(T); ok {
@@ -80,6 +82,7 @@
 	return none, false
 }
 
+// requireAction is takeAction, but fails the test when there is none.
 func requireAction[T any](f *fixture) T {
 	a, ok := takeAction[T](f)
 	if !ok {
@@ -89,7 +92,7 @@
 	return a
 }
 
-func (f *fixture) notTaken(ok bool) {
+func (f *fixture) requireNone(ok bool) {
 	f.is.Helper()
 	f.is.True(!ok) // the action must not be taken
 }
@@ -110,7 +113,8 @@
 	f.handle(MarkAcked{From: from, Msg: &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq}})
 }
 
-// grantedFixture returns a rig whose grantee has been granted 10 under witness w1.
+// grantedFixture returns a fixture whose grantee has been granted 10, acknowledged by
+// witness1.
 func grantedFixture(t *testing.T) *fixture {
 	f := newFixture(t)
 	f.request(10, 0)
@@ -138,14 +142,14 @@
 		ack  *bbwire.MarkAck
 	}{
 		{"another peer", witness2, &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq}},
-		{"another life of the witness", Peer{witness1.ID, 2}, &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq}},
+		{"another incarnation of the witness", Peer{witness1.ID, 2}, &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq}},
 		{"another mark", witness1, &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq + 1}},
 		{"another holder", witness1, &bbwire.MarkAck{Holder: "x", Seq: m.Seq}},
 	} {
 		f.handle(MarkAcked{From: c.from, Msg: c.ack})
 		_, ok := takeAction[*bbwire.GrantTell](f)
 		if ok {
-			t.Errorf("granted on the word of %s", c.name)
+			t.Errorf("granted on an acknowledgement of %s", c.name)
 		}
 	}
 	f.ackMark(witness1, m)
@@ -161,7 +165,7 @@
 	f.handle(MarkAcked{From: witness1, Msg: &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq, Frozen: true}})
 	f.is.True(f.al.Holder() != old)
 	_, ok := takeAction[*bbwire.GrantTell](f)
-	f.notTaken(ok)
+	f.requireNone(ok)
 }
 
 func TestAllocatorChangesItsWitness(t *testing.T) {
@@ -172,19 +176,19 @@
 	f.view = &bbmember.View{Self: f.view.Self, Members: append(f.view.Members[:1:1], memberOf(witness2, "d"), memberOf(granteePeer, "e"))}
 	f.tick(TickInterval)
 	carried := requireAction[*bbwire.Mark](f)
-	f.is.True(carried.Slices[0].Granted >= 20) // all that the old one may have acknowledged
+	f.is.True(carried.Slices[0].Granted >= 20) // all that the old witness may have acknowledged
 	f.ackMark(witness1, before)
 	_, ok := takeAction[*bbwire.GrantTell](f)
-	f.notTaken(ok) // the move has begun
+	f.requireNone(ok) // the change has begun
 	_, ok = takeAction[Save](f)
-	f.notTaken(ok) // the new one does not have the marks yet
+	f.requireNone(ok) // the new witness does not have the marks yet
 	f.ackMark(witness2, carried)
 	a := requireAction[Save](f)
 	f.is.Equal(findHolder(findEntry(a.Page, "b"), f.al.Holder()).Witness, witness2.String())
 	f.ackMark(witness1, before)
 	f.ackMark(witness2, carried)
 	_, ok = takeAction[*bbwire.GrantTell](f)
-	f.notTaken(ok) // the outcome of the move is not read yet
+	f.requireNone(ok) // the outcome of the change is not read yet
 	f.page, f.rev = clonePage(a.Page), f.rev+1
 	f.handle(Saved{Err: bbstore.ErrUnknown})
 	f.ackMark(witness1, before)
@@ -199,11 +203,11 @@
 	late := requireAction[Save](f)
 	f.handle(Saved{Err: bbstore.ErrUnknown})
 	f.tick(minBackoff)
-	f.answerLoad() // not landed yet
+	f.answerLoad() // the write has not taken effect yet
 	again := requireAction[Save](f)
 	f.is.Equal(again.Prev, late.Prev)
 	_, ok := takeAction[*bbwire.Mark](f)
-	f.notTaken(ok) // nothing may be handed out of it
+	f.requireNone(ok) // the uncertain draw must not be granted
 	f.page, f.rev = clonePage(late.Page), f.rev+1
 	f.handle(Saved{Err: bbstore.ErrConflict})
 	f.answerLoad()
@@ -231,11 +235,11 @@
 	}
 	f.handle(Saved{Err: bbstore.ErrUnknown})
 	f.tick(minBackoff)
-	f.answerLoad() // not landed, and it still may
+	f.answerLoad() // the write has not taken effect, but still may
 	f.actions = nil
 	f.request(10, 10)
 	_, ok := takeAction[*bbwire.Mark](f)
-	f.notTaken(ok) // the old amount may be gone at any moment
+	f.requireNone(ok) // the larger draw may be lowered at any moment
 }
 
 func TestAllocatorReusesReturnsOnceTheWitnessAcknowledged(t *testing.T) {
@@ -257,7 +261,7 @@
 	requireAction[Save](f)
 	old := f.al.Holder()
 	f.handle(Saved{Err: bbstore.ErrUnknown})
-	f.rev += 2 // it landed, and another keeper closed it
+	f.rev += 2 // it took effect, and another allocator closed the holder
 	f.tick(minBackoff)
 	f.answerLoad()
 	f.is.True(f.al.Holder() != old)
@@ -275,7 +279,7 @@
 	f.now = f.now.Add(time.Second)
 	f.request(1000, 10)
 	_, ok := takeAction[*bbwire.GrantTell](f)
-	f.notTaken(ok)
+	f.requireNone(ok)
 	f.answerLoad()
 	f.is.Equal(requireAction[*bbwire.GrantTell](f).Empty, []string{"b"})
 }
@@ -297,8 +301,8 @@
 	}
 }
 
-// closingFixture returns a rig that closes a dead holder with witness w1 and a mark of
-// 30 for the grantee, out of 50 drawn.
+// closingFixture returns a fixture that closes a dead holder with 50 drawn, and the
+// grantee's final report. answerFreeze gives the grantee's mark, 30.
 func closingFixture(t *testing.T) (*fixture, *bbwire.SurrenderTell) {
 	f := newFixture(t)
 	f.page = &bbwire.Page{Entries: []*bbwire.Entry{{Budget: "b", Paid: 100, Number: 1, Holders: []*bbwire.Holder{
@@ -315,7 +319,7 @@
 	}}
 }
 
-func (f *fixture) handleFrozen(from Peer) {
+func (f *fixture) answerFreeze(from Peer) {
 	f.handle(Frozen{From: from, Msg: &bbwire.FreezeTell{Holder: "x/7/0-1", Known: true, Slices: []*bbwire.Slice{
 		{Budget: "b", Holder: "x/7/0-1", Grantee: granteePeer.String(), Granted: 30},
 	}}})
@@ -323,11 +327,11 @@
 
 func TestCloserSettlesWhatTheGranteeSpent(t *testing.T) {
 	f, final := closingFixture(t)
-	f.handleFrozen(witness2)
-	f.handleFrozen(Peer{witness1.ID, 2})
+	f.answerFreeze(witness2)
+	f.answerFreeze(Peer{witness1.ID, 2})
 	_, ok := takeAction[*bbwire.Surrender](f)
-	f.notTaken(ok) // only the witness that the page names may promise
-	f.handleFrozen(witness1)
+	f.requireNone(ok) // only the witness named on the page counts
+	f.answerFreeze(witness1)
 	requireAction[*bbwire.Surrender](f)
 	f.handle(Surrendered{From: granteePeer, Msg: final})
 	f.answerSave()
@@ -338,7 +342,7 @@
 
 func TestCloserCountsASilentGranteeAsStuckUntilItAnswers(t *testing.T) {
 	f, final := closingFixture(t)
-	f.handleFrozen(witness1)
+	f.answerFreeze(witness1)
 	f.tick(surrenderTimeout)
 	f.answerSave()
 	e := findEntry(f.page, "b")
@@ -354,12 +358,12 @@
 	f.is.Equal(len(e.Stuck), 0)
 	f.handle(Surrendered{From: granteePeer, Msg: final})
 	_, ok := takeAction[Save](f)
-	f.notTaken(ok) // once
+	f.requireNone(ok) // already settled
 }
 
 func TestCloserRestartsWhenTheHolderChangedItsWitness(t *testing.T) {
 	f, final := closingFixture(t)
-	f.handleFrozen(witness1)
+	f.answerFreeze(witness1)
 	h := findEntry(f.page, "b").Holders[0]
 	h.Witness, h.Drawn = witness2.String(), 60
 	f.rev++
@@ -368,7 +372,7 @@
 	f.handle(Saved{Err: bbstore.ErrConflict})
 	f.answerLoad()
 	_, ok := takeAction[Save](f)
-	f.notTaken(ok) // the marks that count are with another witness
+	f.requireNone(ok) // the valid marks are with another witness
 	f.view = &bbmember.View{Self: f.view.Self, Members: append(f.view.Members[:len(f.view.Members):len(f.view.Members)], memberOf(witness2, "d"))}
 	f.tick(TickInterval)
 	f.tick(resendInterval)
@@ -382,7 +386,7 @@
 		f.tick(time.Second)
 	}
 	_, ok := takeAction[Save](f)
-	f.notTaken(ok)
+	f.requireNone(ok)
 	f.is.Equal(f.al.Status().Lost, []bbunit.HolderID{"x/7/0-1"})
 }
 
@@ -391,7 +395,7 @@
 	h := f.al.Holder()
 	f.handle(GrantRequested{From: granteePeer, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{{Budget: "b", Holder: string(h), Grantee: granteePeer.String(), Granted: 10, Spent: 4, Returned: 1}}}})
 	f.ackMark(witness1, requireAction[*bbwire.Mark](f))
-	taken := Charged(findEntry(f.page, "b"))
+	charged := Charged(findEntry(f.page, "b"))
 	all := f.view
 	f.view = &bbmember.View{Self: all.Self, Members: all.Members[:2]}
 	f.tick(TickInterval)
@@ -401,12 +405,12 @@
 	f.tick(stuckDelay)
 	f.answerSave()
 	e := findEntry(f.page, "b")
-	f.is.True(Charged(e) >= taken) // nothing comes back by time
+	f.is.True(Charged(e) >= charged) // tokens are never freed by time alone
 	f.is.Equal(StatusOf(e).Stuck, bbunit.Tokens(5))
 	f.is.Equal(StatusOf(e).Spent, bbunit.Tokens(4))
 	f.tick(TickInterval)
 
-	// It was only cut off: it accounts for the slice, and gets a new one.
+	// The grantee was only unreachable: it accounts for its slice and gets a new one.
 	f.view = all
 	final := &bbwire.SurrenderTell{Holder: string(h), Slices: []*bbwire.Slice{{Budget: "b", Holder: string(h), Grantee: granteePeer.String(), Granted: 10, Spent: 7, Returned: 3}}}
 	f.request(10, 10)
@@ -437,11 +441,11 @@
 	f.handle(Refresh{})
 	f.answerLoad()
 	before := Charged(e)
-	f.handleFrozen(witness1)
+	f.answerFreeze(witness1)
 	f.tick(surrenderTimeout)
 	f.answerSave()
 	e = findEntry(f.page, "b")
-	f.is.Equal(Charged(e), before-20) // the holder's own 20, which nobody had
+	f.is.Equal(Charged(e), before-20) // the holder's own 20, which were not granted
 	f.is.Equal(StatusOf(e).Stuck, bbunit.Tokens(20))
 }
 
@@ -461,13 +465,13 @@
 	e = findEntry(f.page, "b")
 	f.is.Equal(e.Settled, int64(25))
 	f.is.Equal(StatusOf(e).Stuck, bbunit.Tokens(0))
-	f.handleFrozen(witness1)
+	f.answerFreeze(witness1)
 	f.tick(surrenderTimeout)
 	f.answerSave()
 	e = findEntry(f.page, "b")
 	f.is.Equal(e.Settled, int64(25))
 	f.is.Equal(Charged(e), bbunit.Tokens(25))
-	f.is.Equal(len(e.Stuck), 0) // what stood for the grantee goes with the holder
+	f.is.Equal(len(e.Stuck), 0) // the amount of 0 is dropped together with the holder
 }
 
 func TestCloserIgnoresReportsAboveTheMark(t *testing.T) {
@@ -475,28 +479,28 @@
 		{Spent: 31}, {Returned: 31}, {Spent: 20, Returned: 20}, {Spent: -5}, {Returned: -5},
 	} {
 		f, _ := closingFixture(t)
-		f.handleFrozen(witness1)
+		f.answerFreeze(witness1)
 		s.Budget, s.Holder, s.Grantee = "b", "x/7/0-1", granteePeer.String()
 		f.handle(GrantRequested{From: granteePeer, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{s}}})
 		f.tick(surrenderTimeout)
 		f.answerSave()
 		e := findEntry(f.page, "b")
-		f.is.Equal(Charged(e), bbunit.Tokens(30)) // the mark, whatever was reported
+		f.is.Equal(Charged(e), bbunit.Tokens(30)) // the mark, regardless of the report
 	}
 }
 
-// TestAllocatorClosedIgnoresHoldersOfOthers: a retired keeper does not wait for the
-// holder of another instance that cannot be closed, since its witness is gone
-// too.
+// TestAllocatorClosedIgnoresHoldersOfOthers: a retired allocator must not wait for
+// the holder of another instance, which cannot be closed while its witness is gone.
+// Otherwise the instance would not finish draining.
 func TestAllocatorClosedIgnoresHoldersOfOthers(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
 	f.al.closings["gone/1/1"] = &holderClosing{holder: "gone/1/1", finalReports: map[Peer][]*bbwire.Slice{}}
 	f.handle(Retire{})
 	is.True(f.al.closings["gone/1/1"] != nil)
-	for id, j := range f.al.closings {
-		if j.own {
-			delete(f.al.closings, id) // as when the page has been written
+	for id, c := range f.al.closings {
+		if c.own {
+			delete(f.al.closings, id) // as after the page was written
 		}
 	}
 	f.al.callInFlight, f.al.writeUncertain = false, false
--- a/shared/bbledger/bench_test.go
+++ b/shared/bbledger/bench_test.go
@@ -10,16 +10,16 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// BenchmarkReserve is the budget decision of a request: reserve and end.
+// BenchmarkReserve measures the budget decision of a request: Reserve and Commit.
 func BenchmarkReserve(b *testing.B) {
-	p := NewWallet(bbmember.Member{ID: "g", Inc: 1, Domain: "e"}, simPolicy)
-	p.HandleGrant(time.Unix(1000, 0), "d", grantMessage("k/1/0-1", int64(MaxPaid)))
+	w := NewWallet(bbmember.Member{ID: "g", Inc: 1, Domain: "e"}, simPolicy)
+	w.HandleGrant(time.Unix(1000, 0), "d", grantMessage("k/1/0-1", int64(MaxPaid)))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			bal := p.Balance("b")
+			bal := w.Balance("b")
 			if !bal.Reserve(10) {
-				b.Error("no share")
+				b.Error("nothing free to reserve")
 				return
 			}
 			bal.Commit(10, 0)
@@ -27,18 +27,18 @@
 	})
 }
 
-// loadGen is a stream of requests against a sim.
+// loadGen sends a stream of requests to a sim.
 type loadGen struct {
 	s                 *sim
-	maxWait           time.Duration // longest wait for a share
+	maxWait           time.Duration // longest wait for tokens
 	duration          time.Duration // of a request
 	reserved          bbunit.Tokens
 	used              bbunit.Tokens
 	open              []loadRequest
 	done              int
 	refused           int
-	falselyRefused    int // refused while the budget had money that nobody had spent
-	refusedWithPlenty int // refused while that was a second's demand or more
+	falselyRefused    int // refused while enough of the budget was unspent
+	refusedWithPlenty int // refused while secondOfDemand or more was unspent
 }
 
 type loadRequest struct {
@@ -48,14 +48,15 @@
 	served   bool
 }
 
-// secondOfDemand is what the requests of a second may cost in TestBenchBaselines.
+// secondOfDemand is how many tokens the requests of a second reserve in
+// TestBenchBaselines.
 const secondOfDemand = 1200
 
-func newLoad(s *sim) *loadGen {
+func newLoadGen(s *sim) *loadGen {
 	return &loadGen{s: s, maxWait: 400 * time.Millisecond, duration: 200 * time.Millisecond, reserved: 10, used: 8}
 }
 
-// startRequest starts a request.
+// startRequest starts a request, unless the node is down.
 func (l *loadGen) startRequest(n *simNode, b bbunit.BudgetID) {
 	if n.dead || n.paused {
 		return
@@ -63,7 +64,7 @@
 	l.open = append(l.open, loadRequest{node: n, budget: b, deadline: l.s.now.Add(l.maxWait)})
 }
 
-// step reserves for waiting requests and ends those that have run.
+// step advances all open requests.
 func (l *loadGen) step() {
 	kept := l.open[:0]
 	for _, r := range l.open {
@@ -74,6 +75,8 @@
 	l.open = kept
 }
 
+// advanceRequest serves, ends or refuses a request. It reports whether the request is
+// still open.
 func (l *loadGen) advanceRequest(r *loadRequest) bool {
 	switch {
 	case r.node.dead || r.node.paused:
@@ -100,7 +103,7 @@
 	return true
 }
 
-// run runs for d, and offers perTick requests a tick, spread over instances
+// run runs the sim for d and starts perTick requests a tick, spread over instances
 // and budgets.
 func (l *loadGen) run(d time.Duration, perTick int, at func(time.Duration)) {
 	start, i := l.s.now, 0
@@ -139,15 +142,15 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// logRow prints a line of a table in the first round of a benchmark.
+// logRow logs a row of a table in the first round of a benchmark.
 func logRow(t testing.TB, round int, format string, args ...any) {
 	if round == 0 {
 		t.Logf(format, args...)
 	}
 }
 
-// BenchmarkWrites counts key-value calls as instances, budgets of one page and
-// failure domains grow.
+// BenchmarkWrites counts store calls by the number of instances, budgets of one page
+// and failure domains.
 func BenchmarkWrites(b *testing.B) {
 	for _, c := range []struct {
 		what  string
@@ -166,14 +169,14 @@
 	}
 }
 
-// BenchmarkStuckAtKill shows what is stuck after an instance was killed.
+// BenchmarkStuckAtKill logs how much is stuck after an instance was killed.
 func BenchmarkStuckAtKill(b *testing.B) {
 	for i := 0; b.Loop(); i++ {
 		stuckAtKill(b, i)
 	}
 }
 
-// BenchmarkBaselines compares shares with a central counter and time leases.
+// BenchmarkBaselines compares the ledger with a central counter and with time leases.
 func BenchmarkBaselines(b *testing.B) {
 	for i := 0; b.Loop(); i++ {
 		compareWithBaselines(b, i)
@@ -184,14 +187,14 @@
 
 func TestBenchBaselines(t *testing.T) { compareWithBaselines(t, 0) }
 
-// countWrites prints a row a size, and the slope.
+// countWrites logs the store calls for each size, and the slope.
 func countWrites(t testing.TB, round int, what string, sizes []int, build func(testing.TB, int) *sim) {
 	const perTick, span = 20, 20 * time.Second
 	var x, y []float64
 	logRow(t, round, "%-10s %10s %10s %10s %22s", what, "requests", "writes", "reads", "writes/1000 requests")
 	for _, n := range sizes {
 		s := build(t, n)
-		l := newLoad(s)
+		l := newLoadGen(s)
 		l.run(5*time.Second, perTick, nil)
 		done, writes, loads := l.done, s.writes, s.loads
 		l.run(span, perTick, nil)
@@ -213,10 +216,10 @@
 		{"fjarrgrav", Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}},
 		{"hraunberg", Policy{DrawHorizon: 2 * time.Second, UnwitnessedHorizon: 500 * time.Millisecond, GrantHorizon: 500 * time.Millisecond}},
 	} {
-		logRow(t, round, "%-10s %-8s %14s %14s %12s %12s", p.name, "killed", "drawn at kill", "a horizon's", "stuck after", "back after")
+		logRow(t, round, "%-10s %-8s %14s %14s %12s %12s", p.name, "killed", "drawn at kill", "limit", "stuck after", "closed after")
 		for i := range 3 {
 			s := benchSim(t, 2, 3, 1, p.policy)
-			l := newLoad(s)
+			l := newLoadGen(s)
 			l.run(20*time.Second, 6, nil)
 			b, n := s.budgets[0], s.nodes[i]
 			before := StatusOf(entryOrEmpty(s.page, b))
@@ -233,7 +236,7 @@
 			for range 200 {
 				l.run(TickInterval, 6, func(time.Duration) {
 					for _, x := range s.liveNodes() {
-						s.perform(x, x.keeper.Step(s.now, Refresh{}))
+						s.perform(x, x.allocator.Step(s.now, Refresh{}))
 					}
 				})
 				if back < 0 && !namesHolder(s.page, NewHolder(PeerOf(n.member), PageOf(b), 1)) {
@@ -246,21 +249,21 @@
 			limit := bbunit.Tokens(math.Ceil(rate * p.policy.DrawHorizon.Seconds()))
 			logRow(t, round, "%-10s %-8s %14d %14d %12d %12s", "", n.member.ID, held, limit, stuck, back)
 			if stuck > limit {
-				t.Errorf("%d stuck, a horizon is worth %d", stuck, limit)
+				t.Errorf("%d stuck, want at most a horizon's demand, %d", stuck, limit)
 			}
 		}
 	}
 }
 
-// baseline is a scheme that decides without shares.
+// baseline is a scheme that the ledger is compared with.
 type baseline struct {
-	paid, charged     bbunit.Tokens // taken: what the service counts
+	paid, charged     bbunit.Tokens // charged: what the service counts as used
 	spent             bbunit.Tokens
 	refused           int
 	falselyRefused    int
 	refusedWithPlenty int
 	leases            map[*simNode]*lease
-	writeBudget       float64 // writes that the service still takes
+	writeBudget       float64 // writes that the service still accepts
 	writes            int
 }
 
@@ -269,9 +272,9 @@
 	until time.Time
 }
 
-func (c *baseline) refuse(most bbunit.Tokens) {
+func (c *baseline) refuse(reserved bbunit.Tokens) {
 	c.refused++
-	if c.paid-c.spent >= most {
+	if c.paid-c.spent >= reserved {
 		c.falselyRefused++
 	}
 	if c.paid-c.spent >= secondOfDemand {
@@ -279,20 +282,20 @@
 	}
 }
 
-// spendCentrally is one call of the service for each request.
-func (c *baseline) spendCentrally(up bool, most, used bbunit.Tokens) {
+// spendCentrally spends with one call of the service for each request.
+func (c *baseline) spendCentrally(storeUp bool, reserved, used bbunit.Tokens) {
 	c.writes++
-	if c.writeBudget--; !up || c.writeBudget < 0 || c.paid-c.charged < most {
-		c.refuse(most)
+	if c.writeBudget--; !storeUp || c.writeBudget < 0 || c.paid-c.charged < reserved {
+		c.refuse(reserved)
 		return
 	}
 	c.charged += used
 	c.spent += used
 }
 
-// spendLeased spends from a share that the service takes back when its time is over.
-// A holder that was paused has checked its lease before, and spends after.
-func (c *baseline) spendLeased(n *simNode, now time.Time, up, resumed bool, most, used bbunit.Tokens) {
+// spendLeased spends from a lease that the service takes back after its TTL. An
+// instance that was paused after checking its lease spends from it all the same.
+func (c *baseline) spendLeased(n *simNode, now time.Time, storeUp, resumed bool, reserved, used bbunit.Tokens) {
 	const share, ttl = bbunit.Tokens(400), 2 * time.Second
 	l := c.leases[n]
 	if l == nil {
@@ -302,22 +305,22 @@
 	if now.After(l.until) && !resumed {
 		l.left = 0
 	}
-	if l.left < most && up {
+	if l.left < reserved && storeUp {
 		c.writes++
 		c.charged -= l.left
 		l.left = min(share, c.paid-c.charged)
 		c.charged += l.left
 		l.until = now.Add(ttl)
 	}
-	if l.left < most {
-		c.refuse(most)
+	if l.left < reserved {
+		c.refuse(reserved)
 		return
 	}
 	l.left -= used
 	c.spent += used
 }
 
-// reclaimExpired takes back, by time, the shares whose lease is over.
+// reclaimExpired takes back what is left of expired leases.
 func (c *baseline) reclaimExpired(now time.Time) {
 	for _, l := range c.leases {
 		if now.After(l.until) && l.left > 0 && !l.until.IsZero() {
@@ -334,7 +337,7 @@
 	s := benchSim(t, 2, 3, 1, policy)
 	b := s.budgets[0]
 	s.setPaid(b, 40_000)
-	l := newLoad(s)
+	l := newLoadGen(s)
 	counter := &baseline{paid: 40_000}
 	leases := &baseline{paid: 40_000, leases: map[*simNode]*lease{}}
 	paused := s.nodes[1]
@@ -375,18 +378,18 @@
 	row("central counter", counter.paid, counter.spent, counter.refused, counter.falselyRefused, counter.refusedWithPlenty, counter.writes)
 	row("time leases", leases.paid, leases.spent, leases.refused, leases.falselyRefused, leases.refusedWithPlenty, leases.writes)
 	if spent > s.paid(b) {
-		t.Error("shares overspent")
+		t.Error("the ledger overspent")
 	}
 	if leases.spent <= leases.paid {
 		t.Error("time leases did not overspend under a pause")
 	}
 }
 
-// resumeAt is when the paused instance of the schedule goes on.
+// resumeAt is when the paused instance of scheduleFaults resumes.
 const resumeAt = 65 * time.Second
 
-// scheduleFaults puts the faults of the comparison in force: an outage of the service,
-// a cut of one failure domain from all, and a pause over the end of the budget.
+// scheduleFaults injects the faults of the comparison: an outage of the service, a
+// partition of one failure domain, and a pause of an instance while the budget ends.
 func scheduleFaults(s *sim, paused *simNode, at time.Duration) {
 	switch at {
 	case 10 * time.Second:
@@ -407,25 +410,25 @@
 	}
 }
 
-// BenchmarkDueMessages is one pass of the loop of an instance that holds 2,000 budgets,
-// in a fleet of 1,500, between two ticks with one budget short.
+// BenchmarkDueMessages measures one call between two ticks for an instance with 2,000
+// budgets, one of them short, in a fleet of 1,500.
 func BenchmarkDueMessages(b *testing.B) {
 	v := &bbmember.View{}
 	for i := range 1500 {
 		v.Members = append(v.Members, bbmember.Member{ID: bbunit.InstanceID(fmt.Sprintf("i%d", i)), Inc: 1, Domain: bbunit.DomainID(fmt.Sprintf("d%d", i%35))})
 	}
-	p := NewWallet(v.Members[0], simPolicy)
+	w := NewWallet(v.Members[0], simPolicy)
 	for i := range 2000 {
-		p.Balance(bbunit.BudgetID(fmt.Sprintf("b%d", i)))
+		w.Balance(bbunit.BudgetID(fmt.Sprintf("b%d", i)))
 	}
 	now := time.Unix(1000, 0)
-	p.DueMessages(now, v)
-	bal := p.Balance("b7")
-	p.AddWaiter(bal, 10)
+	w.DueMessages(now, v)
+	bal := w.Balance("b7")
+	w.AddWaiter(bal, 10)
 	for b.Loop() {
 		bal.refill.askedAt = time.Time{}
-		if len(p.DueMessages(now, v)) != 1 {
-			b.Fatal("no ask")
+		if len(w.DueMessages(now, v)) != 1 {
+			b.Fatal("no request sent")
 		}
 	}
 }
--- a/shared/bbledger/capacity_test.go
+++ b/shared/bbledger/capacity_test.go
@@ -11,14 +11,14 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// fullPage is a page of so many budgets, each drawn by so many holders.
+// fullPage returns a page with that many budgets, each drawn by that many holders.
 func fullPage(budgets, holders int) *bbwire.Page {
 	p := &bbwire.Page{}
 	for i := range budgets {
 		e := &bbwire.Entry{Budget: fmt.Sprintf("budget-%06d", i), Paid: 1 << 40, Number: 40000, Settled: 1 << 30}
 		for h := range holders {
 			e.Holders = append(e.Holders, &bbwire.Holder{
-				Holder: fmt.Sprintf("keeper-%04d/0123456789abcdef/7-17", h*40), Instance: fmt.Sprintf("keeper-%04d", h*40),
+				Holder: fmt.Sprintf("holder-%04d/0123456789abcdef/7-17", h*40), Instance: fmt.Sprintf("holder-%04d", h*40),
 				Domain: fmt.Sprintf("domain-%02d", h), Drawn: 1 << 30, Spent: 1 << 29, Seq: 4000, Witness: fmt.Sprintf("instance-%04d/0123456789abcdef", h*40+1),
 			})
 		}
@@ -27,8 +27,8 @@
 	return p
 }
 
-// BenchmarkCapacityPage is the size of a page and the time to read, copy and
-// write it, by how many failure domains hold each of its budgets.
+// BenchmarkCapacityPage measures the size of a page and the time to decode, copy and
+// encode it, by the number of failure domains that draw from each budget.
 func BenchmarkCapacityPage(b *testing.B) {
 	for _, holders := range []int{1, 4, 8, 16, 35} {
 		b.Run(fmt.Sprintf("budgets=391/holders=%d", holders), func(b *testing.B) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// fullAllocator is a keeper that holds every budget of a full page, of which so
-// many instances have slices.
+// fullAllocator returns an allocator that draws from every budget of a full page and
+// has granted slices of each to that many instances.
 func fullAllocator(b *testing.B, budgets, holders, grantees int) (*Allocator, time.Time) {
 	now := time.Unix(1000, 0)
 	view := &bbmember.View{}
@@ -74,7 +74,7 @@
 	al.maybeOnPage = true
 	al.Step(now, Loaded{Page: p, Rev: 5})
 	if !al.onPage || al.callInFlight {
-		b.Fatal("the keeper does not hold its page")
+		b.Fatal("the allocator is not on its page")
 	}
 	for _, a := range al.allocations {
 		for g := range grantees {
@@ -84,8 +84,8 @@
 	return al, now
 }
 
-// BenchmarkCapacityTick is what a keeper's tick costs when nothing is to be
-// done, by the size of its page and the instances that have slices of it.
+// BenchmarkCapacityTick measures an allocator's Tick when there is nothing to do, by
+// the size of its page and the number of grantees.
 func BenchmarkCapacityTick(b *testing.B) {
 	for _, c := range []struct{ holders, grantees int }{{1, 2}, {8, 8}, {35, 43}} {
 		b.Run(fmt.Sprintf("budgets=391/holders=%d/grantees=%d", c.holders, c.grantees), func(b *testing.B) {
@@ -95,7 +95,7 @@
 			for range b.N {
 				now = now.Add(TickInterval)
 				for _, a := range al.allocations {
-					a.surplusSince = now // surplus is not given back here
+					a.surplusSince = now // keeps surplus from being returned
 				}
 				if out := al.Step(now, Tick{}); len(out) > 0 && b.N > 1 {
 					al.callInFlight, al.backoff = false, 0
--- a/shared/bbledger/exhaustion_test.go
+++ b/shared/bbledger/exhaustion_test.go
@@ -7,8 +7,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// exhaustionLoad is a stream of requests over the end of a budget: each reserves much
-// more than it uses, so that the last money lies in fragments.
+// exhaustionLoad is a stream of requests that exhausts a budget. Each request reserves
+// much more than it uses, so that the last tokens are spread in small amounts.
 type exhaustionLoad struct {
 	s        *sim
 	reserved bbunit.Tokens
@@ -17,10 +17,10 @@
 	open     []*exhaustionRequest
 
 	done                int
-	refusedBudget       int           // refused for good
-	refusedShare        int           // refused for now
-	falselyRefused      int           // refused for good while the budget had enough for the request
-	maxUnspentAtRefusal bbunit.Tokens // the most that was unspent at such a refusal
+	refusedBudget       int           // refused because the budget is exhausted
+	refusedShare        int           // refused after maxWait
+	falselyRefused      int           // refused as exhausted while the budget had enough for the request
+	maxUnspentAtRefusal bbunit.Tokens // largest unspent amount at a false refusal
 }
 
 type exhaustionRequest struct {
@@ -31,10 +31,10 @@
 	served   bool
 }
 
-func (l *exhaustionLoad) startRequest(n *simNode, b bbunit.BudgetID, lasts time.Duration) {
-	r := &exhaustionRequest{node: n, bal: n.purse.Balance(b), deadline: l.s.now.Add(l.maxWait), duration: lasts}
+func (l *exhaustionLoad) startRequest(n *simNode, b bbunit.BudgetID, duration time.Duration) {
+	r := &exhaustionRequest{node: n, bal: n.wallet.Balance(b), deadline: l.s.now.Add(l.maxWait), duration: duration}
 	if !l.reserve(r) {
-		n.purse.AddWaiter(r.bal, l.reserved)
+		n.wallet.AddWaiter(r.bal, l.reserved)
 	}
 	l.open = append(l.open, r)
 }
@@ -48,7 +48,7 @@
 	return true
 }
 
-// step lets requests end, be served or be refused.
+// step advances all open requests.
 func (l *exhaustionLoad) step() {
 	kept := l.open[:0]
 	for _, r := range l.open {
@@ -59,6 +59,8 @@
 	l.open = kept
 }
 
+// advanceRequest serves, ends or refuses a request. It reports whether the request is
+// over.
 func (l *exhaustionLoad) advanceRequest(r *exhaustionRequest) bool {
 	now := l.s.now
 	if r.served {
@@ -70,11 +72,11 @@
 		return true
 	}
 	if l.reserve(r) {
-		r.node.purse.RemoveWaiter(r.bal, l.reserved)
+		r.node.wallet.RemoveWaiter(r.bal, l.reserved)
 		return false
 	}
 	switch {
-	case r.node.purse.Exhausted(now, r.node.view, r.bal, l.reserved):
+	case r.node.wallet.Exhausted(now, r.node.view, r.bal, l.reserved):
 		l.refusedBudget++
 		if left := l.s.paid(r.bal.Budget) - l.s.spent[r.bal.Budget]; left >= l.reserved {
 			l.falselyRefused++
@@ -85,11 +87,11 @@
 	default:
 		return false
 	}
-	r.node.purse.RemoveWaiter(r.bal, l.reserved)
+	r.node.wallet.RemoveWaiter(r.bal, l.reserved)
 	return true
 }
 
-// runExhaustion offers requests of one budget until it is long spent.
+// runExhaustion sends requests on one budget until well after it is spent.
 func runExhaustion(t testing.TB, domains, instancesPerDomain int, policy Policy, duration time.Duration) *exhaustionLoad {
 	s := newSim(domains, instancesPerDomain, policy, t.Fatalf)
 	b := s.budgets[0]
@@ -105,28 +107,28 @@
 			s.runUntilQuiet()
 			l.step()
 			for _, n := range s.liveNodes() {
-				s.sendAll(n, n.purse.DueMessages(s.now, n.view))
+				s.sendAll(n, n.wallet.DueMessages(s.now, n.view))
 			}
 		}
 	})
-	t.Logf("%d domains of %d, requests of %s: %d done, refused for good %d, of them falsely %d with up to %d unspent, for now %d, %d unspent at the end, %d writes",
+	t.Logf("%d domains of %d, requests of %s: %d done, refused as exhausted %d, of them falsely %d with up to %d unspent, after the wait %d, %d unspent at the end, %d writes",
 		domains, instancesPerDomain, duration, l.done, l.refusedBudget, l.falselyRefused, l.maxUnspentAtRefusal, l.refusedShare, s.paid(b)-s.spent[b], s.writes)
 	return l
 }
 
 func TestExhaustionSpendsFragmentsAndRefusesNoneFalsely(t *testing.T) {
 	for _, c := range []struct {
-		lasts time.Duration
-		done  int // 93 leave less than a request needs
+		duration time.Duration
+		done     int // after 93 the rest is less than a request reserves
 	}{
 		{20 * time.Millisecond, 93},
 		{200 * time.Millisecond, 93},
-		{time.Second, 80}, // the stream ends before the budget
+		{time.Second, 80}, // the stream ends before the budget is spent
 	} {
 		for _, shape := range [][2]int{{1, 2}, {1, 4}, {2, 2}, {3, 2}} {
-			l := runExhaustion(t, shape[0], shape[1], Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}, c.lasts)
+			l := runExhaustion(t, shape[0], shape[1], Policy{DrawHorizon: 10 * time.Second, UnwitnessedHorizon: 2 * time.Second, GrantHorizon: 2 * time.Second, Borrow: true}, c.duration)
 			if l.falselyRefused > 0 || l.done < c.done {
-				t.Errorf("%v of %v: %d done, want %d; %d refused falsely", shape, c.lasts, l.done, c.done, l.falselyRefused)
+				t.Errorf("%v of %v: %d done, want %d; %d refused falsely", shape, c.duration, l.done, c.done, l.falselyRefused)
 			}
 		}
 	}
--- a/shared/bbledger/operator_test.go
+++ b/shared/bbledger/operator_test.go
@@ -50,15 +50,15 @@
 		err    error
 	}{
 		{"lowers", 60, 4, "n", nil},
-		{"to what is taken", 55, 4, "n", nil},
-		{"below what is taken", 54, 4, "n", ErrBelowDrawn},
+		{"to what is charged", 55, 4, "n", nil},
+		{"below what is charged", 54, 4, "n", ErrBelowDrawn},
 		{"negative", -1, 4, "n", ErrAmountRange},
 		{"too large", MaxPaid + 1, 4, "n", ErrAmountRange},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			m := operatorStore(t)
-			m.SetFaults(bbstore.Faults{LoseNext: 1}) // repeating it changes nothing
+			m.SetFaults(bbstore.Faults{LoseNext: 1}) // the first answer is lost, so the write is repeated
 			err := Cap(ctx, m, "b", c.paid, c.number, c.nonce)
 			is.True(errors.Is(err, c.err))
 			s := budgetB(t, m)
@@ -79,7 +79,7 @@
 	is.NoErr(Cap(ctx, m, "b", 60, 4, "one"))
 	is.True(errors.Is(Cap(ctx, m, "b", 70, 4, "two"), ErrCapped))
 	is.NoErr(Uncap(ctx, m, "b", 4, "two"))
-	is.Equal(budgetB(t, m).Cap, bbunit.Tokens(60)) // another's nonce takes nothing back
+	is.Equal(budgetB(t, m).Cap, bbunit.Tokens(60)) // another nonce removes nothing
 	is.NoErr(Cap(ctx, m, "b", 90, 5, "three"))
 	is.Equal(budgetB(t, m).Cap, bbunit.Tokens(60)) // ticket 4 may have been accepted
 	is.NoErr(Uncap(ctx, m, "b", 5, "three"))
@@ -93,8 +93,8 @@
 	_, err := Release(ctx, m, "b", "x")
 	is.True(errors.Is(err, ErrNoHolder))
 	for _, c := range []struct{ back, settled, rest bbunit.Tokens }{
-		{5, 20, 50},  // what is stuck with the grantee
-		{20, 30, 70}, // what the holder has drawn and not reported as spent
+		{5, 20, 50},  // the grantee's stuck amount
+		{20, 30, 70}, // what the holder has drawn beyond its reported spending
 	} {
 		m.SetFaults(bbstore.Faults{LoseNext: 1})
 		n, err := Release(ctx, m, "b", "k/1/0-1")
@@ -132,8 +132,8 @@
 		{"same", &bbwire.Entry{Paid: 100, Number: 3}, numbered(3, 150), 4, false, 100},
 		{"cap holds until its ticket", &bbwire.Entry{Paid: 100, Number: 3, Cap: 60, Capnumber: 5}, numbered(4, 150), 4, true, 60},
 		{"cap carried out", &bbwire.Entry{Paid: 100, Number: 3, Cap: 60, Capnumber: 5}, numbered(5, 60), 5, true, 60},
-		{"cap of a ticket that lost", &bbwire.Entry{Paid: 100, Number: 3, Cap: 60, Capnumber: 5}, numbered(3, 100), 5, true, 100},
-		{"absurd amount", &bbwire.Entry{Paid: 100, Number: 3}, numbered(4, -5), 4, true, 0},
+		{"cap of a ticket that was not accepted", &bbwire.Entry{Paid: 100, Number: 3, Cap: 60, Capnumber: 5}, numbered(3, 100), 5, true, 100},
+		{"negative amount", &bbwire.Entry{Paid: 100, Number: 3}, numbered(4, -5), 4, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -170,6 +170,6 @@
 	is.Equal(StatusOf(e).Stuck, bbunit.Tokens(12))
 	is.Equal(StatusOf(e).Spent, bbunit.Tokens(15))
 	is.Equal(dropStuck(e, "k/1/0-1", granteePeer), int64(12))
-	is.Equal(stuckKeys(e), []granteeKey{{"k/1/0-1", odd}}) // it is still waited for
+	is.Equal(stuckKeys(e), []granteeKey{{"k/1/0-1", odd}}) // the other grantee's amount stays
 	is.Equal(Charged(e), bbunit.Tokens(10))
 }
--- a/shared/bbledger/page_test.go
+++ b/shared/bbledger/page_test.go
@@ -10,8 +10,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// TestPageRoundTrip: a page comes back as it was, also with holders that differ
-// only in their witness, and a name that points nowhere is an error.
+// TestPageRoundTrip: encoding and decoding must preserve a page, also with holders
+// that differ only in their witness. A holder name out of range is an error.
 func TestPageRoundTrip(t *testing.T) {
 	is := is.New(t)
 	p := fullPage(5, 3)
@@ -21,7 +21,7 @@
 	was := clonePage(p)
 	v, err := EncodePage(p)
 	is.NoErr(err)
-	is.True(proto.Equal(p, was)) // encoding leaves the page alone
+	is.True(proto.Equal(p, was)) // encoding does not modify the page
 	got, err := DecodePage(v)
 	is.NoErr(err)
 	is.True(proto.Equal(got, was))
--- a/shared/bbledger/recall_test.go
+++ b/shared/bbledger/recall_test.go
@@ -11,7 +11,7 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// fullyGrantedFixture returns a rig whose grantee has 100, which is all that is paid.
+// fullyGrantedFixture returns a fixture whose grantee has the whole budget of 100.
 func fullyGrantedFixture(t *testing.T) *fixture {
 	f := newFixture(t)
 	f.request(100, 0)
@@ -22,11 +22,12 @@
 	return f
 }
 
-// otherRequests is a want of another grantee on a page that is fresh.
-func (f *fixture) otherRequests(urgent bool, least int64) {
+// requestAsOther sends a want of another grantee, with a recently read page.
+func (f *fixture) requestAsOther(urgent bool, least int64) {
 	f.requestAs(witness1, urgent, least)
 }
 
+// requestAs sends a want of a peer and answers a load of the page.
 func (f *fixture) requestAs(p Peer, urgent bool, least int64) {
 	f.handle(GrantRequested{From: p, Msg: &bbwire.GrantAsk{Wants: []*bbwire.Want{{Budget: "b", Amount: least, Least: least, Urgent: urgent}}}})
 	if _, ok := takeAction[Load](f); ok {
@@ -34,16 +35,16 @@
 	}
 }
 
-// report is what the rig's grantee reports.
+// report sends a report of the grantee.
 func (f *fixture) report(spent, returned int64) {
 	f.handle(GrantRequested{From: granteePeer, Msg: &bbwire.GrantAsk{Slices: []*bbwire.Slice{
 		{Budget: "b", Holder: string(f.al.Holder()), Grantee: granteePeer.String(), Granted: 100, Spent: spent, Returned: returned},
 	}}})
 }
 
-// untilEmpty answers the keeper until it says that the budget is empty; nil when it
-// does not.
-func (f *fixture) untilEmpty() *bbwire.GrantTell {
+// runUntilEmptyReply runs the allocator until it answers that the budget is empty.
+// It returns nil when it does not.
+func (f *fixture) runUntilEmptyReply() *bbwire.GrantTell {
 	for range 10 {
 		f.tick(TickInterval)
 		out := f.actions
@@ -99,7 +100,7 @@
 		}
 		f.report(c.spent, 0)
 		f.actions = nil
-		f.otherRequests(c.urgent, 50)
+		f.requestAsOther(c.urgent, 50)
 		if n := countRecalls(f.actions); n != c.want {
 			t.Errorf("%s: %d recalls, want %d", c.name, n, c.want)
 		}
@@ -110,19 +111,19 @@
 	f := fullyGrantedFixture(t)
 	writes := f.rev
 	f.actions = nil
-	f.otherRequests(true, 50)
+	f.requestAsOther(true, 50)
 	f.is.Equal(requireAction[*bbwire.GrantTell](f).Recalls[0].Grantee, witness1.String())
 	for range 3 {
-		f.otherRequests(true, 50)
+		f.requestAsOther(true, 50)
 	}
-	f.is.Equal(countRecalls(f.actions), 0) // not again so soon
+	f.is.Equal(countRecalls(f.actions), 0) // only once in recallInterval
 	f.report(20, 60)
 	for range 2 {
-		f.ackMark(witness1, requireAction[*bbwire.Mark](f)) // what came back, then the mark of the next grant
+		f.ackMark(witness1, requireAction[*bbwire.Mark](f)) // the returned amount, then the mark of the next grant
 	}
 	f.is.Equal(requireAction[*bbwire.GrantTell](f).Slices[0].Granted, int64(50))
 	_, ok := takeAction[Save](f)
-	f.notTaken(ok)
+	f.requireNone(ok)
 	f.is.Equal(f.rev, writes)
 }
 
@@ -130,14 +131,14 @@
 	f := fullyGrantedFixture(t)
 	f.al.allocations["b"].grant(granteePeer).granted = 40
 	f.actions = nil
-	f.otherRequests(true, 50)
+	f.requestAsOther(true, 50)
 	f.is.Equal(requireAction[*bbwire.GrantTell](f).Slices[0].Granted, int64(100))
 }
 
 func TestAllocatorLimitsRecallsAndNamesTheSmallestPeer(t *testing.T) {
 	f := fullyGrantedFixture(t)
 	f.actions = nil
-	f.otherRequests(true, 50)
+	f.requestAsOther(true, 50)
 	f.is.Equal(countRecalls(f.actions), 1)
 	f.tick(recallWait / 2)
 	f.actions = nil
@@ -156,7 +157,7 @@
 	}{
 		{"nothing is spent", 0, 0, 100},
 		{"some is spent", 60, 0, 40},
-		{"some came back, too little", 60, 30, 40},
+		{"some was returned, too little", 60, 30, 40},
 		{"all is spent", 100, 0, 0},
 	} {
 		f := fullyGrantedFixture(t)
@@ -165,13 +166,13 @@
 			f.ackMark(witness1, m)
 		}
 		f.actions = nil
-		f.otherRequests(true, 101)
-		m := f.untilEmpty()
+		f.requestAsOther(true, 101)
+		m := f.runUntilEmptyReply()
 		if m == nil {
-			t.Fatalf("%s: not told", c.name)
+			t.Fatalf("%s: no reply that the budget is empty", c.name)
 		}
 		if m.Lefts[0].Lent != c.lent || m.Lefts[0].Rest != 0 {
-			t.Errorf("%s: told %v, want %d", c.name, m.Lefts[0], c.lent)
+			t.Errorf("%s: reported %v, want %d", c.name, m.Lefts[0], c.lent)
 		}
 	}
 }
@@ -184,20 +185,20 @@
 		returned int64
 	}{
 		{"no request waits", 0, "z/1", 15},
-		{"there is enough for one that waits", 15, "a/1", 0},
-		{"too little, for one that comes first", 16, "a/1", 15},
-		{"too little, for one that comes after", 16, "z/1", 0},
+		{"enough for a waiting request", 15, "a/1", 0},
+		{"too little, the other grantee sorts first", 16, "a/1", 15},
+		{"too little, the other grantee sorts last", 16, "z/1", 0},
 	} {
 		is := is.New(t)
-		p, v := newTestWallet(true)
+		w, v := newTestWallet(true)
 		now := time.Unix(1000, 0)
-		p.HandleGrant(now, "d", grantMessage("k/1/0-1", 20))
-		bal := p.Balance("b")
+		w.HandleGrant(now, "d", grantMessage("k/1/0-1", 20))
+		bal := w.Balance("b")
 		is.True(bal.Reserve(5))
 		if c.waits > 0 {
-			p.AddWaiter(bal, c.waits)
+			w.AddWaiter(bal, c.waits)
 		}
-		out := p.HandleGrant(now, "d", &bbwire.GrantTell{Recalls: []*bbwire.Recall{{Budget: "b", Grantee: c.grantee}}})
+		out := w.HandleGrant(now, "d", &bbwire.GrantTell{Recalls: []*bbwire.Recall{{Budget: "b", Grantee: c.grantee}}})
 		is.Equal(len(out), 1)
 		is.Equal(out[0].To, bbunit.InstanceID("k"))
 		s := out[0].Body.(*bbwire.GrantAsk).Slices[0]
@@ -207,8 +208,8 @@
 		is.Equal(bal.Free(), bbunit.Tokens(15-c.returned))
 		if c.waits == 0 {
 			bal.demand.tokensPerSecond = 1000
-			is.Equal(len(p.DueMessages(now.Add(requestInterval), v)), 0) // it does not ask back what it returned
-			is.Equal(len(p.DueMessages(now.Add(refillPauseAfterRecall), v)), 1)
+			is.Equal(len(w.DueMessages(now.Add(requestInterval), v)), 0) // it does not request what it has just returned
+			is.Equal(len(w.DueMessages(now.Add(refillPauseAfterRecall), v)), 1)
 		}
 	}
 }
@@ -220,7 +221,7 @@
 		exhausted  bool
 	}{
 		{"nothing", &bbwire.Left{}, &bbwire.Left{}, true},
-		{"reserved at home", &bbwire.Left{Lent: 10}, &bbwire.Left{}, false},
+		{"reserved in the own failure domain", &bbwire.Left{Lent: 10}, &bbwire.Left{}, false},
 		{"reserved elsewhere", &bbwire.Left{}, &bbwire.Left{Lent: 10}, false},
 		{"enough together", &bbwire.Left{Lent: 4}, &bbwire.Left{Lent: 6}, false},
 		{"too little together", &bbwire.Left{Lent: 4}, &bbwire.Left{Lent: 5}, true},
@@ -228,16 +229,16 @@
 		{"with the page's rest", &bbwire.Left{Rest: 6}, &bbwire.Left{Lent: 4, Rest: 6}, false},
 	} {
 		is := is.New(t)
-		p, v := newTestWallet(true)
+		w, v := newTestWallet(true)
 		now := time.Unix(1000, 0)
-		bal := p.Balance("b")
-		p.AddWaiter(bal, 10)
+		bal := w.Balance("b")
+		w.AddWaiter(bal, 10)
 		for d, l := range map[bbunit.DomainID]*bbwire.Left{"e": c.own, "d": c.other} {
 			l.Budget = "b"
-			p.HandleGrant(now, d, &bbwire.GrantTell{Empty: []string{"b"}, Lefts: []*bbwire.Left{l}})
+			w.HandleGrant(now, d, &bbwire.GrantTell{Empty: []string{"b"}, Lefts: []*bbwire.Left{l}})
 		}
-		is.True(p.AllAllocatorsEmpty(now, v, bal))
-		if p.Exhausted(now, v, bal, 10) != c.exhausted {
+		is.True(w.AllAllocatorsEmpty(now, v, bal))
+		if w.Exhausted(now, v, bal, 10) != c.exhausted {
 			t.Errorf("%s: exhausted is not %v", c.name, c.exhausted)
 		}
 	}
@@ -245,24 +246,24 @@
 
 func TestWalletAsksNoFasterWhenAllAnswerAtOnce(t *testing.T) {
 	is := is.New(t)
-	p, v := newTestWallet(true)
+	w, v := newTestWallet(true)
 	now := time.Unix(1000, 0)
-	bal := p.Balance("b")
-	p.AddWaiter(bal, 10)
+	bal := w.Balance("b")
+	w.AddWaiter(bal, 10)
 	asked := 0
 	for range 100 {
-		for range p.DueMessages(now, v) {
+		for range w.DueMessages(now, v) {
 			asked++
 		}
 		for _, d := range []bbunit.DomainID{"d", "e"} {
-			p.HandleGrant(now, d, &bbwire.GrantTell{Empty: []string{"b"}, Lefts: []*bbwire.Left{{Budget: "b", Lent: 50}}})
+			w.HandleGrant(now, d, &bbwire.GrantTell{Empty: []string{"b"}, Lefts: []*bbwire.Left{{Budget: "b", Lent: 50}}})
 		}
 	}
 	is.True(asked <= 2)
 }
 
-// TestAllocatorReportsUnspentOfClosingAndUnreachableHolders looks at what an answer counts of
-// other holders on the page.
+// TestAllocatorReportsUnspentOfClosingAndUnreachableHolders checks which other holders
+// on the page are counted in the answer that a budget is empty.
 func TestAllocatorReportsUnspentOfClosingAndUnreachableHolders(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -271,8 +272,8 @@
 		witness    Peer
 		lent, rest int64
 	}{
-		{"an older one of its own", "k/1/0-9", "d", witness2, 30, 0},
-		{"gone, the witness lives", "x/7/0-1", "d", witness1, 30, 0},
+		{"a former holder id of its own", "k/1/0-9", "d", witness2, 30, 0},
+		{"gone, the witness is alive", "x/7/0-1", "d", witness1, 30, 0},
 		{"gone with its witness", "x/7/0-1", "d", witness2, 0, 0},
 		{"alive", "w1/1/0-1", "d", witness2, 0, 0},
 		{"alive in another failure domain", "g/1/0-1", "e", witness2, 0, 0},
@@ -283,7 +284,7 @@
 			{Holder: string(c.holder), Domain: c.domain, Drawn: 40, Spent: 10, Seq: 1, Witness: c.witness.String()},
 		}}}}
 		f.rev = 1
-		f.otherRequests(true, 50)
+		f.requestAsOther(true, 50)
 		var m *bbwire.GrantTell
 		for _, a := range f.actions {
 			if s, ok := a.(Send); ok && m == nil {
@@ -291,21 +292,21 @@
 			}
 		}
 		if m == nil {
-			m = f.untilEmpty()
+			m = f.runUntilEmptyReply()
 		}
 		if l := m.Lefts[0]; l.Lent != c.lent || l.Rest != c.rest {
-			t.Errorf("%s: told %v", c.name, l)
+			t.Errorf("%s: reported %v", c.name, l)
 		}
 	}
 }
 
 func TestWalletTopsUpInItsOwnDomainOnly(t *testing.T) {
 	is := is.New(t)
-	p, v := newTestWallet(true)
+	w, v := newTestWallet(true)
 	now := time.Unix(1000, 0)
-	bal := p.Balance("b")
+	bal := w.Balance("b")
 	bal.demand.tokensPerSecond = 1000
-	is.Equal(p.DueMessages(now, v)[0].To, granteePeer.ID)
-	p.HandleGrant(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
-	is.Equal(len(p.DueMessages(now.Add(requestInterval), v)), 0)
+	is.Equal(w.DueMessages(now, v)[0].To, granteePeer.ID)
+	w.HandleGrant(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
+	is.Equal(len(w.DueMessages(now.Add(requestInterval), v)), 0)
 }
--- a/shared/bbledger/sim_test.go
+++ b/shared/bbledger/sim_test.go
@@ -15,17 +15,17 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// sim runs the core of several instances over one page: messages, store calls
-// and clocks move only when the test says so.
+// sim runs the wallets, allocators and witnesses of several instances on one page.
+// Messages, store calls and the clock advance only when the test says so.
 type sim struct {
 	now         time.Time
 	page        *bbwire.Page
 	rev         bbstore.Revision
-	lateWrites  []Save // writes without an answer that may still land
+	lateWrites  []Save // unanswered writes that may still take effect
 	nodes       []*simNode
 	network     []simMessage
 	partitioned map[[2]bbunit.DomainID]bool
-	storeDown   map[bbunit.DomainID]bool // cut from the service
+	storeDown   map[bbunit.DomainID]bool // failure domains that cannot reach the store
 	state       *bbticket.State
 	budgets     []bbunit.BudgetID
 	spent       map[bbunit.BudgetID]bbunit.Tokens
@@ -39,11 +39,11 @@
 	member           bbmember.Member
 	policy           Policy
 	view             *bbmember.View
-	purse            *Wallet
+	wallet           *Wallet
 	witness          *Witness
-	keeper           *Allocator
+	allocator        *Allocator
 	lastHolderNumber uint64
-	storeCall        any // the Load or Save that is out
+	storeCall        any // the unanswered Load or Save
 	reservations     []simReservation
 	paused           bool
 	dead             bool
@@ -51,7 +51,7 @@
 }
 
 type simReservation struct {
-	pot      *Balance
+	bal      *Balance
 	reserved bbunit.Tokens
 }
 
@@ -91,14 +91,14 @@
 }
 
 func (s *sim) add(m bbmember.Member, policy Policy) *simNode {
-	n := &simNode{member: m, policy: policy, purse: NewWallet(m, policy), witness: &Witness{}}
+	n := &simNode{member: m, policy: policy, wallet: NewWallet(m, policy), witness: &Witness{}}
 	n.view = &bbmember.View{Self: m, Members: []bbmember.Member{m}}
-	n.keeper = NewAllocator(PageOf(s.budgets[0]), m, policy, func() uint64 { n.lastHolderNumber++; return n.lastHolderNumber })
+	n.allocator = NewAllocator(PageOf(s.budgets[0]), m, policy, func() uint64 { n.lastHolderNumber++; return n.lastHolderNumber })
 	s.nodes = append(s.nodes, n)
 	return n
 }
 
-// restart brings a dead instance back in its next life.
+// restart brings a dead instance back with the next incarnation.
 func (s *sim) restart(n *simNode) {
 	m := n.member
 	m.Inc++
@@ -134,14 +134,14 @@
 	}
 }
 
-// setPaid puts a budget's total in force.
+// setPaid applies a ticket with the budget's paid amount.
 func (s *sim) setPaid(b bbunit.BudgetID, paid bbunit.Tokens) {
 	s.state = s.state.Apply(bbticket.Ticket{Number: s.state.Number + 1, Budgets: []bbticket.Budget{{ID: b, Paid: paid}}})
 }
 
 func (s *sim) paid(b bbunit.BudgetID) bbunit.Tokens { return s.state.Budgets.Get(b).Object.Paid }
 
-// perform carries out what a node's core asked for.
+// perform carries out the actions of a node's allocator.
 func (s *sim) perform(n *simNode, actions []any) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -168,19 +168,19 @@
 	}
 }
 
-// tick lets a node act on the time.
+// tick advances a node to the current time.
 func (s *sim) tick(n *simNode) {
 	if n.dead || n.paused {
 		return
 	}
-	s.perform(n, n.keeper.Step(s.now, Tick{View: n.view, State: s.state}))
-	s.sendAll(n, n.purse.DueMessages(s.now, n.view))
+	s.perform(n, n.allocator.Step(s.now, Tick{View: n.view, State: s.state}))
+	s.sendAll(n, n.wallet.DueMessages(s.now, n.view))
 }
 
-// deliver hands over message i and keeps it when twice.
-func (s *sim) deliver(i int, twice bool) {
+// deliver delivers message i. A duplicate stays in the network to be delivered again.
+func (s *sim) deliver(i int, duplicate bool) {
 	m := s.network[i]
-	if !twice {
+	if !duplicate {
 		s.network = append(s.network[:i:i], s.network[i+1:]...)
 	}
 	for _, n := range s.liveNodes() {
@@ -193,62 +193,63 @@
 func (s *sim) receive(n *simNode, m simMessage) {
 	switch b := m.body.(type) {
 	case *bbwire.GrantAsk:
-		s.perform(n, n.keeper.Step(s.now, GrantRequested{From: m.from, Msg: b}))
+		s.perform(n, n.allocator.Step(s.now, GrantRequested{From: m.from, Msg: b}))
 	case *bbwire.GrantTell:
-		s.sendAll(n, n.purse.HandleGrant(s.now, m.domains[0], b))
+		s.sendAll(n, n.wallet.HandleGrant(s.now, m.domains[0], b))
 	case *bbwire.Mark:
 		s.send(n, Send{To: m.from.ID, Body: n.witness.Mark(b)})
 	case *bbwire.MarkAck:
-		s.perform(n, n.keeper.Step(s.now, MarkAcked{From: m.from, Msg: b}))
+		s.perform(n, n.allocator.Step(s.now, MarkAcked{From: m.from, Msg: b}))
 	case *bbwire.Freeze:
 		s.send(n, Send{To: m.from.ID, Body: n.witness.Freeze(b)})
 	case *bbwire.FreezeTell:
-		s.perform(n, n.keeper.Step(s.now, Frozen{From: m.from, Msg: b}))
+		s.perform(n, n.allocator.Step(s.now, Frozen{From: m.from, Msg: b}))
 	case *bbwire.Surrender:
-		s.send(n, Send{To: m.from.ID, Body: n.purse.Surrender(bbunit.HolderID(b.Holder))})
+		s.send(n, Send{To: m.from.ID, Body: n.wallet.Surrender(bbunit.HolderID(b.Holder))})
 	case *bbwire.SurrenderTell:
-		s.perform(n, n.keeper.Step(s.now, Surrendered{From: m.from, Msg: b}))
+		s.perform(n, n.allocator.Step(s.now, Surrendered{From: m.from, Msg: b}))
 	}
 }
 
-// outcome is how a store call ends.
+// outcome is the result of a store call.
 type outcome int
 
 const (
 	outcomeOK           outcome = iota
-	outcomeUnavailable          // nothing happens
+	outcomeUnavailable          // it has no effect and fails
 	outcomeReplyLost            // it takes effect, the answer is lost
 	outcomeWriteLost            // it does not take effect, the answer is lost
 	outcomeWriteDelayed         // it may take effect later, the answer is lost
 )
 
-func (s *sim) finishStoreCall(n *simNode, f outcome) {
-	op := n.storeCall
+// finishStoreCall ends a node's store call with an outcome.
+func (s *sim) finishStoreCall(n *simNode, result outcome) {
+	call := n.storeCall
 	n.storeCall = nil
 	if s.storeDown[n.member.Domain] {
-		f = outcomeUnavailable
+		result = outcomeUnavailable
 	}
 	var ev any
-	switch a := op.(type) {
+	switch a := call.(type) {
 	case Load:
 		s.loads++
 		ev = Loaded{Page: clonePage(s.page), Rev: s.rev}
-		if f != outcomeOK {
+		if result != outcomeOK {
 			ev = Loaded{Err: bbstore.ErrDown}
 		}
 	case Save:
-		ev = s.finishSave(a, f)
+		ev = s.finishSave(a, result)
 	default:
 		return
 	}
 	if !n.dead {
-		s.perform(n, n.keeper.Step(s.now, ev))
+		s.perform(n, n.allocator.Step(s.now, ev))
 	}
 }
 
-func (s *sim) finishSave(a Save, f outcome) Saved {
+func (s *sim) finishSave(a Save, result outcome) Saved {
 	s.writes++
-	switch f {
+	switch result {
 	case outcomeUnavailable:
 		return Saved{Err: bbstore.ErrDown}
 	case outcomeWriteLost:
@@ -259,7 +260,7 @@
 	}
 	ok := s.applySave(a)
 	switch {
-	case f == outcomeReplyLost:
+	case result == outcomeReplyLost:
 		return Saved{Err: bbstore.ErrUnknown}
 	case !ok:
 		return Saved{Err: bbstore.ErrConflict}
@@ -267,7 +268,7 @@
 	return Saved{Rev: s.rev}
 }
 
-// applySave applies a write if the page is at its base.
+// applySave applies a write if the page's revision matches.
 func (s *sim) applySave(a Save) bool {
 	if a.Prev != s.rev {
 		return false
@@ -286,27 +287,27 @@
 	if n.dead || n.paused || n.drained {
 		return false
 	}
-	bal := n.purse.Balance(b)
+	bal := n.wallet.Balance(b)
 	if bal.Reserve(amount) {
 		n.reservations = append(n.reservations, simReservation{bal, amount})
 		return true
 	}
-	n.purse.AddWaiter(bal, amount)
-	s.sendAll(n, n.purse.DueMessages(s.now, n.view))
-	n.purse.RemoveWaiter(bal, amount)
+	n.wallet.AddWaiter(bal, amount)
+	s.sendAll(n, n.wallet.DueMessages(s.now, n.view))
+	n.wallet.RemoveWaiter(bal, amount)
 	bal.refill.askedAt = s.now
 	return false
 }
 
 func (s *sim) commit(n *simNode, i int, used bbunit.Tokens) {
-	h := n.reservations[i]
+	r := n.reservations[i]
 	n.reservations = append(n.reservations[:i:i], n.reservations[i+1:]...)
-	h.pot.Commit(h.reserved, used)
-	s.spent[h.pot.Budget] += min(used, h.reserved)
+	r.bal.Commit(r.reserved, used)
+	s.spent[r.bal.Budget] += min(used, r.reserved)
 }
 
-// crash stops a node for good; what its open requests had reserved may have been
-// spent, and counts as if it were.
+// crash stops a node for good. Reservations of its open requests count as spent, since
+// they may have been.
 func (s *sim) crash(n *simNode) {
 	for len(n.reservations) > 0 {
 		s.commit(n, 0, n.reservations[0].reserved)
@@ -315,32 +316,33 @@
 	s.crashes++
 }
 
-// checkBudgets fails unless no budget is overspent, and what the page counts covers
-// what was or may be spent.
+// checkBudgets fails if a budget is overspent, or if less is charged on the page than
+// was or may be spent.
 func (s *sim) checkBudgets() {
 	for _, b := range s.budgets {
-		open := s.spent[b]
+		committed := s.spent[b]
 		for _, n := range s.liveNodes() {
-			for _, h := range n.reservations {
-				if h.pot.Budget == b {
-					open += h.reserved
+			for _, r := range n.reservations {
+				if r.bal.Budget == b {
+					committed += r.reserved
 				}
 			}
 		}
-		if open > s.paid(b) {
-			s.fail("budget %s: %d spent and reserved of %d paid; page %v", b, open, s.paid(b), s.page)
+		if committed > s.paid(b) {
+			s.fail("budget %s: %d spent and reserved of %d paid; page %v", b, committed, s.paid(b), s.page)
 		}
 		e := entryOrEmpty(s.page, b)
 		if Charged(e) > s.paid(b) {
-			s.fail("budget %s: %d taken of %d paid", b, Charged(e), s.paid(b))
+			s.fail("budget %s: %d charged of %d paid", b, Charged(e), s.paid(b))
 		}
-		if open > Charged(e) {
-			s.fail("budget %s: %d spent and reserved, the page counts %d: %v", b, open, Charged(e), e)
+		if committed > Charged(e) {
+			s.fail("budget %s: %d spent and reserved, the page charges %d: %v", b, committed, Charged(e), e)
 		}
 	}
 }
 
-// runFor runs without faults for d, in steps of the tick.
+// runFor runs without new faults for d, in steps of TickInterval. each is called in
+// every step.
 func (s *sim) runFor(d time.Duration, each func()) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(TickInterval)
@@ -354,7 +356,7 @@
 	}
 }
 
-// runUntilQuiet delivers every message and ends every store call, well and in order.
+// runUntilQuiet delivers all messages in order and lets all store calls succeed.
 func (s *sim) runUntilQuiet() {
 	for range 100 {
 		busy := false
@@ -375,7 +377,7 @@
 	}
 }
 
-// heal ends every fault and lets all instances see each other.
+// heal ends all faults and gives all instances a full view.
 func (s *sim) heal() {
 	s.partitioned = map[[2]bbunit.DomainID]bool{}
 	s.storeDown = map[bbunit.DomainID]bool{}
@@ -387,11 +389,11 @@
 	}
 	s.refreshViews()
 	for _, n := range s.liveNodes() {
-		s.perform(n, n.keeper.Step(s.now, Refresh{}))
+		s.perform(n, n.allocator.Step(s.now, Refresh{}))
 	}
 }
 
-// drainAll stops every instance cleanly.
+// drainAll begins the planned stop of all instances.
 func (s *sim) drainAll() {
 	for _, n := range s.liveNodes() {
 		for len(n.reservations) > 0 {
@@ -401,16 +403,16 @@
 	}
 }
 
-// drain begins the planned stop of an instance. It stays in the list, so that
-// the pages have a home when all are stopped.
+// drain begins the planned stop of an instance. The instance stays in the view, so
+// that the page has a home when all are stopped.
 func (s *sim) drain(n *simNode) {
 	n.drained = true
-	n.purse.Drain()
-	s.perform(n, n.keeper.Step(s.now, Retire{}))
+	n.wallet.Drain()
+	s.perform(n, n.allocator.Step(s.now, Retire{}))
 }
 
-// checkSettled fails unless all money is settled, back, or listed as stuck with an
-// instance that died.
+// checkSettled fails unless all tokens are settled, returned, or stuck with an
+// instance that crashed.
 func (s *sim) checkSettled() {
 	alive := map[string]bool{}
 	for _, n := range s.liveNodes() {
@@ -437,16 +439,16 @@
 	}
 }
 
-// step takes one random step.
+// step performs one random step.
 func (s *sim) step(t *rapid.T) {
 	n := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
 	b := s.budgets[rapid.IntRange(0, len(s.budgets)-1).Draw(t, "budget")]
-	switch rapid.IntRange(0, 39).Draw(t, "what") {
+	switch rapid.IntRange(0, 39).Draw(t, "step") {
 	case 0, 1, 2, 3, 4, 5, 6, 7:
-		s.reserve(n, b, bbunit.Tokens(rapid.IntRange(0, 25).Draw(t, "most")))
+		s.reserve(n, b, bbunit.Tokens(rapid.IntRange(0, 25).Draw(t, "amount")))
 	case 8, 9, 10, 11:
 		if len(n.reservations) > 0 && !n.paused && !n.dead {
-			s.commit(n, rapid.IntRange(0, len(n.reservations)-1).Draw(t, "hold"), bbunit.Tokens(rapid.IntRange(0, 30).Draw(t, "used")))
+			s.commit(n, rapid.IntRange(0, len(n.reservations)-1).Draw(t, "reservation"), bbunit.Tokens(rapid.IntRange(0, 30).Draw(t, "used")))
 		}
 	case 12, 13, 14, 15, 16, 17, 18, 19:
 		s.now = s.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
@@ -456,7 +458,7 @@
 	case 20, 21, 22, 23, 24:
 		for range rapid.IntRange(1, 20).Draw(t, "messages") {
 			if len(s.network) > 0 {
-				s.deliver(rapid.IntRange(0, len(s.network)-1).Draw(t, "message"), rapid.IntRange(0, 9).Draw(t, "twice") == 0)
+				s.deliver(rapid.IntRange(0, len(s.network)-1).Draw(t, "message"), rapid.IntRange(0, 9).Draw(t, "duplicate") == 0)
 			}
 		}
 	case 25:
@@ -467,12 +469,12 @@
 	case 26, 27, 28, 29, 30:
 		for _, x := range s.nodes {
 			if x.storeCall != nil {
-				s.finishStoreCall(x, rapid.SampledFrom([]outcome{outcomeOK, outcomeOK, outcomeOK, outcomeUnavailable, outcomeReplyLost, outcomeWriteLost, outcomeWriteDelayed}).Draw(t, "fate"))
+				s.finishStoreCall(x, rapid.SampledFrom([]outcome{outcomeOK, outcomeOK, outcomeOK, outcomeUnavailable, outcomeReplyLost, outcomeWriteLost, outcomeWriteDelayed}).Draw(t, "outcome"))
 			}
 		}
 	case 31:
 		if len(s.lateWrites) > 0 {
-			s.applyLateSave(rapid.IntRange(0, len(s.lateWrites)-1).Draw(t, "late"))
+			s.applyLateSave(rapid.IntRange(0, len(s.lateWrites)-1).Draw(t, "late write"))
 		}
 	case 32:
 		n.paused = !n.paused
@@ -496,9 +498,10 @@
 	s.checkBudgets()
 }
 
-// injectFault crashes or restarts an instance, or cuts or joins failure domains.
+// injectFault changes one fault: it crashes, restarts or drains an instance, toggles
+// the connection of a failure domain, or lowers a budget.
 func (s *sim) injectFault(t *rapid.T, n *simNode) {
-	doms := []bbunit.DomainID{"a", "b"}
+	domains := []bbunit.DomainID{"a", "b"}
 	switch rapid.IntRange(0, 8).Draw(t, "fault") {
 	case 0:
 		if !n.dead && s.crashes < 3 {
@@ -509,10 +512,10 @@
 			s.restart(n)
 		}
 	case 2:
-		d := rapid.SampledFrom(doms).Draw(t, "domain")
+		d := rapid.SampledFrom(domains).Draw(t, "domain")
 		s.storeDown[d] = !s.storeDown[d]
-	case 5: // instances of one failure domain do not reach each other
-		d := rapid.SampledFrom(doms).Draw(t, "split")
+	case 5: // between the instances of one failure domain
+		d := rapid.SampledFrom(domains).Draw(t, "split")
 		s.partitioned[[2]bbunit.DomainID{d, d}] = !s.partitioned[[2]bbunit.DomainID{d, d}]
 	case 6:
 		if !n.dead && !n.paused {
@@ -521,12 +524,13 @@
 	case 7, 8:
 		s.lowerBudget(t, s.budgets[rapid.IntRange(0, 1).Draw(t, "lowered")])
 	case 3, 4:
-		is := !s.partitioned[[2]bbunit.DomainID{"a", "b"}]
-		s.partitioned[[2]bbunit.DomainID{"a", "b"}], s.partitioned[[2]bbunit.DomainID{"b", "a"}] = is, is
+		cut := !s.partitioned[[2]bbunit.DomainID{"a", "b"}]
+		s.partitioned[[2]bbunit.DomainID{"a", "b"}], s.partitioned[[2]bbunit.DomainID{"b", "a"}] = cut, cut
 	}
 }
 
-// lowerBudget is a ticket that lowers a budget: capped first, then accepted or not.
+// lowerBudget lowers a budget as an operator does: it caps the budget, then the ticket
+// is accepted or the cap removed.
 func (s *sim) lowerBudget(t *rapid.T, b bbunit.BudgetID) {
 	ctx := context.Background()
 	paid := bbunit.Tokens(rapid.IntRange(0, int(s.paid(b))).Draw(t, "paid"))
@@ -550,7 +554,7 @@
 	}
 }
 
-// simPageStore is the page of a sim as operators' calls see it.
+// simPageStore gives calls for operators access to the page of a sim.
 type simPageStore struct {
 	bbstore.Store
 	s *sim
@@ -586,7 +590,7 @@
 		policy := simPolicy
 		policy.Borrow = rapid.Bool().Draw(t, "borrow")
 		policy.DrawHorizon = rapid.SampledFrom([]time.Duration{simPolicy.DrawHorizon, simPolicy.GrantHorizon}).Draw(t, "horizon")
-		s := newSim(2, rapid.IntRange(1, 3).Draw(t, "each"), policy, t.Fatalf)
+		s := newSim(2, rapid.IntRange(1, 3).Draw(t, "instances per domain"), policy, t.Fatalf)
 		for _, b := range s.budgets {
 			s.setPaid(b, 200)
 		}
--- a/shared/bbledger/wallet_test.go
+++ b/shared/bbledger/wallet_test.go
@@ -24,43 +24,43 @@
 
 func TestWalletTakesEachGrantOnce(t *testing.T) {
 	is := is.New(t)
-	p, _ := newTestWallet(true)
+	w, _ := newTestWallet(true)
 	now := time.Unix(1000, 0)
 	for _, n := range []int64{10, 10, 4, 25, 10} {
-		p.HandleGrant(now, "d", grantMessage("k/1/0-1", n))
+		w.HandleGrant(now, "d", grantMessage("k/1/0-1", n))
 	}
-	is.Equal(p.Balance("b").Free(), bbunit.Tokens(25))
+	is.Equal(w.Balance("b").Free(), bbunit.Tokens(25))
 	other := grantMessage("k/1/0-1", 99)
 	other.Slices[0].Grantee = "g/2"
-	p.HandleGrant(now, "d", other)
-	is.Equal(p.Balance("b").Free(), bbunit.Tokens(25)) // meant for another life
+	w.HandleGrant(now, "d", other)
+	is.Equal(w.Balance("b").Free(), bbunit.Tokens(25)) // granted to another incarnation
 }
 
 func TestWalletSurrenderIsFinal(t *testing.T) {
 	is := is.New(t)
-	p, v := newTestWallet(true)
+	w, v := newTestWallet(true)
 	now := time.Unix(1000, 0)
-	p.HandleGrant(now, "d", grantMessage("k/1/0-1", 20))
-	bal := p.Balance("b")
+	w.HandleGrant(now, "d", grantMessage("k/1/0-1", 20))
+	bal := w.Balance("b")
 	is.True(bal.Reserve(5))
-	s := p.Surrender("k/1/0-1").Slices[0]
-	is.Equal([]int64{s.Granted, s.Spent, s.Returned}, []int64{20, 0, 15}) // 5 are with an open request
-	back := p.HandleGrant(now, "d", grantMessage("k/1/0-1", 50))
+	s := w.Surrender("k/1/0-1").Slices[0]
+	is.Equal([]int64{s.Granted, s.Spent, s.Returned}, []int64{20, 0, 15}) // 5 are reserved by an open request
+	back := w.HandleGrant(now, "d", grantMessage("k/1/0-1", 50))
 	is.Equal(bal.Free(), bbunit.Tokens(0)) // a late grant
-	is.Equal(len(back), 1)                 // its keeper is told
+	is.Equal(len(back), 1)                 // its allocator gets the surrender again
 	is.True(!bal.addGrant("k/1/0-1", 50))
 	bal.Commit(5, 3)
-	p.DueMessages(now, v)
-	s = p.Surrender("k/1/0-1").Slices[0]
+	w.DueMessages(now, v)
+	s = w.Surrender("k/1/0-1").Slices[0]
 	is.Equal([]int64{s.Granted, s.Spent, s.Returned}, []int64{20, 3, 17})
 
-	p.Surrender("k/1/0-2") // not yet heard of
-	p.HandleGrant(now, "d", grantMessage("k/1/0-2", 50))
+	w.Surrender("k/1/0-2") // before any grant of it
+	w.HandleGrant(now, "d", grantMessage("k/1/0-2", 50))
 	is.Equal(bal.Free(), bbunit.Tokens(0))
 }
 
-func TestBalanceHoldsSpendWithinTheReservation(t *testing.T) {
-	for _, c := range []struct{ most, used, spent, free bbunit.Tokens }{
+func TestBalanceClampsSpendToTheReservation(t *testing.T) {
+	for _, c := range []struct{ reserved, used, spent, free bbunit.Tokens }{
 		{10, 4, 4, 16},
 		{10, 10, 10, 10},
 		{10, 11, 10, 10},
@@ -68,11 +68,11 @@
 		{0, 5, 0, 20},
 	} {
 		is := is.New(t)
-		p, _ := newTestWallet(true)
-		p.HandleGrant(time.Unix(1000, 0), "d", grantMessage("k/1/0-1", 20))
-		bal := p.Balance("b")
-		is.True(bal.Reserve(c.most))
-		bal.Commit(c.most, c.used)
+		w, _ := newTestWallet(true)
+		w.HandleGrant(time.Unix(1000, 0), "d", grantMessage("k/1/0-1", 20))
+		bal := w.Balance("b")
+		is.True(bal.Reserve(c.reserved))
+		bal.Commit(c.reserved, c.used)
 		bal.attributeSpent()
 		is.Equal(bal.slices[0].spent, c.spent)
 		is.Equal(bal.Free(), c.free)
@@ -83,9 +83,9 @@
 
 func TestBalanceReservesNoMoreThanItHasUnderRace(t *testing.T) {
 	is := is.New(t)
-	p, _ := newTestWallet(true)
-	p.HandleGrant(time.Unix(1000, 0), "d", grantMessage("k/1/0-1", 1000))
-	bal := p.Balance("b")
+	w, _ := newTestWallet(true)
+	w.HandleGrant(time.Unix(1000, 0), "d", grantMessage("k/1/0-1", 1000))
+	bal := w.Balance("b")
 	var wg sync.WaitGroup
 	spent := make([]bbunit.Tokens, 8)
 	for i := range spent {
@@ -113,24 +113,24 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	for _, borrow := range []bool{true, false} {
-		p, v := newTestWallet(borrow)
-		bal := p.Balance("b")
-		p.AddWaiter(bal, 10)
-		first := p.DueMessages(now, v)
+		w, v := newTestWallet(borrow)
+		bal := w.Balance("b")
+		w.AddWaiter(bal, 10)
+		first := w.DueMessages(now, v)
 		is.Equal(first[0].To, granteePeer.ID)
 		is.True(!first[0].Body.(*bbwire.GrantAsk).Wants[0].Borrow)
-		is.Equal(len(p.DueMessages(now, v)), 0) // not twice at once
-		p.HandleGrant(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
-		is.Equal(p.Exhausted(now, v, bal, 10), !borrow)
+		is.Equal(len(w.DueMessages(now, v)), 0) // no second request at the same time
+		w.HandleGrant(now, "e", &bbwire.GrantTell{Empty: []string{"b"}})
+		is.Equal(w.Exhausted(now, v, bal, 10), !borrow)
 		if !borrow {
 			continue
 		}
-		second := p.DueMessages(now, v)
+		second := w.DueMessages(now, v)
 		is.Equal(second[0].To, selfPeer.ID)
 		is.True(second[0].Body.(*bbwire.GrantAsk).Wants[0].Borrow)
-		p.HandleGrant(now, "d", &bbwire.GrantTell{Empty: []string{"b"}})
-		is.True(p.Exhausted(now, v, bal, 10))
-		is.True(!p.Exhausted(now.Add(2*emptyReplyTTL), v, bal, 10)) // asked again later
+		w.HandleGrant(now, "d", &bbwire.GrantTell{Empty: []string{"b"}})
+		is.True(w.Exhausted(now, v, bal, 10))
+		is.True(!w.Exhausted(now.Add(2*emptyReplyTTL), v, bal, 10)) // the answers have expired
 	}
 }
 
@@ -141,12 +141,12 @@
 		return &bbwire.Mark{Holder: "h", Seq: uint64(n), Slices: []*bbwire.Slice{{Budget: "b", Grantee: "g/1", Granted: n}}}
 	}
 	is.True(!w.Mark(mark(10)).Frozen)
-	is.True(!w.Mark(mark(4)).Frozen) // an old one, late
+	is.True(!w.Mark(mark(4)).Frozen) // an older mark, delivered late
 	f := w.Freeze(&bbwire.Freeze{Holder: "h"})
 	is.True(f.Known)
 	is.Equal(f.Slices[0].Granted, int64(10))
 	is.True(w.Mark(mark(20)).Frozen)
 	is.Equal(w.Freeze(&bbwire.Freeze{Holder: "h"}).Slices[0].Granted, int64(10))
 	is.True(!w.Freeze(&bbwire.Freeze{Holder: "x"}).Known)
-	is.True(w.Mark(&bbwire.Mark{Holder: "x"}).Frozen) // frozen before it was heard of
+	is.True(w.Mark(&bbwire.Mark{Holder: "x"}).Frozen) // frozen before its first mark
 }
