--- a/shared/bbledger/account.go
+++ b/shared/bbledger/allocation.go
@@ -13,7 +13,7 @@
 	budget       bbunit.BudgetID
 	onPage       bool          // the budget's entry on the page lists the holder
 	drawLimit    bbunit.Tokens // upper bound of what may be granted; never above what the page may record as drawn
-	seq          uint64
+	seq          uint64        // sequence number of the holder on the entry
 	grants       map[Peer]*grant
 	demand       demandRate
 	surplusSince time.Time // when headroom began to exceed demand; zero without surplus
--- a/shared/bbledger/allocator.go
+++ b/shared/bbledger/allocator.go
@@ -72,9 +72,8 @@
 
 // Allocator draws tokens from the budgets of one page and grants slices of them to
 // instances. Normally one instance of each failure domain, the home of the page,
-// runs one.
-// Several allocators of a page are safe together, also in one failure domain:
-// each grants only what the page records as drawn by its holder id.
+// runs one. Several allocators of a page are safe together, also in one failure
+// domain: each grants only what the page records as drawn by its holder id.
 type Allocator struct {
 	pageNumber       int
 	self             bbmember.Member
@@ -97,7 +96,7 @@
 	page           *bbwire.Page // as last read or written; nil before that
 	rev            bbstore.Revision
 	lastReadAt     time.Time
-	needsRead      bool
+	needsRead      bool         // the page must be read before anything else
 	writeUncertain bool         // a write on top of rev of unknown outcome may still take effect
 	callInFlight   bool         // a Load or Save is unanswered
 	pendingPage    *bbwire.Page // of the unanswered Save
@@ -108,11 +107,11 @@
 	markSeq       uint64
 	pendingMark   *pendingMark
 	witnessChange *witnessChange
-	suspectedAt   map[Peer]time.Time
+	suspectedAt   map[Peer]time.Time // when a witness last failed to answer
 
-	closings       map[bbunit.HolderID]*holderClosing
-	retiredSlices  map[bbunit.HolderID][]*bbwire.Slice
-	finalReports   map[granteeKey][]*bbwire.Slice
+	closings       map[bbunit.HolderID]*holderClosing  // holders being closed
+	retiredSlices  map[bbunit.HolderID][]*bbwire.Slice // grants of former holder ids
+	finalReports   map[granteeKey][]*bbwire.Slice      // reports that may settle stuck amounts
 	viewCache      viewSummary
 	summaryCache   *pageSummary
 	stuckAskedAt   time.Time      // when stuck grantees were last asked for reports
--- a/shared/bbledger/balance.go
+++ b/shared/bbledger/balance.go
@@ -124,12 +124,12 @@
 	// More than the slices cover can only be a caller's bug, or a refund when it
 	// is negative. It is kept for the next call.
 	b.unattributed.Add(int64(unattributed))
-	b.returnClosed()
+	b.returnSurrendered()
 	b.updateNextHolder()
 }
 
-// returnClosed returns the free part of what surrendered slices have left.
-func (b *Balance) returnClosed() {
+// returnSurrendered returns the free part of what surrendered slices have left.
+func (b *Balance) returnSurrendered() {
 	for _, s := range b.slices {
 		if s.surrendered && s.unspent() > 0 {
 			b.returnFrom(s, s.unspent())
@@ -244,7 +244,7 @@
 func (r *refill) nextAllocator(now time.Time, allocators []bbmember.Member) (m bbmember.Member, allEmpty bool) {
 	for i := range allocators {
 		m = allocators[(r.nextIndex+i)%len(allocators)]
-		if t, ok := r.emptyReplies[m.Domain]; !ok || now.Sub(t.receivedAt) > emptyReplyTTL {
+		if reply, ok := r.emptyReplies[m.Domain]; !ok || now.Sub(reply.receivedAt) > emptyReplyTTL {
 			r.nextIndex += i
 			return m, false
 		}
--- a/shared/bbledger/doc.go
+++ b/shared/bbledger/doc.go
@@ -7,12 +7,17 @@
 // grantees. Each grantee keeps its slices in a Wallet, with one Balance a
 // budget that requests reserve from.
 //
-// Before an allocator grants anything, its witness, another instance, has
-// acknowledged a mark: an upper bound of what the grantee may receive. When the
-// allocator's instance is lost, another allocator closes its holder: it freezes
-// the witness, so that the marks are final, asks the grantees to surrender
-// their slices and settles what was spent on the page. Tokens of a grantee that
-// does not answer stay charged to the budget as stuck.
+// Before an allocator grants anything, its witness, another instance of its
+// failure domain, has acknowledged a mark: an upper bound of what the grantee
+// may receive. Without a candidate for witness it goes on alone and draws less.
+// When the allocator's instance is lost, another allocator closes its holder:
+// it freezes the witness, so that the marks are final, asks the grantees to
+// surrender their slices and settles what was spent on the page. Tokens of a
+// grantee that does not answer stay charged to the budget as stuck.
+//
+// When a budget runs out, an allocator recalls free tokens from its grantees
+// for one that needs them, and a wallet may borrow: ask allocators of other
+// failure domains.
 //
 // The package is deterministic: methods take events and the time, and return
 // the actions to carry out.
--- a/shared/bbledger/draw.go
+++ b/shared/bbledger/draw.go
@@ -191,7 +191,6 @@
 // decrease to justify a write of its own.
 const urgentSurplusFactor = 4
 
-// tickInterval is the value of TickInterval.
 const tickInterval = 50 * time.Millisecond
 
 // TickInterval is how often the owner should send Tick to allocators and call
--- a/shared/bbledger/mark.go
+++ b/shared/bbledger/mark.go
@@ -141,29 +141,29 @@
 	if al.witness != (Peer{}) && alive(al.view, al.witness) && !silent {
 		return
 	}
-	to := al.nextWitness()
-	if to == al.witness {
+	next := al.nextWitness()
+	if next == al.witness {
 		return
 	}
-	al.startWitnessChange(to)
+	al.startWitnessChange(next)
 }
 
 // startWitnessChange copies all marks to the next witness.
-func (al *Allocator) startWitnessChange(to Peer) {
+func (al *Allocator) startWitnessChange(next Peer) {
 	al.pendingMark = nil
-	al.witnessChange = &witnessChange{next: to, marksCopied: to == (Peer{})}
+	al.witnessChange = &witnessChange{next: next, marksCopied: next == (Peer{})}
 	var all []*bbwire.Slice
 	for _, a := range al.sortedAllocations() {
 		for _, p := range a.grantees() {
 			all = append(all, a.markedSlice(al.holder, p))
 		}
 	}
-	if to == (Peer{}) {
+	if next == (Peer{}) {
 		al.markSeq++
 		al.witnessChange.mark = &pendingMark{msg: &bbwire.Mark{Holder: string(al.holder), Seq: al.markSeq, Slices: all}}
 		return
 	}
-	al.witnessChange.mark = al.sendMark(to, all)
+	al.witnessChange.mark = al.sendMark(next, all)
 }
 
 // checkWitnessChange resends the copied marks. It gives up on a new witness that does
--- a/shared/bbledger/wallet.go
+++ b/shared/bbledger/wallet.go
@@ -27,9 +27,9 @@
 	rankedByPage map[int][]bbmember.Member
 	fullPassAt   time.Time // when DueMessages last visited all balances
 
-	closedHolders map[bbunit.HolderID]bool // surrendered; their grants are refused
-	reportedAt    time.Time
-	draining      bool
+	surrenderedHolders map[bbunit.HolderID]bool // whose grants are refused
+	reportedAt         time.Time
+	draining           bool
 }
 
 // Send asks for a message to be sent to an instance, which may be this one.
@@ -40,7 +40,7 @@
 
 // NewWallet returns an empty wallet.
 func NewWallet(self bbmember.Member, policy Policy) *Wallet {
-	w := &Wallet{self: PeerOf(self), domain: self.Domain, policy: policy, closedHolders: map[bbunit.HolderID]bool{}}
+	w := &Wallet{self: PeerOf(self), domain: self.Domain, policy: policy, surrenderedHolders: map[bbunit.HolderID]bool{}}
 	w.balances.Store(&map[bbunit.BudgetID]*Balance{})
 	return w
 }
@@ -205,7 +205,7 @@
 		if s.Grantee != w.self.String() {
 			continue
 		}
-		if w.closedHolders[h] {
+		if w.surrenderedHolders[h] {
 			out = append(out, Send{To: HolderPeer(h).ID, Body: w.Surrender(h)})
 			continue
 		}
@@ -238,7 +238,7 @@
 // Surrender gives up the slices of a holder for good and reports on them. Tokens
 // that open requests have reserved are neither spent nor returned yet.
 func (w *Wallet) Surrender(h bbunit.HolderID) *bbwire.SurrenderTell {
-	w.closedHolders[h] = true
+	w.surrenderedHolders[h] = true
 	tell := &bbwire.SurrenderTell{Holder: string(h)}
 	for _, bal := range w.Balances() {
 		s := bal.findSlice(h)
--- a/shared/bbledger/witness.go
+++ b/shared/bbledger/witness.go
@@ -32,28 +32,28 @@
 	if w.holders == nil {
 		w.holders = map[bbunit.HolderID]*holderMarks{}
 	}
-	t := w.holders[h]
-	if t == nil {
-		t = &holderMarks{marks: map[sliceKey]*bbwire.Slice{}}
-		w.holders[h] = t
+	hm := w.holders[h]
+	if hm == nil {
+		hm = &holderMarks{marks: map[sliceKey]*bbwire.Slice{}}
+		w.holders[h] = hm
 	}
-	return t
+	return hm
 }
 
 // Mark raises the marks of a holder, unless it is frozen, and returns the answer.
 func (w *Witness) Mark(m *bbwire.Mark) *bbwire.MarkAck {
-	t := w.ensure(bbunit.HolderID(m.Holder))
-	ack := &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq, Frozen: t.frozen}
-	if t.frozen {
+	hm := w.ensure(bbunit.HolderID(m.Holder))
+	ack := &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq, Frozen: hm.frozen}
+	if hm.frozen {
 		return ack
 	}
-	t.marked = true
+	hm.marked = true
 	for _, s := range m.Slices {
 		k := sliceKey{s.Budget, s.Grantee}
-		old := t.marks[k]
+		old := hm.marks[k]
 		if old == nil {
 			old = &bbwire.Slice{Budget: s.Budget, Holder: m.Holder, Grantee: s.Grantee}
-			t.marks[k] = old
+			hm.marks[k] = old
 		}
 		mergeMax(old, s)
 	}
@@ -63,10 +63,10 @@
 // Freeze refuses all further marks of the holder, even of an unknown one, and
 // returns the last ones.
 func (w *Witness) Freeze(f *bbwire.Freeze) *bbwire.FreezeTell {
-	t := w.ensure(bbunit.HolderID(f.Holder))
-	t.frozen = true
-	tell := &bbwire.FreezeTell{Holder: f.Holder, Known: t.marked}
-	for _, s := range t.marks {
+	hm := w.ensure(bbunit.HolderID(f.Holder))
+	hm.frozen = true
+	tell := &bbwire.FreezeTell{Holder: f.Holder, Known: hm.marked}
+	for _, s := range hm.marks {
 		tell.Slices = append(tell.Slices, s)
 	}
 	sortSlices(tell.Slices)
