--- a/shared/bbroute/admission.go
+++ b/shared/bbroute/admission.go
@@ -18,145 +18,145 @@
 // far as this instance knows. While there is room it takes no lock; only those
 // that must wait line up behind one.
 type AdmissionController struct {
-	open    atomic.Int64 // requests let in
-	window  atomic.Int64 // how many may be in
-	waiting atomic.Int64 // length of the line
-	pace    gauge        // mean seconds of a request
+	inFlight            atomic.Int64 // requests let in
+	window              atomic.Int64 // how many may be in
+	queued              atomic.Int64 // length of the line
+	meanResponseSeconds atomicFloat  // mean seconds of a request
 
-	mu   sync.Mutex // guards line
-	line line
+	mu    sync.Mutex // guards line
+	queue waitQueue
 }
 
 // NewAdmissionController returns a gate without bound.
-func NewAdmissionController(rule AdmissionPolicy) *AdmissionController {
-	g := &AdmissionController{line: line{most: rule.MaxQueued, longest: rule.MaxWait}}
+func NewAdmissionController(policy AdmissionPolicy) *AdmissionController {
+	g := &AdmissionController{queue: waitQueue{maxLength: policy.MaxQueued, maxWait: policy.MaxWait}}
 	g.window.Store(unlimited)
 	return g
 }
 
 // InFlight returns how many requests are in.
-func (g *AdmissionController) InFlight() int { return int(g.open.Load()) }
+func (a *AdmissionController) InFlight() int { return int(a.inFlight.Load()) }
 
 // Queued returns how many requests wait.
-func (g *AdmissionController) Queued() int { return int(g.waiting.Load()) }
+func (a *AdmissionController) Queued() int { return int(a.queued.Load()) }
 
 // Window returns how many requests may be in.
-func (g *AdmissionController) Window() int { return int(g.window.Load()) }
+func (a *AdmissionController) Window() int { return int(a.window.Load()) }
 
 // TryAcquire lets a request in at once if there is room and nobody waits.
-func (g *AdmissionController) TryAcquire() bool {
-	return g.waiting.Load() == 0 && g.take()
+func (a *AdmissionController) TryAcquire() bool {
+	return a.queued.Load() == 0 && a.acquire()
 }
 
-// take takes a place if there is one.
-func (g *AdmissionController) take() bool {
-	if g.open.Add(1) <= g.window.Load() {
+// acquire takes a place if there is one.
+func (a *AdmissionController) acquire() bool {
+	if a.inFlight.Add(1) <= a.window.Load() {
 		return true
 	}
-	g.open.Add(-1)
+	a.inFlight.Add(-1)
 	return false
 }
 
 // Enqueue lines the request up, or returns a Refusal at once. Ready then tells
 // how the wait ended.
-func (g *AdmissionController) Enqueue(w *Waiter, now time.Time) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	out, err := g.line.join(w, now, g.rate())
+func (a *AdmissionController) Enqueue(w *Waiter, now time.Time) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	evicted, err := a.queue.enqueue(w, now, a.drainRate())
 	if err != nil {
 		return err
 	}
-	g.drop(out)
-	g.advance()
+	a.reject(evicted)
+	a.admitQueued()
 	return nil
 }
 
 // CancelWait takes a waiter out whose caller left. It returns false when the wait
 // had already ended; Ready then holds how.
-func (g *AdmissionController) CancelWait(w *Waiter) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	found := g.line.remove(w)
-	g.waiting.Store(int64(len(g.line.waiters)))
+func (a *AdmissionController) CancelWait(w *Waiter) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	found := a.queue.remove(w)
+	a.queued.Store(int64(len(a.queue.waiters)))
 	return found
 }
 
 // Release gives a place back.
-func (g *AdmissionController) Release() {
-	g.open.Add(-1)
-	if g.waiting.Load() > 0 {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		g.advance()
+func (a *AdmissionController) Release() {
+	a.inFlight.Add(-1)
+	if a.queued.Load() > 0 {
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		a.admitQueued()
 	}
 }
 
 // SetWindow sets how many requests may be in, and sheds those that can no longer
 // be served in time.
-func (g *AdmissionController) SetWindow(window float64, now time.Time) {
-	g.window.Store(int64(min(window, unlimited)))
-	if g.waiting.Load() == 0 {
+func (a *AdmissionController) SetWindow(window float64, now time.Time) {
+	a.window.Store(int64(min(window, unlimited)))
+	if a.queued.Load() == 0 {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, w := range g.line.shed(now, g.rate()) {
-		g.drop(w)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, w := range a.queue.evictLate(now, a.drainRate()) {
+		a.reject(w)
 	}
-	g.advance()
+	a.admitQueued()
 }
 
-// advance lets the first ones in while there is room. The length is stored
+// admitQueued lets the first ones in while there is room. The length is stored
 // before room is looked for, so that an Exit that misses it is seen here.
-func (g *AdmissionController) advance() {
-	g.waiting.Store(int64(len(g.line.waiters)))
-	for len(g.line.waiters) > 0 && g.take() {
-		g.line.next().Ready <- nil
-		g.waiting.Store(int64(len(g.line.waiters)))
+func (a *AdmissionController) admitQueued() {
+	a.queued.Store(int64(len(a.queue.waiters)))
+	for len(a.queue.waiters) > 0 && a.acquire() {
+		a.queue.dequeue().Ready <- nil
+		a.queued.Store(int64(len(a.queue.waiters)))
 	}
 }
 
-// drop refuses a waiter that has been taken out.
-func (g *AdmissionController) drop(w *Waiter) {
+// reject refuses a waiter that has been taken out.
+func (a *AdmissionController) reject(w *Waiter) {
 	if w != nil {
-		w.Ready <- refuse(ErrOverload, wait(len(g.line.waiters), g.rate()))
+		w.Ready <- newRefusal(ErrOverload, expectedWait(len(a.queue.waiters), a.drainRate()))
 	}
 }
 
-// rate returns how many requests a second leave the line.
-func (g *AdmissionController) rate() float64 {
-	return max(float64(g.window.Load()), 1) / g.paceSeconds()
+// drainRate returns how many requests a second leave the line.
+func (a *AdmissionController) drainRate() float64 {
+	return max(float64(a.window.Load()), 1) / a.responseSeconds()
 }
 
 // RecordDuration notes how long a request took.
-func (g *AdmissionController) RecordDuration(total time.Duration) {
-	g.pace.average(total.Seconds(), gatePaceWeight)
+func (a *AdmissionController) RecordDuration(duration time.Duration) {
+	a.meanResponseSeconds.updateEWMA(duration.Seconds(), responseTimeEWMAWeight)
 }
 
-func (g *AdmissionController) paceSeconds() float64 {
-	if s := g.pace.load(); s > 0 {
+func (a *AdmissionController) responseSeconds() float64 {
+	if s := a.meanResponseSeconds.load(); s > 0 {
 		return s
 	}
-	return defaultPace
+	return defaultResponseSeconds
 }
 
 // ExpectedDuration returns how long a request of that work runs, in thousandths of a mean
 // request.
-func (g *AdmissionController) ExpectedDuration(work int64) time.Duration {
-	return time.Duration(g.paceSeconds() * float64(work) / workUnit * float64(time.Second))
+func (a *AdmissionController) ExpectedDuration(work int64) time.Duration {
+	return time.Duration(a.responseSeconds() * float64(work) / meanRequestWork * float64(time.Second))
 }
 
 // UpdateWindow sets the gate's window from what is known of the targets, which n
 // instances use.
-func (g *Group) UpdateWindow(now time.Time, n int) {
+func (g *Group) UpdateWindow(now time.Time, instances int) {
 	var window float64
 	for i := range g.Local {
-		window += g.Local[i].allowance(now, n)
+		window += g.Local[i].allowance(now, instances)
 	}
 	if window == 0 {
-		window = g.farSlots // without the own failure domain all of theirs
+		window = g.remoteSlots // without the own failure domain all of theirs
 	} else {
-		window += g.farRoom
+		window += g.remoteRoom
 	}
-	g.gate.SetWindow(max(window, 1), now)
+	g.admission.SetWindow(max(window, 1), now)
 }
--- a/shared/bbroute/bench_test.go
+++ b/shared/bbroute/bench_test.go
@@ -10,39 +10,39 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// newQueueModel returns the model of 8 routers before 10 targets of 8 slots.
-func newQueueModel(policy string, load float64, seed uint64) *queueModel {
-	return &queueModel{
-		routers: 8, targets: 10, slots: 8,
-		service: 0.5, spread: 0.6,
-		report: 250 * time.Millisecond, lag: 250 * time.Millisecond,
-		warm: 10 * time.Second, length: 40 * time.Second,
-		load: load, seed: seed, policy: policy,
+// newSimulation returns the model of 8 routers before 10 targets of 8 slots.
+func newSimulation(policy string, load float64, seed uint64) *simulation {
+	return &simulation{
+		routerCount: 8, targetCount: 10, slots: 8,
+		meanServiceTime: 0.5, serviceTimeSigma: 0.6,
+		reportInterval: 250 * time.Millisecond, reportLag: 250 * time.Millisecond,
+		warmUp: 10 * time.Second, duration: 40 * time.Second,
+		offeredLoad: load, seed: seed, policy: policy,
 	}
 }
 
 const (
 	benchSeed = 1
-	benchOwn  = "bluebellport"
+	ownPolicy = "bluebellport"
 )
 
 var (
-	benchPolicies = []string{benchOwn, "random", "round robin"}
+	benchPolicies = []string{ownPolicy, "random", "round robin"}
 	benchLoads    = []float64{0.5, 0.8, 1.0, 1.5, 3}
 	benchCases    = []struct {
 		name string
-		set  func(m *queueModel)
+		set  func(m *simulation)
 	}{
-		{"even", func(*queueModel) {}},
-		{"one router gets half of the requests", func(m *queueModel) { m.skew = true }},
-		{"every third target at half its pace", func(m *queueModel) { m.slow = true }},
-		{"others keep half of every third target", func(m *queueModel) { m.outside = true }},
-		{"targets run on when callers give up", func(m *queueModel) { m.deaf = true }},
-		{"2 routers 3 targets", func(m *queueModel) { m.routers, m.targets = 2, 3 }},
-		{"reports every 4 s", func(m *queueModel) { m.report = 4 * time.Second }},
-		{"24 routers 40 targets of 16 slots", func(m *queueModel) {
-			m.routers, m.targets, m.slots = 24, 40, 16
-			m.warm, m.length = 5*time.Second, 10*time.Second
+		{"even", func(*simulation) {}},
+		{"one router gets half of the requests", func(m *simulation) { m.skewedArrivals = true }},
+		{"every third target at half its pace", func(m *simulation) { m.slowTargets = true }},
+		{"others keep half of every third target", func(m *simulation) { m.externalLoad = true }},
+		{"targets run on when callers give up", func(m *simulation) { m.ignoreCancel = true }},
+		{"2 routers 3 targets", func(m *simulation) { m.routerCount, m.targetCount = 2, 3 }},
+		{"reports every 4 s", func(m *simulation) { m.reportInterval = 4 * time.Second }},
+		{"24 routers 40 targets of 16 slots", func(m *simulation) {
+			m.routerCount, m.targetCount, m.slots = 24, 40, 16
+			m.warmUp, m.duration = 5*time.Second, 10*time.Second
 		}},
 	}
 )
@@ -54,18 +54,18 @@
 	for _, c := range benchCases {
 		for _, load := range benchLoads {
 			for _, policy := range benchPolicies {
-				m := newQueueModel(policy, load, benchSeed)
-				c.set(m)
-				var r *modelResult
+				s := newSimulation(policy, load, benchSeed)
+				c.set(s)
+				var r *simulationResult
 				b.Run(fmt.Sprintf("%s/load %.1f/%s", c.name, load, policy), func(b *testing.B) {
 					if r == nil {
-						r = m.run()
+						r = s.run()
 					}
 					b.ReportMetric(1000*r.quantile(0.5), "p50-ms")
 					b.ReportMetric(1000*r.quantile(0.95), "p95-ms")
 					b.ReportMetric(1000*r.quantile(0.99), "p99-ms")
-					b.ReportMetric(m.goodput(), "goodput")
-					b.ReportMetric(r.refusedPart(), "refused")
+					b.ReportMetric(s.goodput(), "goodput")
+					b.ReportMetric(r.refusedFraction(), "refused")
 					b.ReportMetric(0, "ns/op")
 				})
 			}
@@ -81,11 +81,11 @@
 			is := is.New(t)
 			var peak, last float64
 			for _, load := range benchLoads {
-				m := newQueueModel(benchOwn, load, benchSeed)
-				m.warm, m.length = 5*time.Second, 10*time.Second
-				c.set(m)
-				m.run()
-				last = m.goodput()
+				s := newSimulation(ownPolicy, load, benchSeed)
+				s.warmUp, s.duration = 5*time.Second, 10*time.Second
+				c.set(s)
+				s.run()
+				last = s.goodput()
 				peak = max(peak, last)
 			}
 			t.Logf("seed %d: goodput %.3f of the capacity, peak %.3f", benchSeed, last, peak)
@@ -99,9 +99,11 @@
 // is refused is of the lower priorities.
 func TestOverloadShedsLowPriorityFirst(t *testing.T) {
 	is := is.New(t)
-	r := newQueueModel(benchOwn, 3, benchSeed).run()
-	part := func(p bbunit.Priority) float64 { return float64(r.refused[p]) / float64(r.asked[p]) }
-	is.True(part(0) > part(1))
-	is.True(part(1) > part(2))
-	is.True(part(2) < 0.35)
+	r := newSimulation(ownPolicy, 3, benchSeed).run()
+	refusedFraction := func(p bbunit.Priority) float64 {
+		return float64(r.refusedByPriority[p]) / float64(r.offeredByPriority[p])
+	}
+	is.True(refusedFraction(0) > refusedFraction(1))
+	is.True(refusedFraction(1) > refusedFraction(2))
+	is.True(refusedFraction(2) < 0.35)
 }
--- a/shared/bbroute/capacity_test.go
+++ b/shared/bbroute/capacity_test.go
@@ -13,28 +13,28 @@
 // target, and one that touches a budget only.
 func BenchmarkCapacityNext(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
-		t := bbticket.Ticket{Number: 1}
+		ticket := bbticket.Ticket{Number: 1}
 		for i := range 4 {
-			t.Services = append(t.Services, bbticket.Service{ID: bbunit.ServiceID(fmt.Sprintf("model-%d", i))})
+			ticket.Services = append(ticket.Services, bbticket.Service{ID: bbunit.ServiceID(fmt.Sprintf("model-%d", i))})
 		}
 		for i := range n {
-			t.Targets = append(t.Targets, bbticket.Target{
-				ID: bbunit.TargetID(fmt.Sprintf("target-%05d", i)), Service: t.Services[i%4].ID,
+			ticket.Targets = append(ticket.Targets, bbticket.Target{
+				ID: bbunit.TargetID(fmt.Sprintf("target-%05d", i)), Service: ticket.Services[i%4].ID,
 				Address: "10.0.0.1:8000", Domain: bbunit.DomainID(fmt.Sprintf("domain-%02d", i%35)), Slots: 8,
 			})
 		}
-		s := (&bbticket.State{}).Apply(t)
+		state := (&bbticket.State{}).Apply(ticket)
 		now := time.Unix(1000, 0)
-		table := (&Table{}).WithState(s, "domain-00", AdmissionPolicy{}, now)
+		table := (&Table{}).WithState(state, "domain-00", AdmissionPolicy{}, now)
 		for name, next := range map[string]bbticket.Ticket{
-			"target": {Number: 2, Targets: t.Targets[:1]},
+			"target": {Number: 2, Targets: ticket.Targets[:1]},
 			"budget": {Number: 2, Budgets: []bbticket.Budget{{ID: "b"}}},
 		} {
-			state := s.Apply(next)
+			updated := state.Apply(next)
 			b.Run(fmt.Sprintf("%s/targets=%d", name, n), func(b *testing.B) {
 				b.ReportAllocs()
 				for range b.N {
-					table.WithState(state, "domain-00", AdmissionPolicy{}, now)
+					table.WithState(updated, "domain-00", AdmissionPolicy{}, now)
 				}
 			})
 		}
--- a/shared/bbroute/circuit.go
+++ b/shared/bbroute/circuit.go
@@ -20,49 +20,49 @@
 // after failures in a row, and lets one probe through when its time is over.
 // The zero value is closed. Its methods may be called at once and take no lock.
 type Circuit struct {
-	fails atomic.Int64 // in a row
-	until atomic.Int64 // open until, unix nanoseconds; 0 is closed
+	consecutiveFailures atomic.Int64 // in a row
+	openUntil           atomic.Int64 // open until, unix nanoseconds; 0 is closed
 }
 
 // Usable tells whether Enter may let a request through.
 func (c *Circuit) Usable(now time.Time) bool {
-	until := c.until.Load()
+	until := c.openUntil.Load()
 	return until == 0 || now.UnixNano() >= until
 }
 
 // Allow lets a request through. While the circuit is half-open only one caller
 // gets true, and the next one once that probe's time is over.
-func (c *Circuit) Allow(now time.Time, rule *CircuitPolicy) bool {
-	until := c.until.Load()
+func (c *Circuit) Allow(now time.Time, policy *CircuitPolicy) bool {
+	until := c.openUntil.Load()
 	if until == 0 {
 		return true
 	}
-	n := now.UnixNano()
-	return n >= until && c.until.CompareAndSwap(until, n+int64(rule.ProbeTimeout))
+	nowNanos := now.UnixNano()
+	return nowNanos >= until && c.openUntil.CompareAndSwap(until, nowNanos+int64(policy.ProbeTimeout))
 }
 
 // Closed tells that the circuit is not open or half-open.
-func (c *Circuit) Closed() bool { return c.until.Load() == 0 }
+func (c *Circuit) Closed() bool { return c.openUntil.Load() == 0 }
 
 // RecordSuccess closes the circuit and reports whether it was open.
 func (c *Circuit) RecordSuccess() bool {
-	if c.fails.Load() != 0 {
-		c.fails.Store(0)
+	if c.consecutiveFailures.Load() != 0 {
+		c.consecutiveFailures.Store(0)
 	}
-	return c.until.Load() != 0 && c.until.Swap(0) != 0
+	return c.openUntil.Load() != 0 && c.openUntil.Swap(0) != 0
 }
 
 // RecordFailure counts a failure that is the target's own, and reports whether the
 // circuit is open after it.
-func (c *Circuit) RecordFailure(now time.Time, rule *CircuitPolicy) bool {
-	fails := c.fails.Add(1)
-	if fails < int64(rule.FailureThreshold) {
+func (c *Circuit) RecordFailure(now time.Time, policy *CircuitPolicy) bool {
+	failures := c.consecutiveFailures.Add(1)
+	if failures < int64(policy.FailureThreshold) {
 		return false
 	}
-	open := rule.InitialOpen
-	for i := int64(rule.FailureThreshold); i < fails && open < rule.MaxOpen; i++ {
-		open *= 2
+	openFor := policy.InitialOpen
+	for i := int64(policy.FailureThreshold); i < failures && openFor < policy.MaxOpen; i++ {
+		openFor *= 2
 	}
-	c.until.Store(now.Add(min(open, rule.MaxOpen)).UnixNano())
+	c.openUntil.Store(now.Add(min(openFor, policy.MaxOpen)).UnixNano())
 	return true
 }
--- a/shared/bbroute/error.go
+++ b/shared/bbroute/error.go
@@ -48,7 +48,7 @@
 // Unwrap returns the sentinel error.
 func (r *Refusal) Unwrap() error { return r.Cause }
 
-// refuse returns a Refusal.
-func refuse(cause error, after time.Duration) error {
-	return &Refusal{Cause: cause, RetryAfter: after}
+// newRefusal returns a Refusal.
+func newRefusal(cause error, retryAfter time.Duration) error {
+	return &Refusal{Cause: cause, RetryAfter: retryAfter}
 }
--- a/shared/bbroute/estimate.go
+++ b/shared/bbroute/estimate.go
@@ -5,86 +5,86 @@
 	"time"
 )
 
-// others estimates how many requests of other instances the target runs now.
+// otherLoad estimates how many requests of other instances the target runs now.
 // What the last report told fades, with the time that an answer takes, into
 // what the target usually has: else all instances would run after the same late
 // news.
-func (t *TargetState) others(now time.Time, pace float64) float64 {
+func (t *TargetState) otherLoad(now time.Time, responseSeconds float64) float64 {
 	r := t.report.Load()
 	if r == nil {
 		return 0
 	}
 	age := now.Sub(r.SampledAt).Seconds()
-	fresh := math.Exp(-max(age, 0) / (pace * newsLife))
-	return fresh*r.others() + (1-fresh)*t.usual.load()
+	freshness := math.Exp(-max(age, 0) / (responseSeconds * reportDecayFactor))
+	return freshness*r.otherLoad() + (1-freshness)*t.meanOtherLoad.load()
 }
 
-// others returns how many of the reported requests are other instances'.
-func (r *LoadReport) others() float64 { return float64(max(r.Running+r.Waiting-r.own, 0)) }
+// otherLoad returns how many of the reported requests are other instances'.
+func (r *LoadReport) otherLoad() float64 { return float64(max(r.Running+r.Waiting-r.ownInFlight, 0)) }
 
-// load estimates the target's requests, in mean requests.
-func (t *TargetState) load(now time.Time, pace float64) float64 {
-	return float64(t.work.Load())/workUnit + t.others(now, pace)
+// estimatedLoad estimates the target's requests, in mean requests.
+func (t *TargetState) estimatedLoad(now time.Time, responseSeconds float64) float64 {
+	return float64(t.inFlightWork.Load())/meanRequestWork + t.otherLoad(now, responseSeconds)
 }
 
-// paceSeconds returns the mean time of an answer: the service's, unless the
+// responseSeconds returns the mean time of an answer: the service's, unless the
 // target is clearly faster or slower.
-func (p *Candidate) paceSeconds() float64 {
-	mean := p.gate.paceSeconds()
-	own := p.State.pace.load()
-	if own == 0 || own < mean*paceBand && own > mean/paceBand {
-		return mean
+func (c *Candidate) responseSeconds() float64 {
+	serviceMean := c.admission.responseSeconds()
+	targetMean := c.State.meanResponseSeconds.load()
+	if targetMean == 0 || targetMean < serviceMean*responseTimeTolerance && targetMean > serviceMean/responseTimeTolerance {
+		return serviceMean
 	}
-	return own
+	return targetMean
 }
 
 // slots returns the slots to reckon with.
-func (p *Candidate) slots() float64 { return p.slotsOr(defaultSlots) }
+func (c *Candidate) slots() float64 { return c.slotsOr(defaultSlots) }
 
 // slotsOr returns the slots, or n when the target tells none.
-func (p *Candidate) slotsOr(n float64) float64 {
-	if s := p.Slots(); s > 0 {
+func (c *Candidate) slotsOr(fallback float64) float64 {
+	if s := c.Slots(); s > 0 {
 		return float64(s)
 	}
-	return n
+	return fallback
 }
 
 // ExpectedWait returns how long a new request is expected to wait at the target before
 // it runs.
-func (p *Candidate) ExpectedWait(now time.Time) time.Duration {
-	t := p.State
-	pace := p.paceSeconds()
-	ahead := t.load(now, pace) + 1 - p.slots()
-	wait := max(ahead, 0) / p.slots() * pace
-	if busy := t.busy.Load() - now.UnixNano(); busy > 0 {
-		wait = max(wait, time.Duration(busy).Seconds())
+func (c *Candidate) ExpectedWait(now time.Time) time.Duration {
+	t := c.State
+	responseSeconds := c.responseSeconds()
+	queued := t.estimatedLoad(now, responseSeconds) + 1 - c.slots()
+	wait := max(queued, 0) / c.slots() * responseSeconds
+	if busyFor := t.busyUntil.Load() - now.UnixNano(); busyFor > 0 {
+		wait = max(wait, time.Duration(busyFor).Seconds())
 	}
 	return time.Duration(wait * float64(time.Second))
 }
 
 // Score orders targets: the time that the work at hand keeps one slot busy,
 // raised while the target is new.
-func (p *Candidate) Score(now time.Time, rule *PickPolicy) float64 {
-	t := p.State
-	pace := p.paceSeconds()
-	score := (t.load(now, pace) + 1) / p.slots() * pace
-	if t.busy.Load() > now.UnixNano() {
-		score += pace
+func (c *Candidate) Score(now time.Time, policy *PickPolicy) float64 {
+	t := c.State
+	responseSeconds := c.responseSeconds()
+	score := (t.estimatedLoad(now, responseSeconds) + 1) / c.slots() * responseSeconds
+	if t.busyUntil.Load() > now.UnixNano() {
+		score += responseSeconds
 	}
-	age := now.UnixNano() - t.since.Load()
-	if age >= 0 && age < int64(rule.SlowStart) {
-		ramp := float64(age) / float64(rule.SlowStart)
-		score /= max(ramp, slowStartLeast)
+	age := now.UnixNano() - t.slowStartAt.Load()
+	if age >= 0 && age < int64(policy.SlowStart) {
+		ramp := float64(age) / float64(policy.SlowStart)
+		score /= max(ramp, slowStartMinShare)
 	}
 	return score
 }
 
-// roomFar tells whether the target of another failure domain, whose load is
+// hasRemoteRoom tells whether the target of another failure domain, whose load is
 // not known here, may take one more request from this instance.
-func (p *Candidate) roomFar() bool {
-	return p.State.InFlight() < p.mostFar()
+func (c *Candidate) hasRemoteRoom() bool {
+	return c.State.InFlight() < c.maxRemoteInFlight()
 }
 
-// mostFar returns how many requests of this instance the target of another
+// maxRemoteInFlight returns how many requests of this instance the target of another
 // failure domain may run while the own one has usable targets.
-func (p *Candidate) mostFar() int { return max(int(p.slots()*farPart), 1) }
+func (c *Candidate) maxRemoteInFlight() int { return max(int(c.slots()*remoteSlotShare), 1) }
--- a/shared/bbroute/group.go
+++ b/shared/bbroute/group.go
@@ -26,14 +26,14 @@
 	Local   []Candidate
 	Remote  []Candidate
 
-	turn    *atomic.Uint64
-	output  *gauge // mean tokens of an answer
-	gate    *AdmissionController
-	limiter *Limiter
-	retries *RetryBudget
-	// farRoom is how many requests other failure domains may take beside the
+	roundRobin  *atomic.Uint64
+	meanOutput  *atomicFloat // mean tokens of an answer
+	admission   *AdmissionController
+	limiter     *Limiter
+	retryBudget *RetryBudget
+	// remoteRoom is how many requests other failure domains may take beside the
 	// own one, and farSlots without it.
-	farRoom, farSlots float64
+	remoteRoom, remoteSlots float64
 }
 
 // PickOptions tells what Pick must leave out, and how to break ties.
@@ -49,175 +49,177 @@
 
 // Pick returns the target for the request, already counted in its circuit, or
 // nil when none is usable. It allocates nothing and takes no lock.
-func (g *Group) Pick(ask *Request, c *PickOptions, rule *PickPolicy) *Candidate {
-	c.RoundRobin = g.turn.Add(1)
+func (g *Group) Pick(req *Request, opts *PickOptions, policy *PickPolicy) *Candidate {
+	opts.RoundRobin = g.roundRobin.Add(1)
 	for range len(g.Local) + len(g.Remote) {
-		p := g.choose(ask, c, rule)
-		if p == nil {
+		candidate := g.choose(req, opts, policy)
+		if candidate == nil {
 			return nil
 		}
-		if p.State.Circuit.Allow(c.Now, &rule.Circuit) {
-			return p
+		if candidate.State.Circuit.Allow(opts.Now, &policy.Circuit) {
+			return candidate
 		}
-		c.Rand = mix(c.Rand)
-		c.RoundRobin++
+		opts.Rand = splitmix64(opts.Rand)
+		opts.RoundRobin++
 	}
 	return nil
 }
 
 // choose weighs the own failure domain against the others.
-func (g *Group) choose(ask *Request, c *PickOptions, rule *PickPolicy) *Candidate {
-	near := affine(g.Local, ask, c, rule)
-	if near == nil {
-		near = pickTwo(g.Local, c, rule)
+func (g *Group) choose(req *Request, opts *PickOptions, policy *PickPolicy) *Candidate {
+	local := pickByAffinity(g.Local, req, opts, policy)
+	if local == nil {
+		local = pickOfTwo(g.Local, opts, policy)
 	}
-	if near != nil && near.ExpectedWait(c.Now) <= rule.SpillWait {
-		return near
+	if local != nil && local.ExpectedWait(opts.Now) <= policy.SpillWait {
+		return local
 	}
-	far := pickTwo(g.Remote, c, rule)
-	if near == nil {
-		return far
+	remote := pickOfTwo(g.Remote, opts, policy)
+	if local == nil {
+		return remote
 	}
-	if far != nil && far.roomFar() && far.ExpectedWait(c.Now) < near.ExpectedWait(c.Now) {
-		return far
+	if remote != nil && remote.hasRemoteRoom() && remote.ExpectedWait(opts.Now) < local.ExpectedWait(opts.Now) {
+		return remote
 	}
-	return near
+	return local
 }
 
-// pickTwo returns the better of two usable places: the next one in turn and one
+// pickOfTwo returns the better of two usable places: the next one in turn and one
 // drawn at random. The one in turn wins when they are about as loaded, which
 // spreads requests more evenly than two random draws.
-func pickTwo(places []Candidate, c *PickOptions, rule *PickPolicy) *Candidate {
-	if len(places) == 0 {
+func pickOfTwo(candidates []Candidate, opts *PickOptions, policy *PickPolicy) *Candidate {
+	if len(candidates) == 0 {
 		return nil
 	}
-	first := &places[c.RoundRobin%uint64(len(places))]
-	if !c.open(first) || c.shared(first) {
-		if first = draw(places, c, nil); first == nil {
+	first := &candidates[opts.RoundRobin%uint64(len(candidates))]
+	if !opts.eligible(first) || opts.runsOtherSuspect(first) {
+		if first = pickRandom(candidates, opts, nil); first == nil {
 			return nil
 		}
 	}
-	second := draw(places, c, first)
+	second := pickRandom(candidates, opts, first)
 	if second == nil {
 		return first
 	}
-	margin := choiceMargin / second.slots() * second.paceSeconds()
-	if first.Score(c.Now, rule) <= second.Score(c.Now, rule)+margin {
+	margin := roundRobinMargin / second.slots() * second.responseSeconds()
+	if first.Score(opts.Now, policy) <= second.Score(opts.Now, policy)+margin {
 		return first
 	}
 	return second
 }
 
-// draw returns a usable place other than not. It looks at a few places at
+// pickRandom returns a usable place other than not. It looks at a few places at
 // random, then at all in order, so that a usable one is never missed; only a
 // suspect that finds all usable places shared takes one of those.
-func draw(places []Candidate, c *PickOptions, not *Candidate) *Candidate {
-	n := uint64(len(places))
+func pickRandom(candidates []Candidate, opts *PickOptions, excluded *Candidate) *Candidate {
+	n := uint64(len(candidates))
 	if n == 0 {
 		return nil
 	}
 	for range 4 {
-		c.Rand = mix(c.Rand)
-		if p := &places[c.Rand%n]; p != not && c.open(p) && !c.shared(p) {
-			return p
+		opts.Rand = splitmix64(opts.Rand)
+		if candidate := &candidates[opts.Rand%n]; candidate != excluded && opts.eligible(candidate) && !opts.runsOtherSuspect(candidate) {
+			return candidate
 		}
 	}
-	start := c.Rand % n
-	var shared *Candidate
+	start := opts.Rand % n
+	var fallback *Candidate
 	for i := range n {
-		p := &places[(start+i)%n]
-		if p == not || !c.open(p) {
+		candidate := &candidates[(start+i)%n]
+		if candidate == excluded || !opts.eligible(candidate) {
 			continue
 		}
-		if !c.shared(p) {
-			return p
+		if !opts.runsOtherSuspect(candidate) {
+			return candidate
 		}
-		shared = p
+		fallback = candidate
 	}
-	return shared
+	return fallback
 }
 
-// open tells whether the place may get the request.
-func (c *PickOptions) open(p *Candidate) bool {
-	return p.Usable(c.Now) && (len(c.Exclude) == 0 || !slices.Contains(c.Exclude, p.State.ID))
+// eligible tells whether the place may get the request.
+func (o *PickOptions) eligible(candidate *Candidate) bool {
+	return candidate.Usable(o.Now) && (len(o.Exclude) == 0 || !slices.Contains(o.Exclude, candidate.State.ID))
 }
 
-// shared tells that a crash of the place would not tell two suspects apart.
-func (c *PickOptions) shared(p *Candidate) bool { return c.Suspect && p.State.suspects.Load() > 0 }
+// runsOtherSuspect tells that a crash of the place would not tell two suspects apart.
+func (o *PickOptions) runsOtherSuspect(candidate *Candidate) bool {
+	return o.Suspect && candidate.State.suspects.Load() > 0
+}
 
-// affine returns the place that the request's prefix hashes to, unless it has
+// pickByAffinity returns the place that the request's prefix hashes to, unless it has
 // more than its bound of the load; then the next one, then none.
-func affine(places []Candidate, ask *Request, c *PickOptions, rule *PickPolicy) *Candidate {
-	if len(ask.PrefixHashes) == 0 || len(places) < 2 || c.Suspect {
+func pickByAffinity(candidates []Candidate, req *Request, opts *PickOptions, policy *PickPolicy) *Candidate {
+	if len(req.PrefixHashes) == 0 || len(candidates) < 2 || opts.Suspect {
 		return nil
 	}
-	key := ask.PrefixHashes[min(affinityDepth, len(ask.PrefixHashes))-1]
+	key := req.PrefixHashes[min(affinityMessages, len(req.PrefixHashes))-1]
 	var first, second *Candidate
-	var high, next uint64
-	var sum float64
+	var firstHash, secondHash uint64
+	var totalScore float64
 	var usable int
-	for i := range places {
-		p := &places[i]
-		if !c.open(p) {
+	for i := range candidates {
+		candidate := &candidates[i]
+		if !opts.eligible(candidate) {
 			continue
 		}
 		usable++
-		sum += p.Score(c.Now, rule)
-		switch h := mix(key ^ p.State.hash); {
-		case first == nil || h > high:
-			first, second, high, next = p, first, h, high
-		case second == nil || h > next:
-			second, next = p, h
+		totalScore += candidate.Score(opts.Now, policy)
+		switch hash := splitmix64(key ^ candidate.State.idHash); {
+		case first == nil || hash > firstHash:
+			first, second, firstHash, secondHash = candidate, first, hash, firstHash
+		case second == nil || hash > secondHash:
+			second, secondHash = candidate, hash
 		}
 	}
-	bound := affinityBound * sum / float64(max(usable, 1))
-	for _, p := range []*Candidate{first, second} {
-		if p != nil && p.Score(c.Now, rule) <= bound && p.ExpectedWait(c.Now) == 0 {
-			return p
+	bound := affinityLoadFactor * totalScore / float64(max(usable, 1))
+	for _, candidate := range []*Candidate{first, second} {
+		if candidate != nil && candidate.Score(opts.Now, policy) <= bound && candidate.ExpectedWait(opts.Now) == 0 {
+			return candidate
 		}
 	}
 	return nil
 }
 
 // ExpectedWork returns the request's expected work, in thousandths of a mean request.
-func (g *Group) ExpectedWork(ask *Request) int64 {
-	mean := g.output.load()
-	if ask.ExpectedOutput <= 0 || mean <= 0 {
-		return workUnit
+func (g *Group) ExpectedWork(req *Request) int64 {
+	mean := g.meanOutput.load()
+	if req.ExpectedOutput <= 0 || mean <= 0 {
+		return meanRequestWork
 	}
-	part := float64(ask.ExpectedOutput) / mean
-	return int64(workUnit * min(max(part, 0.25), 4))
+	ratio := float64(req.ExpectedOutput) / mean
+	return int64(meanRequestWork * min(max(ratio, 0.25), 4))
 }
 
 // Admission returns the service's gate.
-func (g *Group) Admission() *AdmissionController { return g.gate }
+func (g *Group) Admission() *AdmissionController { return g.admission }
 
 // RetryBudget returns the retry budget of the service.
-func (g *Group) RetryBudget() *RetryBudget { return g.retries }
+func (g *Group) RetryBudget() *RetryBudget { return g.retryBudget }
 
 // Limiter returns the limiter of the service.
 func (g *Group) Limiter() *Limiter { return g.limiter }
 
 // RecordCompletion notes a whole answer: how many tokens it had and how long it took.
-func (g *Group) RecordCompletion(t *TargetState, output bbunit.Tokens, total time.Duration) {
-	if total <= 0 {
+func (g *Group) RecordCompletion(t *TargetState, output bbunit.Tokens, duration time.Duration) {
+	if duration <= 0 {
 		return
 	}
-	g.gate.RecordDuration(total)
+	g.admission.RecordDuration(duration)
 	work := 1.0
 	if output > 0 {
-		g.output.average(float64(output), paceWeight)
-		work = float64(output) / g.output.load()
+		g.meanOutput.updateEWMA(float64(output), completionEWMAWeight)
+		work = float64(output) / g.meanOutput.load()
 	}
-	t.pace.average(total.Seconds()/max(work, 0.1), paceWeight)
+	t.meanResponseSeconds.updateEWMA(duration.Seconds()/max(work, 0.1), completionEWMAWeight)
 }
 
 // Find returns the place of a target, nil when the service has none of that id.
 func (g *Group) Find(id bbunit.TargetID) *Candidate {
-	for _, places := range [][]Candidate{g.Local, g.Remote} {
-		for i := range places {
-			if places[i].State.ID == id {
-				return &places[i]
+	for _, candidates := range [][]Candidate{g.Local, g.Remote} {
+		for i := range candidates {
+			if candidates[i].State.ID == id {
+				return &candidates[i]
 			}
 		}
 	}
@@ -225,6 +227,6 @@
 }
 
 // Allow lets a request through to the place if it is usable.
-func (p *Candidate) Allow(now time.Time, rule *PickPolicy) bool {
-	return p.Usable(now) && p.State.Circuit.Allow(now, &rule.Circuit)
+func (c *Candidate) Allow(now time.Time, policy *PickPolicy) bool {
+	return c.Usable(now) && c.State.Circuit.Allow(now, &policy.Circuit)
 }
--- a/shared/bbroute/limiter.go
+++ b/shared/bbroute/limiter.go
@@ -12,16 +12,16 @@
 type Limiter struct {
 	Key string
 
-	demand atomic.Int64 // requests asked for since the last Tick
-	open   atomic.Int64 // requests in flight
-	next   atomic.Int64 // theoretical arrival time, unix nanoseconds
+	demand    atomic.Int64 // requests asked for since the last Tick
+	inFlight  atomic.Int64 // requests in flight
+	arrivalAt atomic.Int64 // theoretical arrival time, unix nanoseconds
 
-	step  atomic.Int64 // nanoseconds between requests; 0 does not limit
-	burst atomic.Int64 // nanoseconds that requests may come early
-	most  atomic.Int64 // requests in flight; 0 does not limit
+	interval       atomic.Int64 // nanoseconds between requests; 0 does not limit
+	burstTolerance atomic.Int64 // nanoseconds that requests may come early
+	maxInFlight    atomic.Int64 // requests in flight; 0 does not limit
 
-	wanted gauge // requests a second asked for, a running mean
-	limit  atomic.Pointer[bbticket.Limit]
+	meanDemand atomicFloat // requests a second asked for, a running mean
+	limit      atomic.Pointer[bbticket.Limit]
 }
 
 // NewLimiter returns a limiter that holds the whole limit.
@@ -49,44 +49,44 @@
 // Acquire counts a request in, or returns a Refusal.
 func (l *Limiter) Acquire(now time.Time) error {
 	l.demand.Add(1)
-	if most := l.most.Load(); l.open.Add(1) > most && most > 0 {
-		l.open.Add(-1)
-		return refuse(ErrLimit, openRetry)
+	if maxInFlight := l.maxInFlight.Load(); l.inFlight.Add(1) > maxInFlight && maxInFlight > 0 {
+		l.inFlight.Add(-1)
+		return newRefusal(ErrLimit, inFlightRetryAfter)
 	}
-	if after := l.take(now.UnixNano()); after > 0 {
-		l.open.Add(-1)
-		return refuse(ErrLimit, after)
+	if retryAfter := l.advanceArrival(now.UnixNano()); retryAfter > 0 {
+		l.inFlight.Add(-1)
+		return newRefusal(ErrLimit, retryAfter)
 	}
 	return nil
 }
 
-// take moves the theoretical arrival time on by a step, or returns how long to
+// advanceArrival moves the theoretical arrival time on by a step, or returns how long to
 // wait until it may (generic cell rate algorithm).
-func (l *Limiter) take(now int64) time.Duration {
-	step := l.step.Load()
-	if step == 0 {
+func (l *Limiter) advanceArrival(now int64) time.Duration {
+	interval := l.interval.Load()
+	if interval == 0 {
 		return 0
 	}
 	for {
-		was := l.next.Load()
-		next := max(was, now) + step
-		if early := next - now - max(l.burst.Load(), step); early > 0 {
-			return time.Duration(early)
+		old := l.arrivalAt.Load()
+		next := max(old, now) + interval
+		if retryAfter := next - now - max(l.burstTolerance.Load(), interval); retryAfter > 0 {
+			return time.Duration(retryAfter)
 		}
-		if l.next.CompareAndSwap(was, next) {
+		if l.arrivalAt.CompareAndSwap(old, next) {
 			return 0
 		}
 	}
 }
 
 // Release counts a request out.
-func (l *Limiter) Release() { l.open.Add(-1) }
+func (l *Limiter) Release() { l.inFlight.Add(-1) }
 
 // Cancel counts a request out that was not let in after all, and gives its step
 // back.
 func (l *Limiter) Cancel() {
-	l.open.Add(-1)
-	l.next.Add(-l.step.Load())
+	l.inFlight.Add(-1)
+	l.arrivalAt.Add(-l.interval.Load())
 }
 
 // Usage is what an instance asks of a limit.
@@ -99,56 +99,56 @@
 
 // UpdateUsage folds the requests asked for since the last tick into the running mean
 // and returns the instance's own usage.
-func (l *Limiter) UpdateUsage(past time.Duration) Usage {
-	if past > 0 {
-		rate := float64(l.demand.Swap(0)) / past.Seconds()
-		l.wanted.store(l.wanted.load() + usageWeight*(rate-l.wanted.load()))
+func (l *Limiter) UpdateUsage(elapsed time.Duration) Usage {
+	if elapsed > 0 {
+		rate := float64(l.demand.Swap(0)) / elapsed.Seconds()
+		l.meanDemand.store(l.meanDemand.load() + usageEWMAWeight*(rate-l.meanDemand.load()))
 	}
-	return Usage{Rate: l.wanted.load(), InFlight: int(max(l.open.Load(), 0))}
+	return Usage{Rate: l.meanDemand.load(), InFlight: int(max(l.inFlight.Load(), 0))}
 }
 
 // UpdateShare sets the share of this instance, one of n in its failure domain, from
 // its own usage and what the others told of theirs.
-func (l *Limiter) UpdateShare(own Usage, others []Usage, n int) {
+func (l *Limiter) UpdateShare(own Usage, others []Usage, instances int) {
 	limit := l.limit.Load()
-	n = max(n, len(others)+1)
+	instances = max(instances, len(others)+1)
 	if limit.Rate > 0 {
-		part := share(own.Rate, sumRate(others), n, limit.Rate)
+		fraction := share(own.Rate, sumRate(others), instances, limit.Rate)
 		burst := limit.Burst
 		if burst == 0 {
 			burst = limit.Rate
 		}
-		step := 1 / (limit.Rate * part)
-		l.burst.Store(int64(nanos(max(burst*part, 1) * step)))
-		l.step.Store(int64(max(nanos(step), 1)))
+		interval := 1 / (limit.Rate * fraction)
+		l.burstTolerance.Store(int64(secondsToDuration(max(burst*fraction, 1) * interval)))
+		l.interval.Store(int64(max(secondsToDuration(interval), 1)))
 	} else {
-		l.step.Store(0)
+		l.interval.Store(0)
 	}
 	if limit.MaxInFlight > 0 {
-		part := share(float64(own.InFlight), sumOpen(others), n, float64(limit.MaxInFlight))
-		l.most.Store(int64(max(float64(limit.MaxInFlight)*part, 1)))
+		fraction := share(float64(own.InFlight), sumInFlight(others), instances, float64(limit.MaxInFlight))
+		l.maxInFlight.Store(int64(max(float64(limit.MaxInFlight)*fraction, 1)))
 	} else {
-		l.most.Store(0)
+		l.maxInFlight.Store(0)
 	}
 }
 
 // share returns the part of a limit that one of n instances may use. It follows
 // its part of the usage; a floor for each leaves room to start. Over instances
 // that know the same usage the parts add up to 1.
-func share(own, others float64, n int, limit float64) float64 {
-	floor := limit * shareFloor
-	return (own + floor) / (own + others + float64(n)*floor)
+func share(own, others float64, instances int, limit float64) float64 {
+	floor := limit * minUsageShare
+	return (own + floor) / (own + others + float64(instances)*floor)
 }
 
-func sumRate(us []Usage) (sum float64) {
-	for _, u := range us {
+func sumRate(usages []Usage) (sum float64) {
+	for _, u := range usages {
 		sum += u.Rate
 	}
 	return sum
 }
 
-func sumOpen(us []Usage) (sum float64) {
-	for _, u := range us {
+func sumInFlight(usages []Usage) (sum float64) {
+	for _, u := range usages {
 		sum += float64(u.InFlight)
 	}
 	return sum
--- a/shared/bbroute/limiter_test.go
+++ b/shared/bbroute/limiter_test.go
@@ -12,31 +12,31 @@
 	"bluebellport.example/shared/bbticket"
 )
 
-// TestLimiterHoldsRate holds that no more than burst and rate allow get in, and
+// TestLimiterEnforcesRate holds that no more than burst and rate allow get in, and
 // that whoever comes back when told to gets in.
-func TestLimiterHoldsRate(t *testing.T) {
+func TestLimiterEnforcesRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.5, 200).Draw(t, "rate")
 		burst := rapid.Float64Range(1, 50).Draw(t, "burst")
 		l := NewLimiter("k", bbticket.Limit{Rate: rate, Burst: burst})
-		now, in := testNow, 0
+		now, admitted := testNow, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 			err := l.Acquire(now)
 			if err != nil {
-				var r *Refusal
-				if !errors.As(err, &r) || !errors.Is(err, ErrLimit) || r.RetryAfter <= 0 {
+				var refusal *Refusal
+				if !errors.As(err, &refusal) || !errors.Is(err, ErrLimit) || refusal.RetryAfter <= 0 {
 					t.Fatalf("refused with %v", err)
 				}
-				now = now.Add(r.RetryAfter)
+				now = now.Add(refusal.RetryAfter)
 				if err := l.Acquire(now); err != nil {
-					t.Fatalf("refused again after %s: %v", r.RetryAfter, err)
+					t.Fatalf("refused again after %s: %v", refusal.RetryAfter, err)
 				}
 			}
-			in++
-			most := burst + rate*now.Sub(testNow).Seconds() + 1
-			if float64(in) > most {
-				t.Fatalf("%d in, at most %.1f allowed", in, most)
+			admitted++
+			allowed := burst + rate*now.Sub(testNow).Seconds() + 1
+			if float64(admitted) > allowed {
+				t.Fatalf("%d in, at most %.1f allowed", admitted, allowed)
 			}
 		}
 	})
@@ -48,12 +48,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		usage := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 12).Draw(t, "usage")
 		limit := rapid.Float64Range(0.1, 1000).Draw(t, "limit")
-		var all, sum float64
+		var total, sum float64
 		for _, u := range usage {
-			all += u
+			total += u
 		}
 		for _, u := range usage {
-			sum += share(u, all-u, len(usage), limit)
+			sum += share(u, total-u, len(usage), limit)
 		}
 		if math.Abs(sum-1) > 1e-9 {
 			t.Fatalf("shares add up to %g", sum)
@@ -64,17 +64,17 @@
 func TestLimiterFollowsUsage(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter("k", bbticket.Limit{Rate: 100, MaxInFlight: 10})
-	rate := func() float64 { return float64(time.Second) / float64(l.step.Load()) }
+	rate := func() float64 { return float64(time.Second) / float64(l.interval.Load()) }
 	l.UpdateShare(Usage{}, nil, 4)
 	is.True(math.Abs(rate()-25) < 1) // idle: a quarter each
 	l.UpdateShare(Usage{Rate: 200, InFlight: 10}, []Usage{{}, {}, {}}, 4)
 	is.True(rate() > 90) // the busy one gets nearly all
-	is.Equal(l.most.Load(), int64(8))
+	is.Equal(l.maxInFlight.Load(), int64(8))
 	l.UpdateShare(Usage{}, []Usage{{Rate: 200}, {}, {}}, 4)
 	is.True(rate() > 1 && rate() < 5) // an idle one can still start
 }
 
-func TestLimiterOpen(t *testing.T) {
+func TestLimiterInFlight(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter("k", bbticket.Limit{MaxInFlight: 1})
 	is.NoErr(l.Acquire(testNow))
@@ -83,7 +83,7 @@
 	is.NoErr(l.Acquire(testNow))
 }
 
-func TestLimiterUndoGivesBack(t *testing.T) {
+func TestLimiterCancelRefunds(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter("k", bbticket.Limit{Rate: 1, Burst: 1})
 	is.NoErr(l.Acquire(testNow))
--- a/shared/bbroute/order.go
+++ b/shared/bbroute/order.go
@@ -58,69 +58,69 @@
 	// WaitUntil is when to go on after OrderStepWait.
 	WaitUntil time.Time
 
-	written   bool
-	unsettled bool // an intent before may have calls under way
-	acked     bool
+	written      bool
+	earlierCalls bool // an intent before may have calls under way
+	acknowledged bool
 }
 
 // NewOrder returns an order whose by is unique to it.
-func NewOrder(action, model, by string) *Order {
-	return &Order{Intent: Intent{Action: action, Model: model, OrderID: by}}
+func NewOrder(action, model, orderID string) *Order {
+	return &Order{Intent: Intent{Action: action, Model: model, OrderID: orderID}}
 }
 
 // OnRead takes the intent as it was just read and returns the next step. Checks
 // tells that the target refuses old fencing numbers; call is the longest time of
 // a call. A write that was refused, or whose answer was lost, is followed by
 // another reading.
-func (o *Order) OnRead(now time.Time, top Intent, checks bool, call time.Duration) OrderStep {
+func (o *Order) OnRead(now time.Time, latest Intent, checksFence bool, callTimeout time.Duration) OrderStep {
 	switch {
-	case !o.written && top.OrderID != o.Intent.OrderID:
-		o.Intent.Fence = top.Fence + 1
-		o.unsettled = top.Fence > 0
+	case !o.written && latest.OrderID != o.Intent.OrderID:
+		o.Intent.Fence = latest.Fence + 1
+		o.earlierCalls = latest.Fence > 0
 		return OrderStepWrite
 	case !o.written: // an answer was lost
-		o.written, o.WaitUntil = true, now.Add(call)
+		o.written, o.WaitUntil = true, now.Add(callTimeout)
 	}
 	switch {
-	case top.OrderID != o.Intent.OrderID:
+	case latest.OrderID != o.Intent.OrderID:
 		return OrderStepSuperseded
-	case top.Done:
+	case latest.Done:
 		return OrderStepEnd
-	case o.acked:
+	case o.acknowledged:
 		o.Intent.Done = true
 		return OrderStepMark
-	case !checks && o.unsettled && now.Before(o.WaitUntil):
+	case !checksFence && o.earlierCalls && now.Before(o.WaitUntil):
 		return OrderStepWait
 	}
 	return OrderStepSend
 }
 
 // OnWritten notes that the write of Mine was acknowledged at now.
-func (o *Order) OnWritten(now time.Time, call time.Duration) {
-	o.written, o.WaitUntil = true, now.Add(call)
+func (o *Order) OnWritten(now time.Time, callTimeout time.Duration) {
+	o.written, o.WaitUntil = true, now.Add(callTimeout)
 }
 
 // OnAcknowledged notes that the target acknowledged the order.
-func (o *Order) OnAcknowledged() { o.acked = true }
+func (o *Order) OnAcknowledged() { o.acknowledged = true }
 
 // Resender decides when the home of a target's orders sends the last one again:
 // while it is not done, and, to a target that does not check fencing numbers,
 // ever again, since an orderer that was paused may have sent an older one after
 // it. The zero value has read nothing.
 type Resender struct {
-	fence bbunit.Fence
-	since time.Time
+	fence       bbunit.Fence
+	firstReadAt time.Time
 }
 
 // ShouldSend takes the intent as it was just read and tells whether to send it. Like
 // an orderer, it first waits out calls for the intent before, since when this
 // one was first read.
-func (r *Resender) ShouldSend(now time.Time, top Intent, checks bool, call time.Duration) bool {
-	if r.fence != top.Fence {
-		r.fence, r.since = top.Fence, now
+func (r *Resender) ShouldSend(now time.Time, latest Intent, checksFence bool, callTimeout time.Duration) bool {
+	if r.fence != latest.Fence {
+		r.fence, r.firstReadAt = latest.Fence, now
 	}
-	if checks {
-		return top.Fence > 0 && !top.Done
+	if checksFence {
+		return latest.Fence > 0 && !latest.Done
 	}
-	return top.Fence > 0 && !now.Before(r.since.Add(call))
+	return latest.Fence > 0 && !now.Before(r.firstReadAt.Add(callTimeout))
 }
--- a/shared/bbroute/order_test.go
+++ b/shared/bbroute/order_test.go
@@ -9,176 +9,176 @@
 	"pgregory.net/rapid"
 )
 
-func TestOrderRead(t *testing.T) {
-	const call = time.Second
-	before := Intent{Fence: 4, OrderID: "other"}
+func TestOrderOnRead(t *testing.T) {
+	const callTimeout = time.Second
+	previous := Intent{Fence: 4, OrderID: "other"}
 	mine := Intent{Fence: 5, OrderID: "me"}
 	done := Intent{Fence: 5, OrderID: "me", Done: true}
-	written := func(o *Order) { o.OnRead(testNow, before, false, call); o.OnWritten(testNow, call) }
+	written := func(o *Order) { o.OnRead(testNow, previous, false, callTimeout); o.OnWritten(testNow, callTimeout) }
 	for _, c := range []struct {
-		name   string
-		do     func(o *Order)
-		after  time.Duration
-		top    Intent
-		checks bool
-		want   OrderStep
+		name        string
+		setup       func(o *Order)
+		elapsed     time.Duration
+		latest      Intent
+		checksFence bool
+		want        OrderStep
 	}{
 		{name: "first order", want: OrderStepWrite},
-		{name: "over another", top: before, want: OrderStepWrite},
-		{name: "lost answer, took effect", do: func(o *Order) { o.OnRead(testNow, before, false, call) }, top: mine, want: OrderStepWait},
-		{name: "lost answer, no effect", do: func(o *Order) { o.OnRead(testNow, before, false, call) }, top: before, want: OrderStepWrite},
-		{name: "lost answer, another came between", do: func(o *Order) { o.OnRead(testNow, before, false, call) }, top: Intent{Fence: 5, OrderID: "third"}, want: OrderStepWrite},
-		{name: "waits out calls of the one before", do: written, after: call - 1, top: mine, want: OrderStepWait},
-		{name: "sends after that", do: written, after: call, top: mine, want: OrderStepSend},
-		{name: "sends at once to a target that checks", do: written, top: mine, checks: true, want: OrderStepSend},
-		{name: "superseded", do: written, top: Intent{Fence: 6, OrderID: "third"}, checks: true, want: OrderStepSuperseded},
-		{name: "superseded after its call", do: func(o *Order) { written(o); o.OnAcknowledged() }, top: Intent{Fence: 6, OrderID: "third"}, want: OrderStepSuperseded},
-		{name: "marks", do: func(o *Order) { written(o); o.OnAcknowledged() }, top: mine, want: OrderStepMark},
-		{name: "done", do: func(o *Order) { written(o); o.OnAcknowledged() }, top: done, want: OrderStepEnd},
-		{name: "done by the home", do: written, top: done, want: OrderStepEnd},
+		{name: "over another", latest: previous, want: OrderStepWrite},
+		{name: "lost answer, took effect", setup: func(o *Order) { o.OnRead(testNow, previous, false, callTimeout) }, latest: mine, want: OrderStepWait},
+		{name: "lost answer, no effect", setup: func(o *Order) { o.OnRead(testNow, previous, false, callTimeout) }, latest: previous, want: OrderStepWrite},
+		{name: "lost answer, another came between", setup: func(o *Order) { o.OnRead(testNow, previous, false, callTimeout) }, latest: Intent{Fence: 5, OrderID: "third"}, want: OrderStepWrite},
+		{name: "waits out calls of the one before", setup: written, elapsed: callTimeout - 1, latest: mine, want: OrderStepWait},
+		{name: "sends after that", setup: written, elapsed: callTimeout, latest: mine, want: OrderStepSend},
+		{name: "sends at once to a target that checks", setup: written, latest: mine, checksFence: true, want: OrderStepSend},
+		{name: "superseded", setup: written, latest: Intent{Fence: 6, OrderID: "third"}, checksFence: true, want: OrderStepSuperseded},
+		{name: "superseded after its call", setup: func(o *Order) { written(o); o.OnAcknowledged() }, latest: Intent{Fence: 6, OrderID: "third"}, want: OrderStepSuperseded},
+		{name: "marks", setup: func(o *Order) { written(o); o.OnAcknowledged() }, latest: mine, want: OrderStepMark},
+		{name: "done", setup: func(o *Order) { written(o); o.OnAcknowledged() }, latest: done, want: OrderStepEnd},
+		{name: "done by the home", setup: written, latest: done, want: OrderStepEnd},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			o := NewOrder("load", "m", "me")
-			if c.do != nil {
-				c.do(o)
+			if c.setup != nil {
+				c.setup(o)
 			}
-			is.Equal(o.OnRead(testNow.Add(c.after), c.top, c.checks, call), c.want)
+			is.Equal(o.OnRead(testNow.Add(c.elapsed), c.latest, c.checksFence, callTimeout), c.want)
 		})
 	}
 }
 
-// orderer is one order on its way in the model below.
-type orderer struct {
+// simOrder is one order on its way in the model below.
+type simOrder struct {
 	*Order
-	step  OrderStep
-	rev   int
-	began time.Time
-	over  bool
+	step     OrderStep
+	revision int
+	readAt   time.Time
+	ended    bool
 }
 
-// orderCallTime is a call under way: until then it may have its effect.
-type orderCallTime struct {
-	intent Intent
-	until  time.Time
+// orderCall is a call under way: until then it may have its effect.
+type orderCall struct {
+	intent   Intent
+	deadline time.Time
 }
 
-// orderModel is a store with lost answers, orderers, a home that sends again,
+// orderSimulation is a store with lost answers, orderers, a home that sends again,
 // and a target that ignores fencing numbers.
-type orderModel struct {
-	t       *rapid.T
-	now     time.Time
-	top     Intent
-	rev     int
-	calls   []orderCallTime
-	applied Intent
+type orderSimulation struct {
+	t        *rapid.T
+	now      time.Time
+	latest   Intent
+	revision int
+	calls    []orderCall
+	applied  Intent
 }
 
-const modelCall = time.Second
+const testCallTimeout = time.Second
 
 // write compares and swaps; its answer may be lost either way.
-func (m *orderModel) write(i Intent, rev int) bool {
-	lost := rapid.IntRange(0, 3).Draw(m.t, "lost")
-	if rev != m.rev || lost == 1 {
+func (s *orderSimulation) write(intent Intent, revision int) bool {
+	lost := rapid.IntRange(0, 3).Draw(s.t, "lost")
+	if revision != s.revision || lost == 1 {
 		return false
 	}
-	m.top, m.rev = i, m.rev+1
+	s.latest, s.revision = intent, s.revision+1
 	return lost != 2
 }
 
 // send starts a call that was decided on at began. It fails the test when calls
 // with another intent may still be under way.
-func (m *orderModel) send(i Intent, began time.Time) bool {
-	until := began.Add(modelCall)
-	if m.now.After(until) {
+func (s *orderSimulation) send(intent Intent, readAt time.Time) bool {
+	deadline := readAt.Add(testCallTimeout)
+	if s.now.After(deadline) {
 		return false
 	}
-	for _, c := range m.calls {
-		if m.now.Before(c.until) && c.intent.Fence != i.Fence {
-			m.t.Fatalf("%v sent while %v may be under way", i, c.intent)
+	for _, call := range s.calls {
+		if s.now.Before(call.deadline) && call.intent.Fence != intent.Fence {
+			s.t.Fatalf("%v sent while %v may be under way", intent, call.intent)
 		}
 	}
-	m.calls = append(m.calls, orderCallTime{i, until})
-	ok := rapid.Bool().Draw(m.t, "acknowledged")
-	if ok || rapid.Bool().Draw(m.t, "effect") {
-		m.applied = i
+	s.calls = append(s.calls, orderCall{intent, deadline})
+	acknowledged := rapid.Bool().Draw(s.t, "acknowledged")
+	if acknowledged || rapid.Bool().Draw(s.t, "effect") {
+		s.applied = intent
 	}
-	return ok
+	return acknowledged
 }
 
 // advance does the orderer's next move: it reads, or does what it decided.
-func (m *orderModel) advance(o *orderer) {
-	if o.began.IsZero() {
-		o.began, o.rev = m.now, m.rev
-		o.step = o.OnRead(m.now, m.top, false, modelCall)
+func (s *orderSimulation) advance(o *simOrder) {
+	if o.readAt.IsZero() {
+		o.readAt, o.revision = s.now, s.revision
+		o.step = o.OnRead(s.now, s.latest, false, testCallTimeout)
 		return
 	}
 	switch o.step {
 	case OrderStepWrite:
-		if m.write(o.Intent, o.rev) {
-			o.OnWritten(m.now, modelCall)
+		if s.write(o.Intent, o.revision) {
+			o.OnWritten(s.now, testCallTimeout)
 		}
 	case OrderStepMark:
-		m.write(o.Intent, o.rev)
+		s.write(o.Intent, o.revision)
 	case OrderStepSend:
-		if m.send(o.Intent, o.began) {
+		if s.send(o.Intent, o.readAt) {
 			o.OnAcknowledged()
 		}
 	case OrderStepEnd, OrderStepSuperseded:
-		o.over = true
+		o.ended = true
 	}
-	o.began = time.Time{}
+	o.readAt = time.Time{}
 }
 
-// TestOrderersDoNoHarm lets orderers and the home take turns in any order, with
+// TestConcurrentOrdersNeverOverlap lets orderers and the home take turns in any order, with
 // writes and calls whose answers are lost, before a target that ignores fencing
 // numbers: it never has calls with two intents under way, and ends with the
 // last one.
-func TestOrderersDoNoHarm(t *testing.T) {
+func TestConcurrentOrdersNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &orderModel{t: t, now: testNow}
-		var all []*orderer
+		s := &orderSimulation{t: t, now: testNow}
+		var orders []*simOrder
 		for i := range rapid.IntRange(1, 3).Draw(t, "orderers") {
-			all = append(all, &orderer{Order: NewOrder("load", "m", fmt.Sprint(i))})
+			orders = append(orders, &simOrder{Order: NewOrder("load", "m", fmt.Sprint(i))})
 		}
 		var resend Resender
-		var home *orderCallTime // what the home read and has not sent yet
+		var pendingResend *orderCall // what the home read and has not sent yet
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			m.now = m.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			n := rapid.IntRange(0, len(all)).Draw(t, "turn")
+			s.now = s.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
+			n := rapid.IntRange(0, len(orders)).Draw(t, "turn")
 			switch {
-			case n < len(all) && !all[n].over:
-				m.advance(all[n])
-			case home == nil && resend.ShouldSend(m.now, m.top, false, modelCall):
-				home = &orderCallTime{intent: m.top, until: m.now}
-			case home != nil:
-				m.send(home.intent, home.until)
-				home = nil
+			case n < len(orders) && !orders[n].ended:
+				s.advance(orders[n])
+			case pendingResend == nil && resend.ShouldSend(s.now, s.latest, false, testCallTimeout):
+				pendingResend = &orderCall{intent: s.latest, deadline: s.now}
+			case pendingResend != nil:
+				s.send(pendingResend.intent, pendingResend.deadline)
+				pendingResend = nil
 			}
 		}
-		resend.ShouldSend(m.now, m.top, false, modelCall)
-		m.now = m.now.Add(modelCall)
-		if resend.ShouldSend(m.now, m.top, false, modelCall) { // the home goes on
-			m.applied = m.top
+		resend.ShouldSend(s.now, s.latest, false, testCallTimeout)
+		s.now = s.now.Add(testCallTimeout)
+		if resend.ShouldSend(s.now, s.latest, false, testCallTimeout) { // the home goes on
+			s.applied = s.latest
 		}
-		if m.applied.Fence != m.top.Fence {
-			t.Fatalf("ends with %v, ordered %v", m.applied, m.top)
+		if s.applied.Fence != s.latest.Fence {
+			t.Fatalf("ends with %v, ordered %v", s.applied, s.latest)
 		}
 	})
 }
 
-// TestResend: the last order is sent again until it is done; to a target that
+// TestResender: the last order is sent again until it is done; to a target that
 // ignores fencing numbers ever again, since a paused orderer may send late.
-func TestResend(t *testing.T) {
+func TestResender(t *testing.T) {
 	is := is.New(t)
-	open, done := Intent{Fence: 6, OrderID: "me"}, Intent{Fence: 6, OrderID: "me", Done: true}
-	later := testNow.Add(modelCall)
+	pending, acknowledged := Intent{Fence: 6, OrderID: "me"}, Intent{Fence: 6, OrderID: "me", Done: true}
+	later := testNow.Add(testCallTimeout)
 	var checked, ignored, none Resender
-	is.True(checked.ShouldSend(testNow, open, true, modelCall))
-	is.True(!checked.ShouldSend(later, done, true, modelCall))
-	is.True(!ignored.ShouldSend(testNow, open, false, modelCall)) // calls of the one before
-	is.True(ignored.ShouldSend(later, open, false, modelCall))
-	is.True(ignored.ShouldSend(later, done, false, modelCall))
-	is.True(!ignored.ShouldSend(later, Intent{Fence: 7}, false, modelCall))
-	is.True(!none.ShouldSend(later, Intent{}, false, modelCall))
+	is.True(checked.ShouldSend(testNow, pending, true, testCallTimeout))
+	is.True(!checked.ShouldSend(later, acknowledged, true, testCallTimeout))
+	is.True(!ignored.ShouldSend(testNow, pending, false, testCallTimeout)) // calls of the one before
+	is.True(ignored.ShouldSend(later, pending, false, testCallTimeout))
+	is.True(ignored.ShouldSend(later, acknowledged, false, testCallTimeout))
+	is.True(!ignored.ShouldSend(later, Intent{Fence: 7}, false, testCallTimeout))
+	is.True(!none.ShouldSend(later, Intent{}, false, testCallTimeout))
 }
--- a/shared/bbroute/poison.go
+++ b/shared/bbroute/poison.go
@@ -30,20 +30,20 @@
 
 // CrashTable is an immutable table of marks. The zero value is empty.
 type CrashTable struct {
-	marks map[uint64]CrashRecord
+	records map[uint64]CrashRecord
 }
 
 // CrashCount returns how many targets crashed with the fingerprint in flight.
-func (p *CrashTable) CrashCount(fp uint64) int { return len(p.marks[fp].Targets) }
+func (t *CrashTable) CrashCount(fingerprint uint64) int { return len(t.records[fingerprint].Targets) }
 
 // Len returns how many fingerprints are remembered.
-func (p *CrashTable) Len() int { return len(p.marks) }
+func (t *CrashTable) Len() int { return len(t.records) }
 
 // Records returns all marks, what was learnt last first.
-func (p *CrashTable) Records() []CrashRecord {
-	out := make([]CrashRecord, 0, len(p.marks))
-	for _, m := range p.marks {
-		out = append(out, m)
+func (t *CrashTable) Records() []CrashRecord {
+	out := make([]CrashRecord, 0, len(t.records))
+	for _, record := range t.records {
+		out = append(out, record)
 	}
 	slices.SortFunc(out, func(a, b CrashRecord) int {
 		return cmp.Or(b.UpdatedAt.Compare(a.UpdatedAt), cmp.Compare(a.Fingerprint, b.Fingerprint))
@@ -54,50 +54,50 @@
 // With returns the table with the targets joined to the fingerprint's, and
 // whether that says anything new. Joining is a union, so instances that have
 // heard the same marks agree, in whichever order they heard them.
-func (p *CrashTable) With(fp uint64, targets []bbunit.TargetID, now time.Time, rule *PoisonPolicy) (*CrashTable, bool) {
-	old := p.marks[fp]
-	joined := union(old.Targets, targets)
-	if len(joined) == len(old.Targets) && slices.Equal(joined, old.Targets) {
-		return p, false
+func (t *CrashTable) With(fingerprint uint64, targets []bbunit.TargetID, now time.Time, policy *PoisonPolicy) (*CrashTable, bool) {
+	old := t.records[fingerprint]
+	merged := union(old.Targets, targets)
+	if len(merged) == len(old.Targets) && slices.Equal(merged, old.Targets) {
+		return t, false
 	}
-	next := &CrashTable{marks: make(map[uint64]CrashRecord, len(p.marks)+1)}
-	for k, m := range p.marks {
-		next.marks[k] = m
+	next := &CrashTable{records: make(map[uint64]CrashRecord, len(t.records)+1)}
+	for k, record := range t.records {
+		next.records[k] = record
 	}
-	next.marks[fp] = CrashRecord{Fingerprint: fp, Targets: joined, UpdatedAt: now}
-	next.bound(rule)
+	next.records[fingerprint] = CrashRecord{Fingerprint: fingerprint, Targets: merged, UpdatedAt: now}
+	next.evict(policy)
 	return next, true
 }
 
 // Expire returns the table without suspects that are too old.
-func (p *CrashTable) Expire(now time.Time, rule *PoisonPolicy) *CrashTable {
-	old := func(m CrashRecord) bool {
-		return len(m.Targets) < rule.CrashThreshold && now.Sub(m.UpdatedAt) > rule.SuspectTTL
+func (t *CrashTable) Expire(now time.Time, policy *PoisonPolicy) *CrashTable {
+	expired := func(record CrashRecord) bool {
+		return len(record.Targets) < policy.CrashThreshold && now.Sub(record.UpdatedAt) > policy.SuspectTTL
 	}
-	next := &CrashTable{marks: make(map[uint64]CrashRecord, len(p.marks))}
-	for k, m := range p.marks {
-		if !old(m) {
-			next.marks[k] = m
+	next := &CrashTable{records: make(map[uint64]CrashRecord, len(t.records))}
+	for k, record := range t.records {
+		if !expired(record) {
+			next.records[k] = record
 		}
 	}
-	if len(next.marks) == len(p.marks) {
-		return p
+	if len(next.records) == len(t.records) {
+		return t
 	}
 	return next
 }
 
-// bound drops suspects, the oldest first, and then the oldest of all, until the
+// evict drops suspects, the oldest first, and then the oldest of all, until the
 // table is no longer than it may be.
-func (p *CrashTable) bound(rule *PoisonPolicy) {
-	if len(p.marks) <= rule.MaxFingerprints {
+func (t *CrashTable) evict(policy *PoisonPolicy) {
+	if len(t.records) <= policy.MaxFingerprints {
 		return
 	}
-	marks := p.Records()
-	slices.SortStableFunc(marks, func(a, b CrashRecord) int {
-		return cmp.Compare(min(len(b.Targets), rule.CrashThreshold), min(len(a.Targets), rule.CrashThreshold))
+	records := t.Records()
+	slices.SortStableFunc(records, func(a, b CrashRecord) int {
+		return cmp.Compare(min(len(b.Targets), policy.CrashThreshold), min(len(a.Targets), policy.CrashThreshold))
 	})
-	for _, m := range marks[rule.MaxFingerprints:] {
-		delete(p.marks, m.Fingerprint)
+	for _, record := range records[policy.MaxFingerprints:] {
+		delete(t.records, record.Fingerprint)
 	}
 }
 
@@ -106,24 +106,24 @@
 	out := slices.Concat(a, b)
 	slices.Sort(out)
 	out = slices.Compact(out)
-	return out[:min(len(out), poisonTargets)]
+	return out[:min(len(out), maxTargetsPerFingerprint)]
 }
 
 // KnownGood remembers fingerprints that have run whole not long ago. Such a
 // request crashes no target, so that it is not marked when one crashes for
 // another reason. It is bounded, forgets at random, and takes no lock.
 type KnownGood struct {
-	prints [provenSize]atomic.Uint64
+	fingerprints [knownGoodSize]atomic.Uint64
 }
 
 // Add notes that a request of the fingerprint ran whole.
-func (p *KnownGood) Add(fp uint64) {
-	if s := &p.prints[mix(fp)%provenSize]; s.Load() != fp {
-		s.Store(fp)
+func (k *KnownGood) Add(fingerprint uint64) {
+	if slot := &k.fingerprints[splitmix64(fingerprint)%knownGoodSize]; slot.Load() != fingerprint {
+		slot.Store(fingerprint)
 	}
 }
 
 // Contains tells whether the fingerprint is remembered.
-func (p *KnownGood) Contains(fp uint64) bool {
-	return fp != 0 && p.prints[mix(fp)%provenSize].Load() == fp
+func (k *KnownGood) Contains(fingerprint uint64) bool {
+	return fingerprint != 0 && k.fingerprints[splitmix64(fingerprint)%knownGoodSize].Load() == fingerprint
 }
--- a/shared/bbroute/poison_test.go
+++ b/shared/bbroute/poison_test.go
@@ -11,30 +11,30 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-var testPoisonRule = &PoisonPolicy{CrashThreshold: 2, SuspectTTL: time.Minute, MaxFingerprints: 100}
+var testPoisonPolicy = &PoisonPolicy{CrashThreshold: 2, SuspectTTL: time.Minute, MaxFingerprints: 100}
 
-// TestPoisonsConverge holds that instances which hear the same marks, in any
+// TestCrashTablesConverge holds that instances which hear the same marks, in any
 // order, any number of times and with any grouping, refuse the same requests.
-func TestPoisonsConverge(t *testing.T) {
+func TestCrashTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		mark := rapid.Custom(func(t *rapid.T) CrashRecord {
+		record := rapid.Custom(func(t *rapid.T) CrashRecord {
 			var ids []bbunit.TargetID
 			for _, i := range rapid.SliceOfN(rapid.IntRange(0, 15), 1, 4).Draw(t, "targets") {
 				ids = append(ids, bbunit.TargetID(fmt.Sprintf("t%02d", i)))
 			}
 			return CrashRecord{Fingerprint: rapid.Uint64Range(1, 4).Draw(t, "print"), Targets: ids}
 		})
-		marks := rapid.SliceOfN(mark, 1, 20).Draw(t, "marks")
+		records := rapid.SliceOfN(record, 1, 20).Draw(t, "marks")
 		a, b := &CrashTable{}, &CrashTable{}
-		for _, m := range marks {
-			a, _ = a.With(m.Fingerprint, m.Targets, testNow, testPoisonRule)
+		for _, m := range records {
+			a, _ = a.With(m.Fingerprint, m.Targets, testNow, testPoisonPolicy)
 		}
-		for _, m := range rapid.Permutation(append(marks, marks[0])).Draw(t, "order") {
-			b, _ = b.With(m.Fingerprint, m.Targets, testNow, testPoisonRule)
+		for _, m := range rapid.Permutation(append(records, records[0])).Draw(t, "order") {
+			b, _ = b.With(m.Fingerprint, m.Targets, testNow, testPoisonPolicy)
 		}
 		for _, m := range a.Records() { // what a tells b on top changes nothing
-			var news bool
-			if b, news = b.With(m.Fingerprint, m.Targets, testNow, testPoisonRule); news {
+			var changed bool
+			if b, changed = b.With(m.Fingerprint, m.Targets, testNow, testPoisonPolicy); changed {
 				t.Fatalf("%v was news", m)
 			}
 		}
@@ -44,47 +44,47 @@
 	})
 }
 
-func TestPoisonCountsDistinctTargets(t *testing.T) {
+func TestCrashCountIsOfDistinctTargets(t *testing.T) {
 	is := is.New(t)
-	p := &CrashTable{}
-	p, news := p.With(1, []bbunit.TargetID{"a"}, testNow, testPoisonRule)
-	is.True(news)
-	p, news = p.With(1, []bbunit.TargetID{"a"}, testNow, testPoisonRule)
-	is.True(!news)
-	is.Equal(p.CrashCount(1), 1)
-	p, _ = p.With(1, []bbunit.TargetID{"b"}, testNow, testPoisonRule)
-	is.Equal(p.CrashCount(1), 2)
-	is.Equal(p.CrashCount(2), 0)
+	table := &CrashTable{}
+	table, changed := table.With(1, []bbunit.TargetID{"a"}, testNow, testPoisonPolicy)
+	is.True(changed)
+	table, changed = table.With(1, []bbunit.TargetID{"a"}, testNow, testPoisonPolicy)
+	is.True(!changed)
+	is.Equal(table.CrashCount(1), 1)
+	table, _ = table.With(1, []bbunit.TargetID{"b"}, testNow, testPoisonPolicy)
+	is.Equal(table.CrashCount(1), 2)
+	is.Equal(table.CrashCount(2), 0)
 }
 
-func TestPoisonsExpireOnlySuspects(t *testing.T) {
+func TestExpireRemovesOnlySuspects(t *testing.T) {
 	is := is.New(t)
-	p := &CrashTable{}
-	p, _ = p.With(1, []bbunit.TargetID{"a"}, testNow, testPoisonRule)
-	p, _ = p.With(2, []bbunit.TargetID{"a", "b"}, testNow, testPoisonRule)
-	p = p.Expire(testNow.Add(time.Hour), testPoisonRule)
-	is.Equal(p.CrashCount(1), 0)
-	is.Equal(p.CrashCount(2), 2) // refused for good
+	table := &CrashTable{}
+	table, _ = table.With(1, []bbunit.TargetID{"a"}, testNow, testPoisonPolicy)
+	table, _ = table.With(2, []bbunit.TargetID{"a", "b"}, testNow, testPoisonPolicy)
+	table = table.Expire(testNow.Add(time.Hour), testPoisonPolicy)
+	is.Equal(table.CrashCount(1), 0)
+	is.Equal(table.CrashCount(2), 2) // refused for good
 }
 
-func TestPoisonsAreBounded(t *testing.T) {
+func TestCrashTableIsBounded(t *testing.T) {
 	is := is.New(t)
-	p := &CrashTable{}
-	p, _ = p.With(1, []bbunit.TargetID{"a", "b"}, testNow, testPoisonRule)
+	table := &CrashTable{}
+	table, _ = table.With(1, []bbunit.TargetID{"a", "b"}, testNow, testPoisonPolicy)
 	for i := range uint64(300) {
-		p, _ = p.With(i+2, []bbunit.TargetID{"a"}, testNow.Add(time.Duration(i)), testPoisonRule)
+		table, _ = table.With(i+2, []bbunit.TargetID{"a"}, testNow.Add(time.Duration(i)), testPoisonPolicy)
 	}
-	is.Equal(p.Len(), testPoisonRule.MaxFingerprints)
-	is.Equal(p.CrashCount(1), 2) // suspects make room first
-	is.Equal(p.CrashCount(301), 1)
-	is.Equal(p.CrashCount(2), 0)
+	is.Equal(table.Len(), testPoisonPolicy.MaxFingerprints)
+	is.Equal(table.CrashCount(1), 2) // suspects make room first
+	is.Equal(table.CrashCount(301), 1)
+	is.Equal(table.CrashCount(2), 0)
 }
 
-func TestProven(t *testing.T) {
+func TestKnownGood(t *testing.T) {
 	is := is.New(t)
-	p := &KnownGood{}
-	is.True(!p.Contains(0))
-	is.True(!p.Contains(5))
-	p.Add(5)
-	is.True(p.Contains(5))
+	k := &KnownGood{}
+	is.True(!k.Contains(0))
+	is.True(!k.Contains(5))
+	k.Add(5)
+	is.True(k.Contains(5))
 }
--- a/shared/bbroute/report.go
+++ b/shared/bbroute/report.go
@@ -20,11 +20,11 @@
 	switch {
 	case r.Running < 0 || r.Waiting < 0 || r.Slots < 0:
 		return errors.Annotatef(ErrBadReport, "negative: running %d, waiting %d, slots %d", r.Running, r.Waiting, r.Slots)
-	case max(r.Running, r.Waiting, r.Slots) > reportMost:
-		return errors.Annotatef(ErrBadReport, "above %d: running %d, waiting %d, slots %d", reportMost, r.Running, r.Waiting, r.Slots)
-	case r.SampledAt.Sub(now) > reportSkew:
+	case max(r.Running, r.Waiting, r.Slots) > maxReportValue:
+		return errors.Annotatef(ErrBadReport, "above %d: running %d, waiting %d, slots %d", maxReportValue, r.Running, r.Waiting, r.Slots)
+	case r.SampledAt.Sub(now) > maxReportSkew:
 		return errors.Annotatef(ErrBadReport, "%s from the future", r.SampledAt.Sub(now))
-	case now.Sub(r.SampledAt) > reportKeep:
+	case now.Sub(r.SampledAt) > maxReportAge:
 		return errors.Annotatef(ErrStaleReport, "%s old", now.Sub(r.SampledAt))
 	}
 	return nil
@@ -32,11 +32,11 @@
 
 // Observe takes a report. It returns ErrReport or ErrOldReport, and then
 // changes nothing. News tells that the target now leaves, or no longer does.
-func (t *TargetState) Observe(r LoadReport, now time.Time) (news bool, err error) {
+func (t *TargetState) Observe(r LoadReport, now time.Time) (changed bool, err error) {
 	if err := r.Validate(now); err != nil {
 		return false, err
 	}
-	r.own = int(t.count.Load())
+	r.ownInFlight = int(t.inFlight.Load())
 	for {
 		old := t.report.Load()
 		if old != nil && !r.SampledAt.After(old.SampledAt) {
@@ -46,17 +46,17 @@
 			break
 		}
 	}
-	t.usual.average(r.others(), usualWeight)
+	t.meanOtherLoad.updateEWMA(r.otherLoad(), otherLoadEWMAWeight)
 	if r.Leaving {
 		return t.MarkLeaving(now), nil
 	}
-	return t.stay(r.SampledAt, now), nil
+	return t.clearLeaving(r.SampledAt, now), nil
 }
 
-// fresh returns the last report while it is of use.
-func (t *TargetState) fresh(now time.Time) *LoadReport {
+// recentReport returns the last report while it is of use.
+func (t *TargetState) recentReport(now time.Time) *LoadReport {
 	r := t.report.Load()
-	if r == nil || now.Sub(r.SampledAt) > reportKeep {
+	if r == nil || now.Sub(r.SampledAt) > maxReportAge {
 		return nil
 	}
 	return r
@@ -66,21 +66,21 @@
 // of n instances that use it: what it had when the report was made, and its
 // part of the room that was left, or of the excess. Whoever has much there may
 // take or must give up much. Without a report all slots are its own.
-func (p *Candidate) allowance(now time.Time, n int) float64 {
-	if !p.Usable(now) {
+func (c *Candidate) allowance(now time.Time, instances int) float64 {
+	if !c.Usable(now) {
 		return 0
 	}
-	r := p.State.fresh(now)
-	slots := p.slotsOr(unlimited)
+	r := c.State.recentReport(now)
+	slots := c.slotsOr(unlimited)
 	if r == nil || slots == unlimited {
 		return slots
 	}
 	total := float64(r.Running + r.Waiting)
-	own := float64(r.own)
-	room := slots*(1+headroom) - total
-	part := own / max(total, own, 1)
+	own := float64(r.ownInFlight)
+	room := slots*(1+queueHeadroom) - total
+	fraction := own / max(total, own, 1)
 	if room > 0 {
-		part = max(part, 1/float64(max(n, 1)))
+		fraction = max(fraction, 1/float64(max(instances, 1)))
 	}
-	return max(own+room*part, leastAllowance)
+	return max(own+room*fraction, minAllowance)
 }
--- a/shared/bbroute/request.go
+++ b/shared/bbroute/request.go
@@ -32,33 +32,33 @@
 	Cancel <-chan struct{}
 }
 
-// gauge is a float64 that is read and written without a lock.
-type gauge struct{ bits atomic.Uint64 }
+// atomicFloat is a float64 that is read and written without a lock.
+type atomicFloat struct{ bits atomic.Uint64 }
 
-func (g *gauge) load() float64   { return math.Float64frombits(g.bits.Load()) }
-func (g *gauge) store(v float64) { g.bits.Store(math.Float64bits(v)) }
+func (g *atomicFloat) load() float64   { return math.Float64frombits(g.bits.Load()) }
+func (g *atomicFloat) store(v float64) { g.bits.Store(math.Float64bits(v)) }
 
-// average moves the gauge towards v by the part w; the first value is taken
+// updateEWMA moves the gauge towards v by the part w; the first value is taken
 // whole.
-func (g *gauge) average(v, w float64) {
+func (g *atomicFloat) updateEWMA(value, weight float64) {
 	old := g.bits.Load()
-	was := math.Float64frombits(old)
-	next := was + w*(v-was)
-	if was == 0 {
-		next = v
+	mean := math.Float64frombits(old)
+	updated := mean + weight*(value-mean)
+	if mean == 0 {
+		updated = value
 	}
-	g.bits.CompareAndSwap(old, math.Float64bits(next))
+	g.bits.CompareAndSwap(old, math.Float64bits(updated))
 }
 
-// mix scrambles the bits of x (splitmix64).
-func mix(x uint64) uint64 {
+// splitmix64 scrambles the bits of x (splitmix64).
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// nanos returns the duration of that many seconds, cut off at longestNanos.
-func nanos(seconds float64) time.Duration {
-	return time.Duration(min(seconds*float64(time.Second), longestNanos))
+// secondsToDuration returns the duration of that many seconds, cut off at longestNanos.
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(min(seconds*float64(time.Second), maxNanos))
 }
--- a/shared/bbroute/retry.go
+++ b/shared/bbroute/retry.go
@@ -34,21 +34,21 @@
 	ConnReused bool
 }
 
-// refused tells that the target itself said that it did not run the request.
-func (e *AttemptResult) refused() bool {
-	return errors.Is(e.Err, ErrLeaving) || errors.Is(e.Err, ErrBusy)
+// refusedByTarget tells that the target itself said that it did not run the request.
+func (r *AttemptResult) refusedByTarget() bool {
+	return errors.Is(r.Err, ErrLeaving) || errors.Is(r.Err, ErrBusy)
 }
 
 // RefusedAsLeaving tells that the target refused the request because it is leaving.
-func (e *AttemptResult) RefusedAsLeaving() bool { return errors.Is(e.Err, ErrLeaving) }
+func (r *AttemptResult) RefusedAsLeaving() bool { return errors.Is(r.Err, ErrLeaving) }
 
-// stale tells that the connection may have failed in place of the target: it had
+// staleConnection tells that the connection may have failed in place of the target: it had
 // been open before, and took the request. One that took nothing was not there.
-func (e *AttemptResult) stale() bool { return e.ConnReused && e.Sent && !e.Crashed }
+func (r *AttemptResult) staleConnection() bool { return r.ConnReused && r.Sent && !r.Crashed }
 
 // IsTargetFault tells that the end speaks against the target.
-func (e *AttemptResult) IsTargetFault() bool {
-	return e.Err != nil && !e.refused() && !errors.Is(e.Err, ErrCancelled) && !e.stale()
+func (r *AttemptResult) IsTargetFault() bool {
+	return r.Err != nil && !r.refusedByTarget() && !errors.Is(r.Err, ErrCancelled) && !r.staleConnection()
 }
 
 // RetryState is what a request has tried so far. The zero value is none.
@@ -74,17 +74,17 @@
 // DecideRetry decides what follows an attempt's end. A request goes on only where that
 // is safe: when nothing of it was sent, when its target says that it did not
 // run, or when it may be repeated.
-func DecideRetry(s RetryState, end *AttemptResult, ask *Request, rule *RetryPolicy, now time.Time) Decision {
+func DecideRetry(state RetryState, result *AttemptResult, req *Request, policy *RetryPolicy, now time.Time) Decision {
 	switch {
-	case end.Err == nil || errors.Is(end.Err, ErrCancelled):
+	case result.Err == nil || errors.Is(result.Err, ErrCancelled):
 		return DecisionStop
-	case s.Attempts >= rule.MaxAttempts:
+	case state.Attempts >= policy.MaxAttempts:
 		return DecisionStop
-	case !ask.Deadline.IsZero() && !now.Before(ask.Deadline):
+	case !req.Deadline.IsZero() && !now.Before(req.Deadline):
 		return DecisionStop
-	case end.Sent && !ask.Idempotent && !end.refused():
+	case result.Sent && !req.Idempotent && !result.refusedByTarget():
 		return DecisionStop
-	case end.stale() && !end.refused() && !s.Reconnected:
+	case result.staleConnection() && !result.refusedByTarget() && !state.Reconnected:
 		return DecisionRetrySame
 	}
 	return DecisionRetryOther
@@ -93,33 +93,33 @@
 // RetryBudget keeps the retries of a service in proportion to its successes. The
 // zero value has nothing saved. It takes no lock.
 type RetryBudget struct {
-	saved atomic.Int64 // thousandths of a retry
-	next  atomic.Int64 // when the floor has its next retry, unix nanoseconds
+	saved  atomic.Int64 // thousandths of a retry
+	nextAt atomic.Int64 // when the floor has its next retry, unix nanoseconds
 }
 
 // Earn notes a success.
-func (b *RetryBudget) Earn(rule *RetryPolicy) {
-	if b.saved.Load() < retrySaveMost*retryUnit {
-		b.saved.Add(int64(rule.Ratio * retryUnit))
+func (b *RetryBudget) Earn(policy *RetryPolicy) {
+	if b.saved.Load() < maxSavedRetries*unitsPerRetry {
+		b.saved.Add(int64(policy.Ratio * unitsPerRetry))
 	}
 }
 
 // Spend takes a retry out of the budget, and tells whether it had one.
-func (b *RetryBudget) Spend(now time.Time, rule *RetryPolicy) bool {
+func (b *RetryBudget) Spend(now time.Time, policy *RetryPolicy) bool {
 	for {
 		saved := b.saved.Load()
-		if saved < retryUnit {
+		if saved < unitsPerRetry {
 			break
 		}
-		if b.saved.CompareAndSwap(saved, saved-retryUnit) {
+		if b.saved.CompareAndSwap(saved, saved-unitsPerRetry) {
 			return true
 		}
 	}
-	if rule.MinPerSecond < retryFloorLeast {
+	if policy.MinPerSecond < minRetryRate {
 		return false
 	}
-	step := int64(nanos(1 / rule.MinPerSecond))
-	early := now.UnixNano() - int64(nanos((retryFloorBurst-1)/rule.MinPerSecond))
-	next := b.next.Load()
-	return next <= now.UnixNano() && b.next.CompareAndSwap(next, max(next, early)+step)
+	interval := int64(secondsToDuration(1 / policy.MinPerSecond))
+	earliest := now.UnixNano() - int64(secondsToDuration((minRateBurst-1)/policy.MinPerSecond))
+	nextAt := b.nextAt.Load()
+	return nextAt <= now.UnixNano() && b.nextAt.CompareAndSwap(nextAt, max(nextAt, earliest)+interval)
 }
--- a/shared/bbroute/retry_test.go
+++ b/shared/bbroute/retry_test.go
@@ -11,38 +11,38 @@
 
 func TestRetry(t *testing.T) {
 	broken := errors.New("broken")
-	rule := &RetryPolicy{MaxAttempts: 3}
+	policy := &RetryPolicy{MaxAttempts: 3}
 	for _, c := range []struct {
-		name  string
-		state RetryState
-		end   AttemptResult
-		ask   Request
-		want  Decision
+		name   string
+		state  RetryState
+		result AttemptResult
+		req    Request
+		want   Decision
 	}{
 		{name: "success", state: RetryState{Attempts: 1}, want: DecisionStop},
-		{name: "nothing sent", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken}, want: DecisionRetryOther},
-		{name: "sent, not to be repeated", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, Sent: true}, want: DecisionStop},
-		{name: "crashed, not to be repeated", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, Sent: true, Crashed: true}, want: DecisionStop},
-		{name: "sent, may be repeated", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, Sent: true}, ask: Request{Idempotent: true}, want: DecisionRetryOther},
-		{name: "refused as leaving", state: RetryState{Attempts: 1}, end: AttemptResult{Err: ErrLeaving, Sent: true}, want: DecisionRetryOther},
-		{name: "refused as full", state: RetryState{Attempts: 1}, end: AttemptResult{Err: ErrBusy, Sent: true}, want: DecisionRetryOther},
-		{name: "reused connection, nothing sent", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, ConnReused: true}, want: DecisionRetryOther},
-		{name: "reused connection, sent", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, ConnReused: true, Sent: true}, want: DecisionStop},
-		{name: "reused connection, may be repeated", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, ConnReused: true, Sent: true}, ask: Request{Idempotent: true}, want: DecisionRetrySame},
-		{name: "reused again", state: RetryState{Attempts: 2, Reconnected: true}, end: AttemptResult{Err: broken, ConnReused: true, Sent: true}, ask: Request{Idempotent: true}, want: DecisionRetryOther},
-		{name: "crash on a reused connection", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken, ConnReused: true, Crashed: true, Sent: true}, ask: Request{Idempotent: true}, want: DecisionRetryOther},
-		{name: "tries used up", state: RetryState{Attempts: 3}, end: AttemptResult{Err: broken}, want: DecisionStop},
-		{name: "deadline over", state: RetryState{Attempts: 1}, end: AttemptResult{Err: broken}, ask: Request{Deadline: testNow}, want: DecisionStop},
-		{name: "caller left", state: RetryState{Attempts: 1}, end: AttemptResult{Err: ErrCancelled}, ask: Request{Idempotent: true}, want: DecisionStop},
+		{name: "nothing sent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken}, want: DecisionRetryOther},
+		{name: "sent, not to be repeated", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, Sent: true}, want: DecisionStop},
+		{name: "crashed, not to be repeated", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, Sent: true, Crashed: true}, want: DecisionStop},
+		{name: "sent, may be repeated", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetryOther},
+		{name: "refused as leaving", state: RetryState{Attempts: 1}, result: AttemptResult{Err: ErrLeaving, Sent: true}, want: DecisionRetryOther},
+		{name: "refused as full", state: RetryState{Attempts: 1}, result: AttemptResult{Err: ErrBusy, Sent: true}, want: DecisionRetryOther},
+		{name: "reused connection, nothing sent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true}, want: DecisionRetryOther},
+		{name: "reused connection, sent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true, Sent: true}, want: DecisionStop},
+		{name: "reused connection, may be repeated", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetrySame},
+		{name: "reused again", state: RetryState{Attempts: 2, Reconnected: true}, result: AttemptResult{Err: broken, ConnReused: true, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetryOther},
+		{name: "crash on a reused connection", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true, Crashed: true, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetryOther},
+		{name: "tries used up", state: RetryState{Attempts: 3}, result: AttemptResult{Err: broken}, want: DecisionStop},
+		{name: "deadline over", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken}, req: Request{Deadline: testNow}, want: DecisionStop},
+		{name: "caller left", state: RetryState{Attempts: 1}, result: AttemptResult{Err: ErrCancelled}, req: Request{Idempotent: true}, want: DecisionStop},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(DecideRetry(c.state, &c.end, &c.ask, rule, testNow), c.want)
+			is.Equal(DecideRetry(c.state, &c.result, &c.req, policy, testNow), c.want)
 		})
 	}
 }
 
-func TestBlame(t *testing.T) {
+func TestIsTargetFault(t *testing.T) {
 	is := is.New(t)
 	broken := errors.New("broken")
 	is.True((&AttemptResult{Err: broken}).IsTargetFault())
@@ -55,50 +55,50 @@
 	is.True(!(&AttemptResult{}).IsTargetFault())
 }
 
-// TestRetriesCannotMultiply holds that retries stay below the ratio of the
+// TestRetryBudgetBound holds that retries stay below the ratio of the
 // successes, the floor and what can be saved, whatever fails.
-func TestRetriesCannotMultiply(t *testing.T) {
+func TestRetryBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rule := &RetryPolicy{MaxAttempts: 3, Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), MinPerSecond: rapid.Float64Range(0, 5).Draw(t, "floor")}
-		b := &RetryBudget{}
+		policy := &RetryPolicy{MaxAttempts: 3, Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), MinPerSecond: rapid.Float64Range(0, 5).Draw(t, "floor")}
+		budget := &RetryBudget{}
 		now := testNow
-		var good, spent float64
+		var successes, retries float64
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 3).Draw(t, "end") == 0 {
-				b.Earn(rule)
-				good++
-			} else if b.Spend(now, rule) {
-				spent++
+				budget.Earn(policy)
+				successes++
+			} else if budget.Spend(now, policy) {
+				retries++
 			}
-			if most := good*rule.Ratio + now.Sub(testNow).Seconds()*rule.MinPerSecond + retryFloorBurst; spent > most {
-				t.Fatalf("%.0f retries, at most %.2f", spent, most)
+			if allowed := successes*policy.Ratio + now.Sub(testNow).Seconds()*policy.MinPerSecond + minRateBurst; retries > allowed {
+				t.Fatalf("%.0f retries, at most %.2f", retries, allowed)
 			}
 		}
 	})
 }
 
-func TestTinyFloorGivesNothing(t *testing.T) {
+func TestTinyMinRateGivesNoRetries(t *testing.T) {
 	is := is.New(t)
-	b, n := &RetryBudget{}, 0
+	budget, retries := &RetryBudget{}, 0
 	for i := range 100 {
-		if b.Spend(time.Now().Add(time.Duration(i)), &RetryPolicy{MinPerSecond: 1e-12}) {
-			n++
+		if budget.Spend(time.Now().Add(time.Duration(i)), &RetryPolicy{MinPerSecond: 1e-12}) {
+			retries++
 		}
 	}
-	is.True(n <= 1)
+	is.True(retries <= 1)
 }
 
-func TestRetryBudgetSavesLittle(t *testing.T) {
+func TestRetryBudgetSavingsAreCapped(t *testing.T) {
 	is := is.New(t)
-	rule := &RetryPolicy{Ratio: 0.1}
-	b := &RetryBudget{}
+	policy := &RetryPolicy{Ratio: 0.1}
+	budget := &RetryBudget{}
 	for range 100_000 {
-		b.Earn(rule)
+		budget.Earn(policy)
 	}
-	n := 0
-	for b.Spend(testNow, rule) {
-		n++
+	retries := 0
+	for budget.Spend(testNow, policy) {
+		retries++
 	}
-	is.True(n <= retrySaveMost+1)
+	is.True(retries <= maxSavedRetries+1)
 }
--- a/shared/bbroute/simulation_test.go
+++ b/shared/bbroute/simulation_test.go
@@ -12,353 +12,353 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// queueModel is a small deterministic queue model: independent routers before
+// simulation is a small deterministic queue model: independent routers before
 // targets with slots and a first-in-first-out queue, whose load is reported
 // late. Callers give up at their deadline, and the target then stops.
-type queueModel struct {
-	routers, targets, slots int
-	service                 float64 // mean, seconds
-	spread                  float64 // sigma of the lognormal service time
-	report, lag             time.Duration
-	warm, length            time.Duration
-	load                    float64 // of the capacity
-	seed                    uint64
-	policy                  string
-	skew                    bool // one router gets half of the requests
-	slow                    bool // every third target runs at half its pace
-	deaf                    bool // targets run on when callers give up
-	outside                 bool // others keep half of every third target's slots
-
-	rnd    *rand.Rand
-	now    time.Time
-	events eventHeap
-	order  int
-	sinks  []*modelTarget
-	fronts []*modelRouter
-	result modelResult
+type simulation struct {
+	routerCount, targetCount, slots int
+	meanServiceTime                 float64 // mean, seconds
+	serviceTimeSigma                float64 // sigma of the lognormal service time
+	reportInterval, reportLag       time.Duration
+	warmUp, duration                time.Duration
+	offeredLoad                     float64 // of the capacity
+	seed                            uint64
+	policy                          string
+	skewedArrivals                  bool // one router gets half of the requests
+	slowTargets                     bool // every third target runs at half its pace
+	ignoreCancel                    bool // targets run on when callers give up
+	externalLoad                    bool // others keep half of every third target's slots
+
+	random     *rand.Rand
+	now        time.Time
+	events     eventHeap
+	nextSeq    int
+	simTargets []*simTarget
+	simRouters []*simRouter
+	result     simulationResult
 }
 
-// modelResult is what one run measured.
-type modelResult struct {
-	waits   []float64 // seconds, of the requests that began to run
-	offered int
-	good    int
-	refused map[bbunit.Priority]int
-	asked   map[bbunit.Priority]int
+// simulationResult is what one run measured.
+type simulationResult struct {
+	waits             []float64 // seconds, of the requests that began to run
+	offered           int
+	onTime            int
+	refusedByPriority map[bbunit.Priority]int
+	offeredByPriority map[bbunit.Priority]int
 }
 
-func (r *modelResult) quantile(q float64) float64 {
+func (r *simulationResult) quantile(fraction float64) float64 {
 	if len(r.waits) == 0 {
 		return math.NaN()
 	}
 	slices.Sort(r.waits)
-	return r.waits[int(q*float64(len(r.waits)-1))]
+	return r.waits[int(fraction*float64(len(r.waits)-1))]
 }
 
-// refusedPart returns the part of the offered requests that was refused.
-func (r *modelResult) refusedPart() float64 {
+// refusedFraction returns the part of the offered requests that was refused.
+func (r *simulationResult) refusedFraction() float64 {
 	n := 0
-	for _, v := range r.refused {
+	for _, v := range r.refusedByPriority {
 		n += v
 	}
 	return float64(n) / float64(max(r.offered, 1))
 }
 
 // goodput returns the requests answered in time, in parts of the capacity.
-func (m *queueModel) goodput() float64 {
-	return float64(m.result.good) / m.length.Seconds() / m.capacity()
+func (s *simulation) goodput() float64 {
+	return float64(s.result.onTime) / s.duration.Seconds() / s.capacity()
 }
 
-type modelRequest struct {
-	ask     Request
-	counted bool
-	began   time.Time
-	service time.Duration
-	router  *modelRouter
-	target  *modelTarget
-	work    int64
-	sent    time.Time
-	stage   int // 0 waits at the router, 1 queued, 2 runs, 3 over
-	waiter  *Waiter
+type simRequest struct {
+	req         Request
+	measured    bool
+	arrivedAt   time.Time
+	serviceTime time.Duration
+	router      *simRouter
+	target      *simTarget
+	work        int64
+	sentAt      time.Time
+	stage       int // 0 waits at the router, 1 queued, 2 runs, 3 over
+	waiter      *Waiter
 }
 
-type modelTarget struct {
+type simTarget struct {
 	id      int
 	running int
-	queue   []*modelRequest
+	queue   []*simRequest
 }
 
-type modelRouter struct {
-	id      int
-	table   *Table
-	seed    uint64
-	turn    int
-	waiting []*modelRequest
+type simRouter struct {
+	id         int
+	table      *Table
+	seed       uint64
+	roundRobin int
+	queued     []*simRequest
 }
 
 type event struct {
-	at    time.Time
-	order int
-	fn    func()
+	at  time.Time
+	seq int
+	fn  func()
 }
 
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at.Before(h[j].at) || h[i].at.Equal(h[j].at) && h[i].order < h[j].order
+	return h[i].at.Before(h[j].at) || h[i].at.Equal(h[j].at) && h[i].seq < h[j].seq
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
 func (h *eventHeap) Pop() any {
-	e := (*h)[len(*h)-1]
+	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
-	return e
+	return last
 }
 
-var modelRule = PickPolicy{
+var testPickPolicy = PickPolicy{
 	Circuit:   CircuitPolicy{FailureThreshold: 3, InitialOpen: time.Second, MaxOpen: 30 * time.Second, ProbeTimeout: 10 * time.Second},
 	SlowStart: 10 * time.Second,
 	SpillWait: 250 * time.Millisecond,
 }
 
-func (m *queueModel) after(d time.Duration, fn func()) {
-	m.order++
-	heap.Push(&m.events, event{m.now.Add(d), m.order, fn})
+func (s *simulation) schedule(d time.Duration, fn func()) {
+	s.nextSeq++
+	heap.Push(&s.events, event{s.now.Add(d), s.nextSeq, fn})
 }
 
 // run runs the model and returns what it measured after the warm-up.
-func (m *queueModel) run() *modelResult {
-	m.rnd = rand.New(rand.NewPCG(m.seed, 1))
-	m.now = time.Unix(1_000_000, 0)
-	m.result = modelResult{refused: map[bbunit.Priority]int{}, asked: map[bbunit.Priority]int{}}
+func (s *simulation) run() *simulationResult {
+	s.random = rand.New(rand.NewPCG(s.seed, 1))
+	s.now = time.Unix(1_000_000, 0)
+	s.result = simulationResult{refusedByPriority: map[bbunit.Priority]int{}, offeredByPriority: map[bbunit.Priority]int{}}
 	state := &bbticket.State{
 		Number:   1,
 		Services: map[bbunit.ServiceID]bbticket.Numbered[bbticket.Service]{"s": {Object: bbticket.Service{ID: "s"}}},
 		Targets:  map[bbunit.TargetID]bbticket.Numbered[bbticket.Target]{},
 	}
-	for i := range m.targets {
+	for i := range s.targetCount {
 		id := bbunit.TargetID(fmt.Sprintf("t%02d", i))
-		state.Targets[id] = bbticket.Numbered[bbticket.Target]{Object: bbticket.Target{ID: id, Service: "s", Slots: m.slots}}
-		m.sinks = append(m.sinks, &modelTarget{id: i})
+		state.Targets[id] = bbticket.Numbered[bbticket.Target]{Object: bbticket.Target{ID: id, Service: "s", Slots: s.slots}}
+		s.simTargets = append(s.simTargets, &simTarget{id: i})
 	}
-	rule := AdmissionPolicy{MaxQueued: 256, MaxWait: 5 * time.Second}
-	for i := range m.routers {
-		t := (&Table{}).WithState(state, "", rule, m.now)
+	policy := AdmissionPolicy{MaxQueued: 256, MaxWait: 5 * time.Second}
+	for i := range s.routerCount {
+		t := (&Table{}).WithState(state, "", policy, s.now)
 		g, _ := t.Group("s")
-		g.turn.Store(uint64(i))
-		m.fronts = append(m.fronts, &modelRouter{id: i, table: t, seed: mix(m.seed*1000 + uint64(i)), turn: i})
+		g.roundRobin.Store(uint64(i))
+		s.simRouters = append(s.simRouters, &simRouter{id: i, table: t, seed: splitmix64(s.seed*1000 + uint64(i)), roundRobin: i})
 	}
-	end := m.now.Add(m.warm + m.length)
-	m.arrive()
-	for i := range m.sinks {
-		m.after(time.Duration(i)*m.report/time.Duration(m.targets), func() { m.tell(m.sinks[i]) })
+	end := s.now.Add(s.warmUp + s.duration)
+	s.scheduleArrival()
+	for i := range s.simTargets {
+		s.schedule(time.Duration(i)*s.reportInterval/time.Duration(s.targetCount), func() { s.reportLoad(s.simTargets[i]) })
 	}
-	for len(m.events) > 0 && m.events[0].at.Before(end) {
-		e := heap.Pop(&m.events).(event)
-		m.now = e.at
+	for len(s.events) > 0 && s.events[0].at.Before(end) {
+		e := heap.Pop(&s.events).(event)
+		s.now = e.at
 		e.fn()
 	}
-	return &m.result
+	return &s.result
 }
 
-func (m *queueModel) measured() bool { return m.now.Sub(time.Unix(1_000_000, 0)) >= m.warm }
+func (s *simulation) measuring() bool { return s.now.Sub(time.Unix(1_000_000, 0)) >= s.warmUp }
 
 // capacity is in requests a second.
-func (m *queueModel) capacity() (sum float64) {
-	for _, t := range m.sinks {
-		sum += float64(m.slots-m.taken(t)) / m.pace(t) / m.service
+func (s *simulation) capacity() (sum float64) {
+	for _, t := range s.simTargets {
+		sum += float64(s.slots-s.externalSlots(t)) / s.slowdown(t) / s.meanServiceTime
 	}
 	return sum
 }
 
-func (m *queueModel) arrive() {
-	gap := m.rnd.ExpFloat64() / (m.capacity() * m.load)
-	m.after(time.Duration(gap*float64(time.Second)), func() { m.take(); m.arrive() })
+func (s *simulation) scheduleArrival() {
+	gapSeconds := s.random.ExpFloat64() / (s.capacity() * s.offeredLoad)
+	s.schedule(time.Duration(gapSeconds*float64(time.Second)), func() { s.arrive(); s.scheduleArrival() })
 }
 
-func (m *queueModel) take() {
-	mu := math.Log(m.service) - m.spread*m.spread/2
-	service := math.Exp(mu + m.spread*m.rnd.NormFloat64())
-	deadline := m.service * (4 + 8*m.rnd.Float64())
-	r := m.fronts[m.rnd.IntN(m.routers)]
-	if m.skew && m.rnd.IntN(2) == 0 {
-		r = m.fronts[0]
+func (s *simulation) arrive() {
+	logMean := math.Log(s.meanServiceTime) - s.serviceTimeSigma*s.serviceTimeSigma/2
+	serviceSeconds := math.Exp(logMean + s.serviceTimeSigma*s.random.NormFloat64())
+	deadlineSeconds := s.meanServiceTime * (4 + 8*s.random.Float64())
+	router := s.simRouters[s.random.IntN(s.routerCount)]
+	if s.skewedArrivals && s.random.IntN(2) == 0 {
+		router = s.simRouters[0]
 	}
-	q := &modelRequest{
-		ask: Request{
+	req := &simRequest{
+		req: Request{
 			Service:        "s",
-			Priority:       bbunit.Priority(m.rnd.IntN(3)),
-			Deadline:       m.now.Add(time.Duration(deadline * float64(time.Second))),
-			ExpectedOutput: bbunit.Tokens(service * 200 * (0.7 + 0.6*m.rnd.Float64())),
+			Priority:       bbunit.Priority(s.random.IntN(3)),
+			Deadline:       s.now.Add(time.Duration(deadlineSeconds * float64(time.Second))),
+			ExpectedOutput: bbunit.Tokens(serviceSeconds * 200 * (0.7 + 0.6*s.random.Float64())),
 		},
-		began:   m.now,
-		service: time.Duration(service * float64(time.Second)),
-		router:  r,
+		arrivedAt:   s.now,
+		serviceTime: time.Duration(serviceSeconds * float64(time.Second)),
+		router:      router,
 	}
-	if q.counted = m.measured(); q.counted {
-		m.result.offered++
-		m.result.asked[q.ask.Priority]++
+	if req.measured = s.measuring(); req.measured {
+		s.result.offered++
+		s.result.offeredByPriority[req.req.Priority]++
 	}
-	m.after(q.ask.Deadline.Sub(m.now), func() { m.giveUp(q) })
-	m.admit(q)
+	s.schedule(req.req.Deadline.Sub(s.now), func() { s.expire(req) })
+	s.admit(req)
 }
 
 // admit sends the request, lines it up or refuses it.
-func (m *queueModel) admit(q *modelRequest) {
-	g := m.group(q.router)
-	q.work = g.ExpectedWork(&q.ask)
-	if m.policy != "bluebellport" || g.gate.TryAcquire() {
-		m.send(q)
+func (s *simulation) admit(req *simRequest) {
+	g := s.group(req.router)
+	req.work = g.ExpectedWork(&req.req)
+	if s.policy != "bluebellport" || g.admission.TryAcquire() {
+		s.send(req)
 		return
 	}
-	q.waiter = &Waiter{Priority: q.ask.Priority, Deadline: q.ask.Deadline, ExpectedDuration: g.gate.ExpectedDuration(q.work), Ready: make(chan error, 1)}
-	if err := g.gate.Enqueue(q.waiter, m.now); err != nil {
-		m.refuse(q)
+	req.waiter = &Waiter{Priority: req.req.Priority, Deadline: req.req.Deadline, ExpectedDuration: g.admission.ExpectedDuration(req.work), Ready: make(chan error, 1)}
+	if err := g.admission.Enqueue(req.waiter, s.now); err != nil {
+		s.refuse(req)
 		return
 	}
-	q.router.waiting = append(q.router.waiting, q)
-	m.wake(q.router)
+	req.router.queued = append(req.router.queued, req)
+	s.deliverAdmissions(req.router)
 }
 
-func (m *queueModel) refuse(q *modelRequest) {
-	q.stage = 3
-	if q.counted {
-		m.result.refused[q.ask.Priority]++
+func (s *simulation) refuse(req *simRequest) {
+	req.stage = 3
+	if req.measured {
+		s.result.refusedByPriority[req.req.Priority]++
 	}
 }
 
-// wake looks at what became of those that wait at the router.
-func (m *queueModel) wake(r *modelRouter) {
-	waiting := r.waiting
-	r.waiting = nil
-	for _, q := range waiting {
+// deliverAdmissions looks at what became of those that wait at the router.
+func (s *simulation) deliverAdmissions(router *simRouter) {
+	queued := router.queued
+	router.queued = nil
+	for _, req := range queued {
 		select {
-		case err := <-q.waiter.Ready:
+		case err := <-req.waiter.Ready:
 			if err != nil {
-				m.refuse(q)
+				s.refuse(req)
 			} else {
-				m.send(q)
+				s.send(req)
 			}
 		default:
-			r.waiting = append(r.waiting, q)
+			router.queued = append(router.queued, req)
 		}
 	}
 }
 
-func (m *queueModel) group(r *modelRouter) *Group {
-	g, _ := r.table.Group("s")
+func (s *simulation) group(router *simRouter) *Group {
+	g, _ := router.table.Group("s")
 	return g
 }
 
-func (m *queueModel) send(q *modelRequest) {
-	r := q.router
-	var p *Candidate
-	switch g := m.group(r); m.policy {
+func (s *simulation) send(req *simRequest) {
+	router := req.router
+	var candidate *Candidate
+	switch g := s.group(router); s.policy {
 	case "random":
-		p = &g.Local[m.rnd.IntN(m.targets)]
+		candidate = &g.Local[s.random.IntN(s.targetCount)]
 	case "round robin":
-		r.turn++
-		p = &g.Local[r.turn%m.targets]
+		router.roundRobin++
+		candidate = &g.Local[router.roundRobin%s.targetCount]
 	default:
-		r.seed++
-		p = g.Pick(&q.ask, &PickOptions{Now: m.now, Rand: r.seed * 0x9e3779b97f4a7c15}, &modelRule)
+		router.seed++
+		candidate = g.Pick(&req.req, &PickOptions{Now: s.now, Rand: router.seed * 0x9e3779b97f4a7c15}, &testPickPolicy)
 	}
-	p.State.Begin(q.work, false)
-	q.target, q.sent, q.stage = m.sinks[slices.IndexFunc(m.group(r).Local, func(x Candidate) bool { return x.State == p.State })], m.now, 1
-	q.target.queue = append(q.target.queue, q)
-	m.start(q.target)
+	candidate.State.Begin(req.work, false)
+	req.target, req.sentAt, req.stage = s.simTargets[slices.IndexFunc(s.group(router).Local, func(c Candidate) bool { return c.State == candidate.State })], s.now, 1
+	req.target.queue = append(req.target.queue, req)
+	s.start(req.target)
 }
 
-func (m *queueModel) start(t *modelTarget) {
-	for t.running < m.slots-m.taken(t) && len(t.queue) > 0 {
-		q := t.queue[0]
+func (s *simulation) start(t *simTarget) {
+	for t.running < s.slots-s.externalSlots(t) && len(t.queue) > 0 {
+		req := t.queue[0]
 		t.queue = t.queue[1:]
 		t.running++
-		q.stage = 2
-		if m.measured() {
-			m.result.waits = append(m.result.waits, m.now.Sub(q.began).Seconds())
+		req.stage = 2
+		if s.measuring() {
+			s.result.waits = append(s.result.waits, s.now.Sub(req.arrivedAt).Seconds())
 		}
-		m.after(time.Duration(float64(q.service)*m.pace(t)), func() { m.finish(q) })
+		s.schedule(time.Duration(float64(req.serviceTime)*s.slowdown(t)), func() { s.finish(req) })
 	}
 }
 
 // finish ends a request that ran whole.
-func (m *queueModel) finish(q *modelRequest) {
-	if q.stage != 2 {
+func (s *simulation) finish(req *simRequest) {
+	if req.stage != 2 {
 		return
 	}
-	if m.measured() && !m.now.After(q.ask.Deadline) {
-		m.result.good++
+	if s.measuring() && !s.now.After(req.req.Deadline) {
+		s.result.onTime++
 	}
-	total := m.now.Sub(q.sent)
-	m.group(q.router).RecordCompletion(m.place(q).State, bbunit.Tokens(q.service.Seconds()*200), total)
-	m.leave(q)
+	duration := s.now.Sub(req.sentAt)
+	s.group(req.router).RecordCompletion(s.candidate(req).State, bbunit.Tokens(req.serviceTime.Seconds()*200), duration)
+	s.remove(req)
 }
 
-func (m *queueModel) place(q *modelRequest) *Candidate {
-	return &m.group(q.router).Local[q.target.id]
+func (s *simulation) candidate(req *simRequest) *Candidate {
+	return &s.group(req.router).Local[req.target.id]
 }
 
-// taken returns how many of the target's slots others keep.
-func (m *queueModel) taken(t *modelTarget) int {
-	if m.outside && t.id%3 == 0 {
-		return m.slots / 2
+// externalSlots returns how many of the target's slots others keep.
+func (s *simulation) externalSlots(t *simTarget) int {
+	if s.externalLoad && t.id%3 == 0 {
+		return s.slots / 2
 	}
 	return 0
 }
 
-// pace returns how much longer an answer of the target takes.
-func (m *queueModel) pace(t *modelTarget) float64 {
-	if m.slow && t.id%3 == 0 {
+// slowdown returns how much longer an answer of the target takes.
+func (s *simulation) slowdown(t *simTarget) float64 {
+	if s.slowTargets && t.id%3 == 0 {
 		return 2
 	}
 	return 1
 }
 
-// giveUp ends a request at its deadline, wherever it is.
-func (m *queueModel) giveUp(q *modelRequest) {
-	switch q.stage {
+// expire ends a request at its deadline, wherever it is.
+func (s *simulation) expire(req *simRequest) {
+	switch req.stage {
 	case 0:
-		g := m.group(q.router)
-		if g.gate.CancelWait(q.waiter) {
-			m.refuse(q)
+		g := s.group(req.router)
+		if g.admission.CancelWait(req.waiter) {
+			s.refuse(req)
 		}
-		q.router.waiting = slices.DeleteFunc(q.router.waiting, func(x *modelRequest) bool { return x == q })
+		req.router.queued = slices.DeleteFunc(req.router.queued, func(other *simRequest) bool { return other == req })
 	case 1, 2:
-		if !m.deaf {
-			m.leave(q)
+		if !s.ignoreCancel {
+			s.remove(req)
 		}
 	}
 }
 
-// leave takes the request out of its target and gives its place back.
-func (m *queueModel) leave(q *modelRequest) {
-	t := q.target
-	if q.stage == 2 {
+// remove takes the request out of its target and gives its place back.
+func (s *simulation) remove(req *simRequest) {
+	t := req.target
+	if req.stage == 2 {
 		t.running--
 	} else {
-		t.queue = slices.DeleteFunc(t.queue, func(x *modelRequest) bool { return x == q })
+		t.queue = slices.DeleteFunc(t.queue, func(other *simRequest) bool { return other == req })
 	}
-	q.stage = 3
-	m.place(q).State.End(q.work, false)
-	m.start(t)
-	if m.policy == "bluebellport" {
-		m.group(q.router).gate.Release()
-		m.wake(q.router)
+	req.stage = 3
+	s.candidate(req).State.End(req.work, false)
+	s.start(t)
+	if s.policy == "bluebellport" {
+		s.group(req.router).admission.Release()
+		s.deliverAdmissions(req.router)
 	}
 }
 
-// tell reports the target's load to all routers, late.
-func (m *queueModel) tell(t *modelTarget) {
-	r := LoadReport{Running: t.running + m.taken(t), Waiting: len(t.queue), Slots: m.slots, SampledAt: m.now}
-	m.after(m.lag, func() {
-		for _, f := range m.fronts {
-			g := m.group(f)
-			_, _ = g.Local[t.id].State.Observe(r, m.now)
-			g.UpdateWindow(m.now, m.routers)
-			m.wake(f)
+// reportLoad reports the target's load to all routers, late.
+func (s *simulation) reportLoad(t *simTarget) {
+	r := LoadReport{Running: t.running + s.externalSlots(t), Waiting: len(t.queue), Slots: s.slots, SampledAt: s.now}
+	s.schedule(s.reportLag, func() {
+		for _, router := range s.simRouters {
+			g := s.group(router)
+			_, _ = g.Local[t.id].State.Observe(r, s.now)
+			g.UpdateWindow(s.now, s.routerCount)
+			s.deliverAdmissions(router)
 		}
 	})
-	m.after(m.report, func() { m.tell(t) })
+	s.schedule(s.reportInterval, func() { s.reportLoad(t) })
 }
--- a/shared/bbroute/table.go
+++ b/shared/bbroute/table.go
@@ -12,17 +12,17 @@
 // Table is what may be routed where: an immutable snapshot of one state of the
 // tickets. The zero value routes nothing.
 type Table struct {
-	State  *bbticket.State
-	groups map[bbunit.ServiceID]*Group
-	known  map[bbunit.TargetID]declared
-	limits map[bbunit.AccountID]*Limiter
+	State           *bbticket.State
+	groups          map[bbunit.ServiceID]*Group
+	targets         map[bbunit.TargetID]trackedTarget
+	accountLimiters map[bbunit.AccountID]*Limiter
 }
 
-// declared is a target with the ticket and the address that declared it.
-type declared struct {
+// trackedTarget is a target with the ticket and the address that declared it.
+type trackedTarget struct {
 	number  bbunit.TicketNumber
 	address string
-	target  *TargetState
+	state   *TargetState
 }
 
 // Group returns the service's targets.
@@ -42,12 +42,12 @@
 }
 
 // AccountLimiter returns the limiter of an account, nil when it has no limit.
-func (t *Table) AccountLimiter(id bbunit.AccountID) *Limiter { return t.limits[id] }
+func (t *Table) AccountLimiter(id bbunit.AccountID) *Limiter { return t.accountLimiters[id] }
 
 // Limiters returns all limiters that limit anything, sorted by key.
 func (t *Table) Limiters() []*Limiter {
 	var out []*Limiter
-	for _, l := range t.limits {
+	for _, l := range t.accountLimiters {
 		out = append(out, l)
 	}
 	for _, g := range t.groups {
@@ -61,15 +61,15 @@
 
 // TargetState returns what is known of a target.
 func (t *Table) TargetState(id bbunit.TargetID) (*TargetState, bool) {
-	d, ok := t.known[id]
-	return d.target, ok
+	tracked, ok := t.targets[id]
+	return tracked.state, ok
 }
 
 // TargetStates returns all targets, sorted by id.
 func (t *Table) TargetStates() []*TargetState {
-	out := make([]*TargetState, 0, len(t.known))
-	for _, d := range t.known {
-		out = append(out, d.target)
+	out := make([]*TargetState, 0, len(t.targets))
+	for _, tracked := range t.targets {
+		out = append(out, tracked.state)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
@@ -77,63 +77,63 @@
 
 // WithState returns the table of a newer state, seen from failure domain home. What
 // is known of a target stays with it while its address stays.
-func (t *Table) WithState(state *bbticket.State, home bbunit.DomainID, rule AdmissionPolicy, now time.Time) *Table {
+func (t *Table) WithState(state *bbticket.State, localDomain bbunit.DomainID, policy AdmissionPolicy, now time.Time) *Table {
 	if t.State != nil && state.LastRoutingChange > 0 && t.State.LastRoutingChange == state.LastRoutingChange {
-		return &Table{State: state, groups: t.groups, known: t.known, limits: t.limits}
+		return &Table{State: state, groups: t.groups, targets: t.targets, accountLimiters: t.accountLimiters}
 	}
 	next := &Table{
-		State:  state,
-		groups: make(map[bbunit.ServiceID]*Group, len(state.Services)),
-		known:  make(map[bbunit.TargetID]declared, len(state.Targets)),
-		limits: make(map[bbunit.AccountID]*Limiter),
+		State:           state,
+		groups:          make(map[bbunit.ServiceID]*Group, len(state.Services)),
+		targets:         make(map[bbunit.TargetID]trackedTarget, len(state.Targets)),
+		accountLimiters: make(map[bbunit.AccountID]*Limiter),
 	}
 	for id, s := range state.Services {
 		if !s.Object.Deleted {
-			next.groups[id] = t.group(s.Object, rule)
+			next.groups[id] = t.serviceGroup(s.Object, policy)
 		}
 	}
 	for id, a := range state.Accounts {
 		if !a.Object.Deleted && (a.Object.Limit.Rate > 0 || a.Object.Limit.MaxInFlight > 0) {
-			next.limits[id] = keepLimiter(t.limits[id], "account/"+string(id), a.Object.Limit)
+			next.accountLimiters[id] = updateLimiter(t.accountLimiters[id], "account/"+string(id), a.Object.Limit)
 		}
 	}
 	for _, id := range sortedTargets(state) {
-		n := state.Targets[id]
-		g, ok := next.groups[n.Object.Service]
-		if n.Object.Deleted || !ok {
+		target := state.Targets[id]
+		g, ok := next.groups[target.Object.Service]
+		if target.Object.Deleted || !ok {
 			continue
 		}
-		p := Candidate{Declared: n.Object, State: t.keep(next, n, now), gate: g.gate}
-		if n.Object.Domain == home {
-			g.Local = append(g.Local, p)
+		candidate := Candidate{Declared: target.Object, State: t.trackTarget(next, target, now), admission: g.admission}
+		if target.Object.Domain == localDomain {
+			g.Local = append(g.Local, candidate)
 		} else {
-			g.Remote = append(g.Remote, p)
-			g.farRoom += float64(p.mostFar())
-			g.farSlots += p.slotsOr(unlimited)
+			g.Remote = append(g.Remote, candidate)
+			g.remoteRoom += float64(candidate.maxRemoteInFlight())
+			g.remoteSlots += candidate.slotsOr(unlimited)
 		}
 	}
 	return next
 }
 
-// group returns a service's group without targets; what is known of the service
+// serviceGroup returns a service's group without targets; what is known of the service
 // stays with it.
-func (t *Table) group(s bbticket.Service, rule AdmissionPolicy) *Group {
+func (t *Table) serviceGroup(s bbticket.Service, policy AdmissionPolicy) *Group {
 	key := "service/" + string(s.ID)
 	old, ok := t.groups[s.ID]
 	if !ok {
 		return &Group{
-			Service: s, turn: &atomic.Uint64{}, output: &gauge{}, gate: NewAdmissionController(rule),
-			limiter: NewLimiter(key, s.Limit), retries: &RetryBudget{},
+			Service: s, roundRobin: &atomic.Uint64{}, meanOutput: &atomicFloat{}, admission: NewAdmissionController(policy),
+			limiter: NewLimiter(key, s.Limit), retryBudget: &RetryBudget{},
 		}
 	}
 	return &Group{
-		Service: s, turn: old.turn, output: old.output, gate: old.gate,
-		limiter: keepLimiter(old.limiter, key, s.Limit), retries: old.retries,
+		Service: s, roundRobin: old.roundRobin, meanOutput: old.meanOutput, admission: old.admission,
+		limiter: updateLimiter(old.limiter, key, s.Limit), retryBudget: old.retryBudget,
 	}
 }
 
-// keepLimiter returns the limiter there was, under the limit as declared now.
-func keepLimiter(old *Limiter, key string, limit bbticket.Limit) *Limiter {
+// updateLimiter returns the limiter there was, under the limit as declared now.
+func updateLimiter(old *Limiter, key string, limit bbticket.Limit) *Limiter {
 	if old == nil {
 		return NewLimiter(key, limit)
 	}
@@ -141,20 +141,20 @@
 	return old
 }
 
-// keep carries what is known of a target over to the next table.
-func (t *Table) keep(next *Table, n bbticket.Numbered[bbticket.Target], now time.Time) *TargetState {
-	d, ok := t.known[n.Object.ID]
+// trackTarget carries what is known of a target over to the next table.
+func (t *Table) trackTarget(next *Table, target bbticket.Numbered[bbticket.Target], now time.Time) *TargetState {
+	tracked, ok := t.targets[target.Object.ID]
 	switch {
-	case !ok || d.address != n.Object.Address:
-		d.target = NewTargetState(n.Object.ID, now)
+	case !ok || tracked.address != target.Object.Address:
+		tracked.state = NewTargetState(target.Object.ID, now)
 		if t.State == nil || t.State.Number == 0 {
-			d.target.since.Store(0) // all are new to an instance that starts
+			tracked.state.slowStartAt.Store(0) // all are new to an instance that starts
 		}
-	case d.number != n.Number:
-		d.target.leave.since.Store(0) // a newer ticket outweighs an older word
+	case tracked.number != target.Number:
+		tracked.state.leaving.since.Store(0) // a newer ticket outweighs an older word
 	}
-	next.known[n.Object.ID] = declared{number: n.Number, address: n.Object.Address, target: d.target}
-	return d.target
+	next.targets[target.Object.ID] = trackedTarget{number: target.Number, address: target.Object.Address, state: tracked.state}
+	return tracked.state
 }
 
 func sortedTargets(state *bbticket.State) []bbunit.TargetID {
--- a/shared/bbroute/table_test.go
+++ b/shared/bbroute/table_test.go
@@ -11,9 +11,9 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// TestNextSeesEveryRoute: a table is kept over tickets on budgets and rebuilt
+// TestWithStateRebuildsRoutes: a table is kept over tickets on budgets and rebuilt
 // for any other, also when the state came whole from elsewhere.
-func TestNextSeesEveryRoute(t *testing.T) {
+func TestWithStateRebuildsRoutes(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	target := func(id bbunit.TargetID) bbticket.Target {
@@ -24,22 +24,22 @@
 		is.True(ok)
 		return len(g.Local) + len(g.Remote)
 	}
-	s := (&bbticket.State{}).Apply(bbticket.Ticket{Number: 1, Services: []bbticket.Service{{ID: "s"}}, Targets: []bbticket.Target{target("a")}})
-	one := (&Table{}).WithState(s, "d", AdmissionPolicy{}, now)
-	is.Equal(routed(one), 1)
-	s = s.Apply(bbticket.Ticket{Number: 2, Budgets: []bbticket.Budget{{ID: "b"}}})
-	kept := one.WithState(s, "d", AdmissionPolicy{}, now)
+	state := (&bbticket.State{}).Apply(bbticket.Ticket{Number: 1, Services: []bbticket.Service{{ID: "s"}}, Targets: []bbticket.Target{target("a")}})
+	first := (&Table{}).WithState(state, "d", AdmissionPolicy{}, now)
+	is.Equal(routed(first), 1)
+	state = state.Apply(bbticket.Ticket{Number: 2, Budgets: []bbticket.Budget{{ID: "b"}}})
+	kept := first.WithState(state, "d", AdmissionPolicy{}, now)
 	is.Equal(routed(kept), 1)
-	is.Equal(kept.State, s)
-	s = s.Apply(bbticket.Ticket{Number: 3, Targets: []bbticket.Target{target("c")}})
-	is.Equal(routed(kept.WithState(s, "d", AdmissionPolicy{}, now)), 2)
+	is.Equal(kept.State, state)
+	state = state.Apply(bbticket.Ticket{Number: 3, Targets: []bbticket.Target{target("c")}})
+	is.Equal(routed(kept.WithState(state, "d", AdmissionPolicy{}, now)), 2)
 
-	v, err := json.Marshal(s)
+	data, err := json.Marshal(state)
 	is.NoErr(err)
-	var sent bbticket.State
-	is.NoErr(json.Unmarshal(v, &sent))
-	is.Equal(routed(kept.WithState(kept.State.Merge(&sent), "d", AdmissionPolicy{}, now)), 2)
-	s = s.Apply(bbticket.Ticket{Number: 4, Services: []bbticket.Service{{ID: "s2"}}})
-	_, ok := kept.WithState(s, "d", AdmissionPolicy{}, now).Group("s2")
+	var decoded bbticket.State
+	is.NoErr(json.Unmarshal(data, &decoded))
+	is.Equal(routed(kept.WithState(kept.State.Merge(&decoded), "d", AdmissionPolicy{}, now)), 2)
+	state = state.Apply(bbticket.Ticket{Number: 4, Services: []bbticket.Service{{ID: "s2"}}})
+	_, ok := kept.WithState(state, "d", AdmissionPolicy{}, now).Group("s2")
 	is.True(ok)
 }
--- a/shared/bbroute/waitqueue.go
+++ b/shared/bbroute/waitqueue.go
@@ -17,25 +17,25 @@
 	// room for one.
 	Ready chan error
 
-	since time.Time
+	enqueuedAt time.Time
 }
 
-// hopeless tells that the request cannot end in time if it waits that long.
-func (w *Waiter) hopeless(now time.Time, wait time.Duration) bool {
-	return !w.Deadline.IsZero() && now.Add(wait+time.Duration(float64(w.ExpectedDuration)*serviceMargin)).After(w.Deadline)
+// missesDeadline tells that the request cannot end in time if it waits that long.
+func (w *Waiter) missesDeadline(now time.Time, wait time.Duration) bool {
+	return !w.Deadline.IsZero() && now.Add(wait+time.Duration(float64(w.ExpectedDuration)*deadlineMargin)).After(w.Deadline)
 }
 
-// line is a bounded queue, the highest priority first and the oldest first
+// waitQueue is a bounded queue, the highest priority first and the oldest first
 // within one priority. It is a plain state machine; the gate guards it.
-type line struct {
-	waiters []*Waiter
-	most    int
-	longest time.Duration
+type waitQueue struct {
+	waiters   []*Waiter
+	maxLength int
+	maxWait   time.Duration
 }
 
-// place returns how many go before a new waiter of that priority.
-func (l *line) place(p bbunit.Priority) int {
-	i, _ := slices.BinarySearchFunc(l.waiters, p, func(w *Waiter, p bbunit.Priority) int {
+// position returns how many go before a new waiter of that priority.
+func (q *waitQueue) position(p bbunit.Priority) int {
+	i, _ := slices.BinarySearchFunc(q.waiters, p, func(w *Waiter, p bbunit.Priority) int {
 		if w.Priority >= p {
 			return -1
 		}
@@ -44,67 +44,67 @@
 	return i
 }
 
-// wait returns how long the waiter at that place waits when rate requests a
+// expectedWait returns how long the waiter at that place waits when rate requests a
 // second leave the line.
-func wait(place int, rate float64) time.Duration {
-	return time.Duration(float64(place+1) / rate * float64(time.Second))
+func expectedWait(position int, drainRate float64) time.Duration {
+	return time.Duration(float64(position+1) / drainRate * float64(time.Second))
 }
 
-// join lines w up, or returns why not. It also returns the waiter that had to
+// enqueue lines w up, or returns why not. It also returns the waiter that had to
 // make room, if any.
-func (l *line) join(w *Waiter, now time.Time, rate float64) (*Waiter, error) {
-	i := l.place(w.Priority)
-	expect := wait(i, rate)
-	if expect > l.longest || w.hopeless(now, expect) {
-		return nil, refuse(ErrOverload, expect)
+func (q *waitQueue) enqueue(w *Waiter, now time.Time, drainRate float64) (*Waiter, error) {
+	i := q.position(w.Priority)
+	expected := expectedWait(i, drainRate)
+	if expected > q.maxWait || w.missesDeadline(now, expected) {
+		return nil, newRefusal(ErrOverload, expected)
 	}
-	var out *Waiter
-	if len(l.waiters) >= l.most {
-		if i == len(l.waiters) {
-			return nil, refuse(ErrOverload, expect)
+	var evicted *Waiter
+	if len(q.waiters) >= q.maxLength {
+		if i == len(q.waiters) {
+			return nil, newRefusal(ErrOverload, expected)
 		}
-		out = l.waiters[len(l.waiters)-1]
-		l.waiters = l.waiters[:len(l.waiters)-1]
+		evicted = q.waiters[len(q.waiters)-1]
+		q.waiters = q.waiters[:len(q.waiters)-1]
 	}
-	w.since = now
-	l.waiters = slices.Insert(l.waiters, i, w)
-	return out, nil
+	w.enqueuedAt = now
+	q.waiters = slices.Insert(q.waiters, i, w)
+	return evicted, nil
 }
 
-// next takes the first waiter out of the line, nil when it is empty.
-func (l *line) next() *Waiter {
-	if len(l.waiters) == 0 {
+// dequeue takes the first waiter out of the line, nil when it is empty.
+func (q *waitQueue) dequeue() *Waiter {
+	if len(q.waiters) == 0 {
 		return nil
 	}
-	w := l.waiters[0]
-	l.waiters = slices.Delete(l.waiters, 0, 1)
+	w := q.waiters[0]
+	q.waiters = slices.Delete(q.waiters, 0, 1)
 	return w
 }
 
-// shed takes out all that can no longer be served in time, lowest priorities
+// evictLate takes out all that can no longer be served in time, lowest priorities
 // being the last in line and so the first to go.
-func (l *line) shed(now time.Time, rate float64) []*Waiter {
-	var out []*Waiter
-	kept := l.waiters[:0]
-	for _, w := range l.waiters {
-		expect := wait(len(kept), rate)
-		if w.hopeless(now, expect) || now.Add(expect).Sub(w.since) > 2*l.longest {
-			out = append(out, w)
+func (q *waitQueue) evictLate(now time.Time, drainRate float64) []*Waiter {
+	var evicted []*Waiter
+	kept := q.waiters[:0]
+	for _, w := range q.waiters {
+		expected := expectedWait(len(kept), drainRate)
+		if w.missesDeadline(now, expected) || now.Add(expected).Sub(w.enqueuedAt) > 2*q.maxWait {
+			evicted = append(evicted, w)
 			continue
 		}
 		kept = append(kept, w)
 	}
-	clear(l.waiters[len(kept):])
-	l.waiters = kept
-	return out
+	clear(q.waiters[len(kept):])
+	q.waiters = kept
+	return evicted
 }
 
 // remove takes w out and tells whether it was there.
-func (l *line) remove(w *Waiter) bool {
-	i := slices.Index(l.waiters, w)
+func (q *waitQueue) remove(w *Waiter) bool {
+	i := slices.Index(q.waiters, w)
 	if i < 0 {
 		return false
 	}
-	l.waiters = slices.Delete(l.waiters, i, i+1)
+	q.waiters = slices.Delete(q.waiters, i, i+1)
 	return true
 }
