--- a/shared/bbroute/admission.go
+++ b/shared/bbroute/admission.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// AdmissionPolicy bounds the requests that wait for a place.
+// AdmissionPolicy bounds the queue of an AdmissionController.
 type AdmissionPolicy struct {
-	// MaxQueued is how many may wait at once for one service.
+	// MaxQueued is the most requests of one service that may be queued.
 	MaxQueued int
-	// MaxWait is the longest wait that a request is lined up for.
+	// MaxWait is the longest expected wait with which a request is queued.
 	MaxWait time.Duration
 }
 
-// AdmissionController lets as many requests of a service in as its targets have room for, as
-// far as this instance knows. While there is room it takes no lock; only those
-// that must wait line up behind one.
+// AdmissionController admits as many requests of a service as its targets have
+// room for, by this instance's estimate, and queues the others. Admission takes
+// no lock while there is room; queueing does.
 type AdmissionController struct {
-	inFlight            atomic.Int64 // requests let in
-	window              atomic.Int64 // how many may be in
-	queued              atomic.Int64 // length of the line
-	meanResponseSeconds atomicFloat  // mean seconds of a request
+	inFlight            atomic.Int64 // requests admitted and not yet released
+	window              atomic.Int64 // the most requests in flight
+	queued              atomic.Int64 // length of the queue
+	meanResponseSeconds atomicFloat
 
-	mu    sync.Mutex // guards line
+	mu    sync.Mutex // guards queue
 	queue waitQueue
 }
 
-// NewAdmissionController returns a gate without bound.
+// NewAdmissionController returns a controller with an unlimited window.
 func NewAdmissionController(policy AdmissionPolicy) *AdmissionController {
-	g := &AdmissionController{queue: waitQueue{maxLength: policy.MaxQueued, maxWait: policy.MaxWait}}
-	g.window.Store(unlimited)
-	return g
+	a := &AdmissionController{queue: waitQueue{maxLength: policy.MaxQueued, maxWait: policy.MaxWait}}
+	a.window.Store(unlimited)
+	return a
 }
 
-// InFlight returns how many requests are in.
+// InFlight returns how many requests are admitted and not yet released.
 func (a *AdmissionController) InFlight() int { return int(a.inFlight.Load()) }
 
-// Queued returns how many requests wait.
+// Queued returns how many requests are queued.
 func (a *AdmissionController) Queued() int { return int(a.queued.Load()) }
 
-// Window returns how many requests may be in.
+// Window returns how many requests may be in flight.
 func (a *AdmissionController) Window() int { return int(a.window.Load()) }
 
-// TryAcquire lets a request in at once if there is room and nobody waits.
+// TryAcquire admits a request if there is room and the queue is empty.
 func (a *AdmissionController) TryAcquire() bool {
 	return a.queued.Load() == 0 && a.acquire()
 }
 
-// acquire takes a place if there is one.
+// acquire takes one unit of the window if there is one.
 func (a *AdmissionController) acquire() bool {
 	if a.inFlight.Add(1) <= a.window.Load() {
 		return true
@@ -57,8 +57,8 @@
 	return false
 }
 
-// Enqueue lines the request up, or returns a Refusal at once. Ready then tells
-// how the wait ended.
+// Enqueue adds the request to the queue, or returns a Refusal. The result of
+// the wait is sent to w.Ready.
 func (a *AdmissionController) Enqueue(w *Waiter, now time.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// CancelWait takes a waiter out whose caller left. It returns false when the wait
-// had already ended; Ready then holds how.
+// CancelWait removes a waiter whose caller has left. It returns false when the
+// wait has already ended; w.Ready then holds the result.
 func (a *AdmissionController) CancelWait(w *Waiter) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,7 +81,7 @@
 	return found
 }
 
-// Release gives a place back.
+// Release ends an admitted request.
 func (a *AdmissionController) Release() {
 	a.inFlight.Add(-1)
 	if a.queued.Load() > 0 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// SetWindow sets how many requests may be in, and sheds those that can no longer
-// be served in time.
+// SetWindow sets how many requests may be in flight, and refuses queued
+// requests that can no longer be served in time.
 func (a *AdmissionController) SetWindow(window float64, now time.Time) {
 	a.window.Store(int64(min(window, unlimited)))
 	if a.queued.Load() == 0 {
@@ -106,8 +106,9 @@
 	a.admitQueued()
 }
 
-// admitQueued lets the first ones in while there is room. The length is stored
-// before room is looked for, so that an Exit that misses it is seen here.
+// admitQueued admits waiters in order while there is room. It stores the queue
+// length before it looks for room: a concurrent Release that still reads a
+// length of 0 has then already made its room visible here.
 func (a *AdmissionController) admitQueued() {
 	a.queued.Store(int64(len(a.queue.waiters)))
 	for len(a.queue.waiters) > 0 && a.acquire() {
@@ -116,19 +117,20 @@
 	}
 }
 
-// reject refuses a waiter that has been taken out.
+// reject refuses a waiter that has been removed from the queue; w may be nil.
 func (a *AdmissionController) reject(w *Waiter) {
 	if w != nil {
 		w.Ready <- newRefusal(ErrOverload, expectedWait(len(a.queue.waiters), a.drainRate()))
 	}
 }
 
-// drainRate returns how many requests a second leave the line.
+// drainRate estimates how many requests a second leave the queue.
 func (a *AdmissionController) drainRate() float64 {
 	return max(float64(a.window.Load()), 1) / a.responseSeconds()
 }
 
-// RecordDuration notes how long a request took.
+// RecordDuration adds the duration of a completed request to the mean response
+// time.
 func (a *AdmissionController) RecordDuration(duration time.Duration) {
 	a.meanResponseSeconds.updateEWMA(duration.Seconds(), responseTimeEWMAWeight)
 }
@@ -140,21 +142,21 @@
 	return defaultResponseSeconds
 }
 
-// ExpectedDuration returns how long a request of that work runs, in thousandths of a mean
-// request.
+// ExpectedDuration returns how long a request of the given work is expected to
+// run. Work is in thousandths of a mean request.
 func (a *AdmissionController) ExpectedDuration(work int64) time.Duration {
 	return time.Duration(a.responseSeconds() * float64(work) / meanRequestWork * float64(time.Second))
 }
 
-// UpdateWindow sets the gate's window from what is known of the targets, which n
-// instances use.
+// UpdateWindow sets the admission window from the state of the targets. The
+// targets are shared by the given number of instances.
 func (g *Group) UpdateWindow(now time.Time, instances int) {
 	var window float64
 	for i := range g.Local {
 		window += g.Local[i].allowance(now, instances)
 	}
 	if window == 0 {
-		window = g.remoteSlots // without the own failure domain all of theirs
+		window = g.remoteSlots // all remote slots while no local target is usable
 	} else {
 		window += g.remoteRoom
 	}
--- a/shared/bbroute/circuit.go
+++ b/shared/bbroute/circuit.go
@@ -5,33 +5,36 @@
 	"time"
 )
 
-// CircuitPolicy sets when a circuit opens and how long it stays open.
+// CircuitPolicy configures a circuit breaker.
 type CircuitPolicy struct {
-	// FailureThreshold is how many failures in a row open the circuit.
+	// FailureThreshold is the number of consecutive failures that opens the
+	// circuit.
 	FailureThreshold int
-	// InitialOpen is how long it stays open at first; each failed probe doubles it up
-	// to Longest.
+	// InitialOpen is how long the circuit stays open at first. Each failed
+	// probe doubles the time, up to MaxOpen.
 	InitialOpen, MaxOpen time.Duration
-	// ProbeTimeout is how long a probe may take before another is let through.
+	// ProbeTimeout is the time after which an unfinished probe no longer blocks
+	// the next one.
 	ProbeTimeout time.Duration
 }
 
-// Circuit keeps requests from a target that fails. It is closed at first, opens
-// after failures in a row, and lets one probe through when its time is over.
-// The zero value is closed. Its methods may be called at once and take no lock.
+// Circuit is the circuit breaker of one target. It opens after consecutive
+// failures; when the open time is over, it is half-open and lets one probe
+// through at a time. The zero value is closed. Its methods are safe for
+// concurrent use and take no lock.
 type Circuit struct {
-	consecutiveFailures atomic.Int64 // in a row
-	openUntil           atomic.Int64 // open until, unix nanoseconds; 0 is closed
+	consecutiveFailures atomic.Int64
+	openUntil           atomic.Int64 // unix nanoseconds; 0 means closed
 }
 
-// Usable tells whether Enter may let a request through.
+// Usable reports whether Allow may let a request through.
 func (c *Circuit) Usable(now time.Time) bool {
 	until := c.openUntil.Load()
 	return until == 0 || now.UnixNano() >= until
 }
 
-// Allow lets a request through. While the circuit is half-open only one caller
-// gets true, and the next one once that probe's time is over.
+// Allow reports whether the caller may send a request. In the half-open state
+// it returns true to one caller, and to another once policy.ProbeTimeout is over.
 func (c *Circuit) Allow(now time.Time, policy *CircuitPolicy) bool {
 	until := c.openUntil.Load()
 	if until == 0 {
@@ -41,10 +44,11 @@
 	return nowNanos >= until && c.openUntil.CompareAndSwap(until, nowNanos+int64(policy.ProbeTimeout))
 }
 
-// Closed tells that the circuit is not open or half-open.
+// Closed reports whether the circuit is closed, that is neither open nor
+// half-open.
 func (c *Circuit) Closed() bool { return c.openUntil.Load() == 0 }
 
-// RecordSuccess closes the circuit and reports whether it was open.
+// RecordSuccess closes the circuit and reports whether it was open or half-open.
 func (c *Circuit) RecordSuccess() bool {
 	if c.consecutiveFailures.Load() != 0 {
 		c.consecutiveFailures.Store(0)
@@ -52,8 +56,8 @@
 	return c.openUntil.Load() != 0 && c.openUntil.Swap(0) != 0
 }
 
-// RecordFailure counts a failure that is the target's own, and reports whether the
-// circuit is open after it.
+// RecordFailure counts a failure that is the target's fault, and reports whether
+// the circuit is now open.
 func (c *Circuit) RecordFailure(now time.Time, policy *CircuitPolicy) bool {
 	failures := c.consecutiveFailures.Add(1)
 	if failures < int64(policy.FailureThreshold) {
--- a/shared/bbroute/constants.go
+++ b/shared/bbroute/constants.go
@@ -3,88 +3,106 @@
 import "time"
 
 const (
-	// meanRequestWork is the work of a mean request.
+	// meanRequestWork is the work of a mean request; work is counted in
+	// thousandths of it.
 	meanRequestWork = 1000
-	// completionEWMAWeight is how much of a new answer time goes into a mean.
+	// completionEWMAWeight is the weight of a new answer in a target's mean
+	// response time and in the service's mean output length.
 	completionEWMAWeight = 0.02
-	// reportDecayFactor is the part of an answer's time in which a load report loses most
-	// of its weight.
+	// reportDecayFactor is the time constant with which a load report loses its
+	// weight, as a fraction of the mean response time.
 	reportDecayFactor = 0.25
-	// responseTimeEWMAWeight is the same for the time that a request takes in all.
+	// responseTimeEWMAWeight is the weight of a new answer in the service's
+	// mean response time.
 	responseTimeEWMAWeight = 0.1
-	// deadlineMargin is the part of its expected time that a request which waits
-	// must have left before its deadline.
+	// deadlineMargin times the expected duration of a queued request must
+	// remain before its deadline.
 	deadlineMargin = 1.5
-	// roundRobinMargin is by how much of a request the second target drawn must be
-	// the less loaded one to be taken.
+	// roundRobinMargin is how many requests more than the random candidate the
+	// round-robin candidate may have and still be picked.
 	roundRobinMargin = 0.5
-	// responseTimeTolerance is how far a target's pace may be from the service's and still
-	// count as the same.
+	// responseTimeTolerance is the factor within which a target's mean response
+	// time counts as equal to the service's.
 	responseTimeTolerance = 1.25
-	// otherLoadEWMAWeight is how much of a new report goes into a target's usual load.
+	// otherLoadEWMAWeight is the weight of a new report in the mean load that
+	// other instances put on a target.
 	otherLoadEWMAWeight = 0.1
-	// maxNanos is the longest duration reckoned with, which may be added to
-	// a time without overflow.
+	// maxNanos limits computed durations, so that adding one to a time does not
+	// overflow.
 	maxNanos = 1 << 60
-	// defaultResponseSeconds is the answer time assumed before any was seen, in seconds.
+	// defaultResponseSeconds is the mean response time assumed before the first
+	// answer.
 	defaultResponseSeconds = 1.0
-	// defaultSlots stands for the slots of a target that tells none.
+	// defaultSlots is assumed for a target that does not report its slots.
 	defaultSlots = 8
-	// slowStartMinShare is the part of its share that a new target gets at once.
+	// slowStartMinShare is the fraction of its full share that a new target
+	// gets at once.
 	slowStartMinShare = 0.1
-	// remoteSlotShare is the part of the slots of a target in another failure domain
-	// that one instance may use beside its own domain.
+	// remoteSlotShare is the fraction of the slots of a target in another
+	// failure domain that one instance may use while its own domain has usable
+	// targets.
 	remoteSlotShare = 0.125
-	// affinityLoadFactor is how far above the mean load a target may be and still
-	// get a request for its cached prefix.
+	// affinityLoadFactor is the multiple of the mean load above which a target
+	// gets no requests by prefix affinity.
 	affinityLoadFactor = 1.25
-	// affinityMessages is how many leading messages make the affinity key.
+	// affinityMessages is the number of leading messages that form the affinity
+	// key.
 	affinityMessages = 2
 
-	// leavingSettleTime is how long after the word that a target is leaving its own
-	// report may take that back.
+	// leavingSettleTime is how long after a target was marked as leaving its
+	// own report must be sampled to clear the mark.
 	leavingSettleTime = 5 * time.Second
-	// peerLeavingIgnoreTime is how long another instance's word is passed over after that.
+	// peerLeavingIgnoreTime is how long after such a report peers' gossip that
+	// the target is leaving is ignored.
 	peerLeavingIgnoreTime = 30 * time.Second
-	// leavingGossipTime is how long the word is passed on to other instances.
+	// leavingGossipTime is how long a leaving target is gossiped to peers.
 	leavingGossipTime = 15 * time.Second
 )
 
 const (
-	// maxReportValue is the largest number that a report may hold.
+	// maxReportValue is the largest count accepted in a load report.
 	maxReportValue = 1 << 20
-	// maxReportSkew is how far ahead of this instance's clock a report may be.
+	// maxReportSkew is how far a report's time may be ahead of this instance's
+	// clock.
 	maxReportSkew = 2 * time.Second
-	// maxReportAge is how long a report is of use.
+	// maxReportAge is the age above which a report is ignored.
 	maxReportAge = 5 * time.Second
 
-	// queueHeadroom is the part of its slots that a target may have waiting.
+	// queueHeadroom is the permitted queue length of a target, as a fraction of
+	// its slots.
 	queueHeadroom = 0.6
-	// minAllowance is what an instance may have at a usable target at least.
+	// minAllowance is the minimum number of requests that a usable target adds
+	// to the admission window of each instance.
 	minAllowance = 0.5
-	// unlimited stands for a window without bound.
+	// unlimited is the admission window without a bound.
 	unlimited = 1 << 40
 
-	// minUsageShare is the part of a limit that counts as used by each instance.
+	// minUsageShare is the fraction of a limit that is added to each instance's
+	// usage before the limit is divided, so that an idle instance can start.
 	minUsageShare = 0.05
-	// usageEWMAWeight is how much of the last tick goes into the mean usage.
+	// usageEWMAWeight is the weight of the last interval in the mean demand.
 	usageEWMAWeight = 0.3
-	// inFlightRetryAfter is when to come back after the limit of requests in flight.
+	// inFlightRetryAfter is the Retry-After of a request refused by an
+	// in-flight limit.
 	inFlightRetryAfter = time.Second
 )
 
 const (
-	// unitsPerRetry is one retry in the unit of a retry budget.
+	// unitsPerRetry is the resolution of a RetryBudget: it counts in
+	// thousandths of a retry.
 	unitsPerRetry = 1000
-	// maxSavedRetries is the most retries that a service can save.
+	// maxSavedRetries is the most retries that a RetryBudget can save up.
 	maxSavedRetries = 100
-	// minRetryRate is the lowest floor, in retries a second.
+	// minRetryRate is the smallest effective RetryPolicy.MinPerSecond; lower
+	// values allow no retries.
 	minRetryRate = 0.001
-	// minRateBurst is how many retries of the floor may come at once.
+	// minRateBurst is how many of the retries granted by
+	// RetryPolicy.MinPerSecond may come at once.
 	minRateBurst = 10
 
-	// maxTargetsPerFingerprint is the most targets kept for one fingerprint.
+	// maxTargetsPerFingerprint is the most crashed targets recorded for one
+	// fingerprint.
 	maxTargetsPerFingerprint = 8
-	// knownGoodSize is how many fingerprints of whole requests are remembered.
+	// knownGoodSize is the number of slots in a KnownGood set.
 	knownGoodSize = 4096
 )
--- a/shared/bbroute/error.go
+++ b/shared/bbroute/error.go
@@ -7,33 +7,36 @@
 	"github.com/juju/errors"
 )
 
-// Sentinel errors of the router, tested with errors.Is. Each comes wrapped in a
-// Refusal.
+// Sentinel errors of the router, tested with errors.Is. Those that refuse a
+// request are wrapped in a Refusal.
 const (
-	// ErrLimit means that the account or the service is over its limit.
+	// ErrLimit means that the account or the service has reached its limit.
 	ErrLimit = errors.ConstError("limit reached")
 	// ErrOverload means that no target can run the request in time.
 	ErrOverload = errors.ConstError("no capacity")
-	// ErrNoTarget means that no target of the service is usable.
+	// ErrNoTarget means that the service has no usable target.
 	ErrNoTarget = errors.ConstError("no usable target")
-	// ErrDeadline means that the request's deadline is over or cannot be met.
+	// ErrDeadline means that the request's deadline has passed or cannot be
+	// met.
 	ErrDeadline = errors.ConstError("deadline cannot be met")
-	// ErrPoisoned means that the request crashed targets and is refused for good.
+	// ErrPoisoned means that the request has crashed several targets and is
+	// refused permanently.
 	ErrPoisoned = errors.ConstError("request crashes targets")
-	// ErrCancelled means that the caller left while its request waited.
+	// ErrCancelled means that the caller left while its request was queued.
 	ErrCancelled = errors.ConstError("caller left")
-	// ErrLeaving is what an attempt ends with when its target refused the
-	// request because it is leaving: nothing ran.
+	// ErrLeaving is the error of an attempt that the target refused because it
+	// is leaving. The request did not run.
 	ErrLeaving = errors.ConstError("target is leaving")
-	// ErrBusy is what an attempt ends with when its target refused the request
-	// for lack of room: nothing ran.
+	// ErrBusy is the error of an attempt that the target refused because it is
+	// full. The request did not run.
 	ErrBusy = errors.ConstError("target has no room")
 )
 
-// Refusal is why a request is not let through.
+// Refusal is the error of a request that is not admitted.
 type Refusal struct {
 	Cause error
-	// RetryAfter is when coming back can help; 0 when it cannot.
+	// RetryAfter is the time after which a retry may succeed; 0 means that
+	// retrying does not help.
 	RetryAfter time.Duration
 }
 
@@ -48,7 +51,7 @@
 // Unwrap returns the sentinel error.
 func (r *Refusal) Unwrap() error { return r.Cause }
 
-// newRefusal returns a Refusal.
+// newRefusal returns a Refusal as an error.
 func newRefusal(cause error, retryAfter time.Duration) error {
 	return &Refusal{Cause: cause, RetryAfter: retryAfter}
 }
--- a/shared/bbroute/estimate.go
+++ b/shared/bbroute/estimate.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// otherLoad estimates how many requests of other instances the target runs now.
-// What the last report told fades, with the time that an answer takes, into
-// what the target usually has: else all instances would run after the same late
-// news.
+// otherLoad estimates how many requests of other instances the target has now.
+// As the last report ages, the estimate moves from the reported load to the
+// mean load; if all instances used the late report at full weight, they would
+// all choose the same targets.
 func (t *TargetState) otherLoad(now time.Time, responseSeconds float64) float64 {
 	r := t.report.Load()
 	if r == nil {
@@ -19,16 +19,18 @@
 	return freshness*r.otherLoad() + (1-freshness)*t.meanOtherLoad.load()
 }
 
-// otherLoad returns how many of the reported requests are other instances'.
+// otherLoad returns how many of the reported requests belong to other
+// instances.
 func (r *LoadReport) otherLoad() float64 { return float64(max(r.Running+r.Waiting-r.ownInFlight, 0)) }
 
-// estimatedLoad estimates the target's requests, in mean requests.
+// estimatedLoad estimates the target's load from all instances, in mean
+// requests.
 func (t *TargetState) estimatedLoad(now time.Time, responseSeconds float64) float64 {
 	return float64(t.inFlightWork.Load())/meanRequestWork + t.otherLoad(now, responseSeconds)
 }
 
-// responseSeconds returns the mean time of an answer: the service's, unless the
-// target is clearly faster or slower.
+// responseSeconds returns the target's mean response time if it clearly differs
+// from the service's, and otherwise the service's.
 func (c *Candidate) responseSeconds() float64 {
 	serviceMean := c.admission.responseSeconds()
 	targetMean := c.State.meanResponseSeconds.load()
@@ -38,10 +40,10 @@
 	return targetMean
 }
 
-// slots returns the slots to reckon with.
+// slots returns the number of slots, or defaultSlots when it is unknown.
 func (c *Candidate) slots() float64 { return c.slotsOr(defaultSlots) }
 
-// slotsOr returns the slots, or n when the target tells none.
+// slotsOr returns the number of slots, or fallback when it is unknown.
 func (c *Candidate) slotsOr(fallback float64) float64 {
 	if s := c.Slots(); s > 0 {
 		return float64(s)
@@ -49,8 +51,8 @@
 	return fallback
 }
 
-// ExpectedWait returns how long a new request is expected to wait at the target before
-// it runs.
+// ExpectedWait returns how long a new request is expected to wait at the target
+// before it runs.
 func (c *Candidate) ExpectedWait(now time.Time) time.Duration {
 	t := c.State
 	responseSeconds := c.responseSeconds()
@@ -62,8 +64,9 @@
 	return time.Duration(wait * float64(time.Second))
 }
 
-// Score orders targets: the time that the work at hand keeps one slot busy,
-// raised while the target is new.
+// Score is the target's cost for load balancing, lower is better: the work of
+// its requests and a new one, in seconds per slot. The score is raised while
+// the target refuses requests and during its slow start.
 func (c *Candidate) Score(now time.Time, policy *PickPolicy) float64 {
 	t := c.State
 	responseSeconds := c.responseSeconds()
@@ -79,12 +82,13 @@
 	return score
 }
 
-// hasRemoteRoom tells whether the target of another failure domain, whose load is
-// not known here, may take one more request from this instance.
+// hasRemoteRoom reports whether this instance may send one more request to the
+// target, which belongs to another failure domain. The load that other
+// instances put on it is not known here.
 func (c *Candidate) hasRemoteRoom() bool {
 	return c.State.InFlight() < c.maxRemoteInFlight()
 }
 
-// maxRemoteInFlight returns how many requests of this instance the target of another
-// failure domain may run while the own one has usable targets.
+// maxRemoteInFlight returns how many requests this instance may have at a
+// target of another failure domain while its own domain has usable targets.
 func (c *Candidate) maxRemoteInFlight() int { return max(int(c.slots()*remoteSlotShare), 1) }
--- a/shared/bbroute/group.go
+++ b/shared/bbroute/group.go
@@ -9,18 +9,20 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// PickPolicy sets how a target is chosen.
+// PickPolicy configures target selection.
 type PickPolicy struct {
 	Circuit CircuitPolicy
-	// SlowStart is how long a new target takes to get its full share.
+	// SlowStart is how long a new target takes to reach its full share of
+	// requests.
 	SlowStart time.Duration
-	// SpillWait is the expected wait in the own failure domain above which a
-	// request goes to another one that has room.
+	// SpillWait is the expected wait in the instance's own failure domain above
+	// which a request may go to another domain.
 	SpillWait time.Duration
 }
 
-// Group holds the targets of one service: those of the own failure domain, and
-// the others. It is immutable but for what its targets count.
+// Group holds the targets of one service: Local are those in the instance's own
+// failure domain, Remote those in other domains. The group is immutable; its
+// counters and the state of its targets are not.
 type Group struct {
 	Service bbticket.Service
 	Local   []Candidate
@@ -31,24 +33,29 @@
 	admission   *AdmissionController
 	limiter     *Limiter
 	retryBudget *RetryBudget
-	// remoteRoom is how many requests other failure domains may take beside the
-	// own one, and farSlots without it.
+	// remoteRoom is how many requests remote targets may take in addition to
+	// the local ones; remoteSlots is how many they may take while no local
+	// target is usable.
 	remoteRoom, remoteSlots float64
 }
 
-// PickOptions tells what Pick must leave out, and how to break ties.
+// PickOptions holds the inputs of one Pick besides the request.
 type PickOptions struct {
-	Now  time.Time
+	Now time.Time
+	// Rand holds random bits; Pick advances it.
 	Rand uint64
-	// RoundRobin counts the service's requests; Pick sets it.
+	// RoundRobin is the index of the round-robin candidate; Pick sets it.
 	RoundRobin uint64
-	Exclude    []bbunit.TargetID
-	// Suspect requests keep away from targets that run another suspect.
+	// Exclude lists targets that must not be picked.
+	Exclude []bbunit.TargetID
+	// Suspect marks a request that has been in flight at a crash. It avoids
+	// targets that run another suspect.
 	Suspect bool
 }
 
-// Pick returns the target for the request, already counted in its circuit, or
-// nil when none is usable. It allocates nothing and takes no lock.
+// Pick returns the target for the request, nil when none is usable. The request
+// has then passed the circuit breaker of the target. Pick allocates nothing and
+// takes no lock.
 func (g *Group) Pick(req *Request, opts *PickOptions, policy *PickPolicy) *Candidate {
 	opts.RoundRobin = g.roundRobin.Add(1)
 	for range len(g.Local) + len(g.Remote) {
@@ -65,7 +72,8 @@
 	return nil
 }
 
-// choose weighs the own failure domain against the others.
+// choose prefers the own failure domain and spills over to another one when the
+// expected wait is too long.
 func (g *Group) choose(req *Request, opts *PickOptions, policy *PickPolicy) *Candidate {
 	local := pickByAffinity(g.Local, req, opts, policy)
 	if local == nil {
@@ -84,9 +92,10 @@
 	return local
 }
 
-// pickOfTwo returns the better of two usable places: the next one in turn and one
-// drawn at random. The one in turn wins when they are about as loaded, which
-// spreads requests more evenly than two random draws.
+// pickOfTwo returns the better of two usable candidates, the next one in
+// round-robin order and a random one. The round-robin candidate wins unless it
+// has clearly more load, which spreads requests more evenly than two random
+// candidates do.
 func pickOfTwo(candidates []Candidate, opts *PickOptions, policy *PickPolicy) *Candidate {
 	if len(candidates) == 0 {
 		return nil
@@ -108,9 +117,9 @@
 	return second
 }
 
-// pickRandom returns a usable place other than not. It looks at a few places at
-// random, then at all in order, so that a usable one is never missed; only a
-// suspect that finds all usable places shared takes one of those.
+// pickRandom returns a usable candidate other than excluded. It tries a few at
+// random and then all in order, so that it finds one if there is one. A suspect
+// gets a target with another suspect only when there is no other.
 func pickRandom(candidates []Candidate, opts *PickOptions, excluded *Candidate) *Candidate {
 	n := uint64(len(candidates))
 	if n == 0 {
@@ -137,18 +146,20 @@
 	return fallback
 }
 
-// eligible tells whether the place may get the request.
+// eligible reports whether the candidate may be picked.
 func (o *PickOptions) eligible(candidate *Candidate) bool {
 	return candidate.Usable(o.Now) && (len(o.Exclude) == 0 || !slices.Contains(o.Exclude, candidate.State.ID))
 }
 
-// runsOtherSuspect tells that a crash of the place would not tell two suspects apart.
+// runsOtherSuspect reports whether this request and one at the candidate are
+// both suspects: if the target crashed, either could be the cause.
 func (o *PickOptions) runsOtherSuspect(candidate *Candidate) bool {
 	return o.Suspect && candidate.State.suspects.Load() > 0
 }
 
-// pickByAffinity returns the place that the request's prefix hashes to, unless it has
-// more than its bound of the load; then the next one, then none.
+// pickByAffinity returns the candidate that ranks first for the request's
+// prefix by rendezvous hashing, or the second one when the first has too much
+// load or a queue, or nil when both have.
 func pickByAffinity(candidates []Candidate, req *Request, opts *PickOptions, policy *PickPolicy) *Candidate {
 	if len(req.PrefixHashes) == 0 || len(candidates) < 2 || opts.Suspect {
 		return nil
@@ -181,7 +192,8 @@
 	return nil
 }
 
-// ExpectedWork returns the request's expected work, in thousandths of a mean request.
+// ExpectedWork estimates the work of the request from its expected output, in
+// thousandths of a mean request.
 func (g *Group) ExpectedWork(req *Request) int64 {
 	mean := g.meanOutput.load()
 	if req.ExpectedOutput <= 0 || mean <= 0 {
@@ -191,7 +203,7 @@
 	return int64(meanRequestWork * min(max(ratio, 0.25), 4))
 }
 
-// Admission returns the service's gate.
+// Admission returns the service's admission controller.
 func (g *Group) Admission() *AdmissionController { return g.admission }
 
 // RetryBudget returns the retry budget of the service.
@@ -200,7 +212,8 @@
 // Limiter returns the limiter of the service.
 func (g *Group) Limiter() *Limiter { return g.limiter }
 
-// RecordCompletion notes a whole answer: how many tokens it had and how long it took.
+// RecordCompletion updates the means with a complete answer of the target, its
+// tokens and its duration.
 func (g *Group) RecordCompletion(t *TargetState, output bbunit.Tokens, duration time.Duration) {
 	if duration <= 0 {
 		return
@@ -214,7 +227,7 @@
 	t.meanResponseSeconds.updateEWMA(duration.Seconds()/max(work, 0.1), completionEWMAWeight)
 }
 
-// Find returns the place of a target, nil when the service has none of that id.
+// Find returns the candidate with that id, nil when the service has none.
 func (g *Group) Find(id bbunit.TargetID) *Candidate {
 	for _, candidates := range [][]Candidate{g.Local, g.Remote} {
 		for i := range candidates {
@@ -226,7 +239,8 @@
 	return nil
 }
 
-// Allow lets a request through to the place if it is usable.
+// Allow reports whether a request may be sent to the candidate. In a half-open
+// circuit it claims the probe.
 func (c *Candidate) Allow(now time.Time, policy *PickPolicy) bool {
 	return c.Usable(now) && c.State.Circuit.Allow(now, &policy.Circuit)
 }
--- a/shared/bbroute/limiter.go
+++ b/shared/bbroute/limiter.go
@@ -7,31 +7,33 @@
 	"bluebellport.example/shared/bbticket"
 )
 
-// Limiter holds one instance's share of the limit of an account or a service.
-// Enter and Leave take no lock.
+// Limiter enforces one instance's share of the limit of an account or a
+// service: a rate by the generic cell rate algorithm, and a number of requests
+// in flight. Acquire and Release take no lock.
 type Limiter struct {
 	Key string
 
-	demand    atomic.Int64 // requests asked for since the last Tick
-	inFlight  atomic.Int64 // requests in flight
-	arrivalAt atomic.Int64 // theoretical arrival time, unix nanoseconds
+	demand      atomic.Int64 // requests, refused ones included, since the last UpdateUsage
+	inFlight    atomic.Int64 // requests
+	nextArrival atomic.Int64 // theoretical arrival time, unix nanoseconds
 
-	interval       atomic.Int64 // nanoseconds between requests; 0 does not limit
-	burstTolerance atomic.Int64 // nanoseconds that requests may come early
-	maxInFlight    atomic.Int64 // requests in flight; 0 does not limit
+	interval       atomic.Int64 // nanoseconds between requests; 0 means no limit
+	burstTolerance atomic.Int64 // nanoseconds that a request may come early
+	maxInFlight    atomic.Int64 // requests; 0 means no limit
 
-	meanDemand atomicFloat // requests a second asked for, a running mean
+	meanDemand atomicFloat // requests a second, refused ones included
 	limit      atomic.Pointer[bbticket.Limit]
 }
 
-// NewLimiter returns a limiter that holds the whole limit.
+// NewLimiter returns a limiter whose share is the whole limit.
 func NewLimiter(key string, limit bbticket.Limit) *Limiter {
 	l := &Limiter{Key: key}
 	l.SetLimit(limit)
 	return l
 }
 
-// SetLimit sets the limit of the failure domain; the share follows at Adjust.
+// SetLimit sets the limit of the whole failure domain. A changed limit is this
+// instance's alone until the next UpdateShare.
 func (l *Limiter) SetLimit(limit bbticket.Limit) {
 	if old := l.limit.Load(); old != nil && *old == limit {
 		return
@@ -40,13 +42,13 @@
 	l.UpdateShare(Usage{}, nil, 1)
 }
 
-// Limited tells that the limit limits anything.
+// Limited reports whether there is any limit.
 func (l *Limiter) Limited() bool {
 	limit := l.limit.Load()
 	return limit.Rate > 0 || limit.MaxInFlight > 0
 }
 
-// Acquire counts a request in, or returns a Refusal.
+// Acquire admits a request, or returns a Refusal with ErrLimit.
 func (l *Limiter) Acquire(now time.Time) error {
 	l.demand.Add(1)
 	if maxInFlight := l.maxInFlight.Load(); l.inFlight.Add(1) > maxInFlight && maxInFlight > 0 {
@@ -60,45 +62,45 @@
 	return nil
 }
 
-// advanceArrival moves the theoretical arrival time on by a step, or returns how long to
-// wait until it may (generic cell rate algorithm).
+// advanceArrival moves the theoretical arrival time of the generic cell rate
+// algorithm forward by one interval. If the request is too early, it returns
+// the remaining time instead.
 func (l *Limiter) advanceArrival(now int64) time.Duration {
 	interval := l.interval.Load()
 	if interval == 0 {
 		return 0
 	}
 	for {
-		old := l.arrivalAt.Load()
+		old := l.nextArrival.Load()
 		next := max(old, now) + interval
 		if retryAfter := next - now - max(l.burstTolerance.Load(), interval); retryAfter > 0 {
 			return time.Duration(retryAfter)
 		}
-		if l.arrivalAt.CompareAndSwap(old, next) {
+		if l.nextArrival.CompareAndSwap(old, next) {
 			return 0
 		}
 	}
 }
 
-// Release counts a request out.
+// Release ends an admitted request.
 func (l *Limiter) Release() { l.inFlight.Add(-1) }
 
-// Cancel counts a request out that was not let in after all, and gives its step
-// back.
+// Cancel reverts Acquire for a request that was refused later, rate included.
 func (l *Limiter) Cancel() {
 	l.inFlight.Add(-1)
-	l.arrivalAt.Add(-l.interval.Load())
+	l.nextArrival.Add(-l.interval.Load())
 }
 
-// Usage is what an instance asks of a limit.
+// Usage is the demand of one instance on a limit.
 type Usage struct {
 	// Rate is in requests a second, refused ones included.
 	Rate float64
-	// InFlight is how many requests are in flight.
+	// InFlight is the number of requests in flight.
 	InFlight int
 }
 
-// UpdateUsage folds the requests asked for since the last tick into the running mean
-// and returns the instance's own usage.
+// UpdateUsage adds the requests since the last call, elapsed ago, to the mean
+// demand and returns this instance's usage.
 func (l *Limiter) UpdateUsage(elapsed time.Duration) Usage {
 	if elapsed > 0 {
 		rate := float64(l.demand.Swap(0)) / elapsed.Seconds()
@@ -107,8 +109,9 @@
 	return Usage{Rate: l.meanDemand.load(), InFlight: int(max(l.inFlight.Load(), 0))}
 }
 
-// UpdateShare sets the share of this instance, one of n in its failure domain, from
-// its own usage and what the others told of theirs.
+// UpdateShare sets the share of this instance from its own usage and that of
+// the other instances that reported theirs. The limit is divided among the
+// given number of instances, or more if more have reported.
 func (l *Limiter) UpdateShare(own Usage, others []Usage, instances int) {
 	limit := l.limit.Load()
 	instances = max(instances, len(others)+1)
@@ -132,9 +135,10 @@
 	}
 }
 
-// share returns the part of a limit that one of n instances may use. It follows
-// its part of the usage; a floor for each leaves room to start. Over instances
-// that know the same usage the parts add up to 1.
+// share returns the fraction of a limit that one of the instances may use. It
+// is proportional to the instance's usage plus a floor, so that an idle
+// instance can start. The fractions of all instances add up to 1 if all know
+// the same usage.
 func share(own, others float64, instances int, limit float64) float64 {
 	floor := limit * minUsageShare
 	return (own + floor) / (own + others + float64(instances)*floor)
--- a/shared/bbroute/poison.go
+++ b/shared/bbroute/poison.go
@@ -9,26 +9,28 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// CrashRecord tells which targets crashed while a request of that fingerprint was in
-// flight at them.
+// CrashRecord lists the targets that crashed while a request with the
+// fingerprint was in flight.
 type CrashRecord struct {
 	Fingerprint uint64
-	Targets     []bbunit.TargetID // sorted, without repetition
-	// UpdatedAt is when this instance learnt the latest of it.
+	Targets     []bbunit.TargetID // sorted, without duplicates
+	// UpdatedAt is when this instance last learned of a target.
 	UpdatedAt time.Time
 }
 
-// PoisonPolicy sets when a fingerprint is refused.
+// PoisonPolicy sets when a fingerprint is refused. One with fewer crashes is a
+// suspect.
 type PoisonPolicy struct {
-	// CrashThreshold is how many targets must have crashed.
+	// CrashThreshold is the number of crashed targets from which a fingerprint
+	// is refused.
 	CrashThreshold int
-	// SuspectTTL is how long a fingerprint with fewer crashes is remembered.
+	// SuspectTTL is how long a suspect is remembered.
 	SuspectTTL time.Duration
 	// MaxFingerprints is how many fingerprints are remembered.
 	MaxFingerprints int
 }
 
-// CrashTable is an immutable table of marks. The zero value is empty.
+// CrashTable is an immutable table of crash records. The zero value is empty.
 type CrashTable struct {
 	records map[uint64]CrashRecord
 }
@@ -39,7 +41,7 @@
 // Len returns how many fingerprints are remembered.
 func (t *CrashTable) Len() int { return len(t.records) }
 
-// Records returns all marks, what was learnt last first.
+// Records returns all records, the most recently updated first.
 func (t *CrashTable) Records() []CrashRecord {
 	out := make([]CrashRecord, 0, len(t.records))
 	for _, record := range t.records {
@@ -51,9 +53,10 @@
 	return out
 }
 
-// With returns the table with the targets joined to the fingerprint's, and
-// whether that says anything new. Joining is a union, so instances that have
-// heard the same marks agree, in whichever order they heard them.
+// With returns the table with the targets added to the fingerprint's record,
+// and whether that changed the table. The targets are merged as a set, so
+// instances that received the same records agree, in whichever order they
+// received them.
 func (t *CrashTable) With(fingerprint uint64, targets []bbunit.TargetID, now time.Time, policy *PoisonPolicy) (*CrashTable, bool) {
 	old := t.records[fingerprint]
 	merged := union(old.Targets, targets)
@@ -69,7 +72,7 @@
 	return next, true
 }
 
-// Expire returns the table without suspects that are too old.
+// Expire returns the table without suspects older than policy.SuspectTTL.
 func (t *CrashTable) Expire(now time.Time, policy *PoisonPolicy) *CrashTable {
 	expired := func(record CrashRecord) bool {
 		return len(record.Targets) < policy.CrashThreshold && now.Sub(record.UpdatedAt) > policy.SuspectTTL
@@ -86,8 +89,9 @@
 	return next
 }
 
-// evict drops suspects, the oldest first, and then the oldest of all, until the
-// table is no longer than it may be.
+// evict removes records until the table is within policy.MaxFingerprints: those
+// with the fewest crashes first, so suspects before refused fingerprints, and
+// the oldest among equals.
 func (t *CrashTable) evict(policy *PoisonPolicy) {
 	if len(t.records) <= policy.MaxFingerprints {
 		return
@@ -101,7 +105,8 @@
 	}
 }
 
-// union joins two lists of targets, of which it keeps the first few in order.
+// union merges two lists of targets and keeps the first
+// maxTargetsPerFingerprint in order.
 func union(a, b []bbunit.TargetID) []bbunit.TargetID {
 	out := slices.Concat(a, b)
 	slices.Sort(out)
@@ -109,21 +114,22 @@
 	return out[:min(len(out), maxTargetsPerFingerprint)]
 }
 
-// KnownGood remembers fingerprints that have run whole not long ago. Such a
-// request crashes no target, so that it is not marked when one crashes for
-// another reason. It is bounded, forgets at random, and takes no lock.
+// KnownGood is a bounded set of the fingerprints of requests that recently ran
+// to completion. Such a request does not crash targets, so it is not blamed
+// when a target crashes for another reason. A new fingerprint replaces the one
+// that has the same slot. Access takes no lock.
 type KnownGood struct {
 	fingerprints [knownGoodSize]atomic.Uint64
 }
 
-// Add notes that a request of the fingerprint ran whole.
+// Add notes that a request with the fingerprint ran to completion.
 func (k *KnownGood) Add(fingerprint uint64) {
 	if slot := &k.fingerprints[splitmix64(fingerprint)%knownGoodSize]; slot.Load() != fingerprint {
 		slot.Store(fingerprint)
 	}
 }
 
-// Contains tells whether the fingerprint is remembered.
+// Contains reports whether the fingerprint is in the set.
 func (k *KnownGood) Contains(fingerprint uint64) bool {
 	return fingerprint != 0 && k.fingerprints[splitmix64(fingerprint)%knownGoodSize].Load() == fingerprint
 }
--- a/shared/bbroute/report.go
+++ b/shared/bbroute/report.go
@@ -6,32 +6,35 @@
 	"github.com/juju/errors"
 )
 
-// Errors of a report that is dropped.
+// Errors of a rejected report.
 const (
-	// ErrBadReport means that the report is negative, absurd or from the future.
+	// ErrBadReport means that a count is negative or absurdly large, or that
+	// the report is from the future.
 	ErrBadReport = errors.ConstError("bad load report")
-	// ErrStaleReport means that a newer report is known, or that this one is of
-	// no more use.
+	// ErrStaleReport means that a newer report is known, or that this one is
+	// too old.
 	ErrStaleReport = errors.ConstError("old load report")
 )
 
-// Validate returns ErrReport or ErrOldReport when the report says nothing.
+// Validate returns ErrBadReport or ErrStaleReport when the report must not be
+// used.
 func (r *LoadReport) Validate(now time.Time) error {
 	switch {
 	case r.Running < 0 || r.Waiting < 0 || r.Slots < 0:
-		return errors.Annotatef(ErrBadReport, "negative: running %d, waiting %d, slots %d", r.Running, r.Waiting, r.Slots)
+		return errors.Annotatef(ErrBadReport, "negative count: running %d, waiting %d, slots %d", r.Running, r.Waiting, r.Slots)
 	case max(r.Running, r.Waiting, r.Slots) > maxReportValue:
-		return errors.Annotatef(ErrBadReport, "above %d: running %d, waiting %d, slots %d", maxReportValue, r.Running, r.Waiting, r.Slots)
+		return errors.Annotatef(ErrBadReport, "count above %d: running %d, waiting %d, slots %d", maxReportValue, r.Running, r.Waiting, r.Slots)
 	case r.SampledAt.Sub(now) > maxReportSkew:
-		return errors.Annotatef(ErrBadReport, "%s from the future", r.SampledAt.Sub(now))
+		return errors.Annotatef(ErrBadReport, "sampled %s in the future", r.SampledAt.Sub(now))
 	case now.Sub(r.SampledAt) > maxReportAge:
-		return errors.Annotatef(ErrStaleReport, "%s old", now.Sub(r.SampledAt))
+		return errors.Annotatef(ErrStaleReport, "sampled %s ago", now.Sub(r.SampledAt))
 	}
 	return nil
 }
 
-// Observe takes a report. It returns ErrReport or ErrOldReport, and then
-// changes nothing. News tells that the target now leaves, or no longer does.
+// Observe takes over a report, or returns ErrBadReport or ErrStaleReport and
+// changes nothing. The result changed reports whether the target became leaving
+// or is no longer leaving.
 func (t *TargetState) Observe(r LoadReport, now time.Time) (changed bool, err error) {
 	if err := r.Validate(now); err != nil {
 		return false, err
@@ -53,7 +56,7 @@
 	return t.clearLeaving(r.SampledAt, now), nil
 }
 
-// recentReport returns the last report while it is of use.
+// recentReport returns the last report, nil when it is too old.
 func (t *TargetState) recentReport(now time.Time) *LoadReport {
 	r := t.report.Load()
 	if r == nil || now.Sub(r.SampledAt) > maxReportAge {
@@ -62,10 +65,11 @@
 	return r
 }
 
-// allowance returns how many requests this instance may have at the place, one
-// of n instances that use it: what it had when the report was made, and its
-// part of the room that was left, or of the excess. Whoever has much there may
-// take or must give up much. Without a report all slots are its own.
+// allowance returns how many requests this instance may have at the target,
+// which the given number of instances use. It is what the instance had when the
+// report came in, plus its fraction of the room that was left, or minus its
+// fraction of the excess. The fraction is the instance's part of the target's
+// load, but of room at least an equal part. Without a report it is all slots.
 func (c *Candidate) allowance(now time.Time, instances int) float64 {
 	if !c.Usable(now) {
 		return 0
--- a/shared/bbroute/request.go
+++ b/shared/bbroute/request.go
@@ -1,7 +1,8 @@
-// Package bbroute decides which target runs a request, whether it may run now,
-// and what follows when an attempt fails. It keeps no clock, goroutine or
-// random source: the caller passes in the time and the random bits. What the
-// path of a request touches is atomic and takes no lock.
+// Package bbroute implements the routing decisions of one instance: admission
+// control, target selection, retries, circuit breaking, rate limits and the
+// quarantine of requests that crash targets. It has no clock, goroutines or
+// random source of its own: callers pass in the time and the random bits. The
+// state used on the request path is atomic and takes no lock.
 package bbroute
 
 import (
@@ -12,45 +13,47 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Request is what a request asks of the router.
+// Request holds the properties of a request that routing depends on.
 type Request struct {
 	Service  bbunit.ServiceID
 	Account  bbunit.AccountID
 	Priority bbunit.Priority
-	// Deadline is when the answer is of no more use; zero means none.
+	// Deadline is the time after which the caller has no use for the answer;
+	// zero means none.
 	Deadline time.Time
-	// PrefixHashes holds hashes of the leading messages, the shortest prefix first.
+	// PrefixHashes holds a hash of each prefix of the messages, the shortest
+	// prefix first.
 	PrefixHashes []uint64
-	// Fingerprint is a hash of the body that does not depend on the account; 0 means
-	// none.
+	// Fingerprint is a hash of the request that does not depend on the account;
+	// 0 means none.
 	Fingerprint uint64
-	// ExpectedOutput is how many tokens the answer is expected to have; 0 means unknown.
+	// ExpectedOutput is the expected length of the answer; 0 means unknown.
 	ExpectedOutput bbunit.Tokens
-	// Idempotent tells that the request may run more than once.
+	// Idempotent requests may run more than once.
 	Idempotent bool
-	// Cancel, when not nil, ends a wait for a place once it is closed.
+	// Cancel, when not nil, ends the wait for admission when it is closed.
 	Cancel <-chan struct{}
 }
 
-// atomicFloat is a float64 that is read and written without a lock.
+// atomicFloat is a float64 with atomic access.
 type atomicFloat struct{ bits atomic.Uint64 }
 
-func (g *atomicFloat) load() float64   { return math.Float64frombits(g.bits.Load()) }
-func (g *atomicFloat) store(v float64) { g.bits.Store(math.Float64bits(v)) }
+func (f *atomicFloat) load() float64   { return math.Float64frombits(f.bits.Load()) }
+func (f *atomicFloat) store(v float64) { f.bits.Store(math.Float64bits(v)) }
 
-// updateEWMA moves the gauge towards v by the part w; the first value is taken
-// whole.
-func (g *atomicFloat) updateEWMA(value, weight float64) {
-	old := g.bits.Load()
+// updateEWMA adds a value to an exponentially weighted moving average. The first
+// value becomes the average. When two updates race, one of them is dropped.
+func (f *atomicFloat) updateEWMA(value, weight float64) {
+	old := f.bits.Load()
 	mean := math.Float64frombits(old)
 	updated := mean + weight*(value-mean)
 	if mean == 0 {
 		updated = value
 	}
-	g.bits.CompareAndSwap(old, math.Float64bits(updated))
+	f.bits.CompareAndSwap(old, math.Float64bits(updated))
 }
 
-// splitmix64 scrambles the bits of x (splitmix64).
+// splitmix64 hashes x.
 func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -58,7 +61,7 @@
 	return x ^ x>>31
 }
 
-// secondsToDuration returns the duration of that many seconds, cut off at longestNanos.
+// secondsToDuration converts seconds to a duration of at most maxNanos.
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(min(seconds*float64(time.Second), maxNanos))
 }
--- a/shared/bbroute/retry.go
+++ b/shared/bbroute/retry.go
@@ -9,71 +9,76 @@
 
 //go:generate enumer -type=Decision -trimprefix=Decision -linecomment -transform=kebab -output=decision_enumer.go
 
-// Decision is what follows the end of an attempt.
+// Decision is what to do after an attempt has ended.
 type Decision int
 
-// Decisions after an attempt.
+// Decisions after an attempt. A line comment holds the text of the value.
 const (
 	// DecisionStop ends the request.
 	DecisionStop Decision = iota
-	// DecisionRetrySame tries the same target again over a fresh connection.
+	// DecisionRetrySame tries the same target again over a new connection.
 	DecisionRetrySame // fresh
-	// DecisionRetryOther tries a target that has not been tried.
+	// DecisionRetryOther tries a target that has not been tried yet.
 	DecisionRetryOther // elsewhere
 )
 
-// AttemptResult is how an attempt ended, as far as what follows depends on it.
+// AttemptResult is the end of an attempt, as far as retries depend on it.
 type AttemptResult struct {
 	Err error
-	// Sent tells that a byte of the request left for the target.
+	// Sent means that at least one byte of the request was sent to the target.
 	Sent bool
-	// Crashed tells that the connection broke while the target ran the request.
+	// Crashed means that the connection broke while the target ran the request.
 	Crashed bool
-	// ConnReused tells that the connection had been open before the attempt, so
-	// that it may have failed in place of the target.
+	// ConnReused means that the connection was opened before the attempt, so
+	// the connection may have failed and not the target.
 	ConnReused bool
 }
 
-// refusedByTarget tells that the target itself said that it did not run the request.
+// refusedByTarget reports whether the target said that it did not run the
+// request.
 func (r *AttemptResult) refusedByTarget() bool {
 	return errors.Is(r.Err, ErrLeaving) || errors.Is(r.Err, ErrBusy)
 }
 
-// RefusedAsLeaving tells that the target refused the request because it is leaving.
+// RefusedAsLeaving reports whether the target refused the request because it is
+// leaving.
 func (r *AttemptResult) RefusedAsLeaving() bool { return errors.Is(r.Err, ErrLeaving) }
 
-// staleConnection tells that the connection may have failed in place of the target: it had
-// been open before, and took the request. One that took nothing was not there.
+// staleConnection reports whether a reused connection may have failed and not
+// the target. That requires that the connection took some of the request; if it
+// took nothing, no connection could be opened.
 func (r *AttemptResult) staleConnection() bool { return r.ConnReused && r.Sent && !r.Crashed }
 
-// IsTargetFault tells that the end speaks against the target.
+// IsTargetFault reports whether the failure counts against the target.
 func (r *AttemptResult) IsTargetFault() bool {
 	return r.Err != nil && !r.refusedByTarget() && !errors.Is(r.Err, ErrCancelled) && !r.staleConnection()
 }
 
-// RetryState is what a request has tried so far. The zero value is none.
+// RetryState is the progress of a request. In the zero value nothing has been
+// tried.
 type RetryState struct {
-	// Attempts is how many attempts have ended, those over a fresh connection to
-	// the same target not counted.
+	// Attempts is how many attempts have ended, not counting those after a
+	// DecisionRetrySame.
 	Attempts int
-	// Reconnected tells that the last attempt was a DecisionFresh.
+	// Reconnected means that the last attempt followed a DecisionRetrySame.
 	Reconnected bool
 }
 
-// RetryPolicy bounds the attempts of a request, and the retries of a service.
+// RetryPolicy limits the attempts of a request and the retries of a service.
 type RetryPolicy struct {
 	// MaxAttempts is the most targets that one request is sent to.
 	MaxAttempts int
-	// Ratio is how many retries each success of the service pays for.
+	// Ratio is how many retries each success of the service allows.
 	Ratio float64
-	// MinPerSecond is how many retries a second the service has in any case, of which
-	// retryFloorBurst may come at once; below retryFloorLeast it has none.
+	// MinPerSecond is the rate of retries that the service is allowed
+	// regardless of successes. minRateBurst of them may come at once; a rate
+	// below minRetryRate allows none.
 	MinPerSecond float64
 }
 
-// DecideRetry decides what follows an attempt's end. A request goes on only where that
-// is safe: when nothing of it was sent, when its target says that it did not
-// run, or when it may be repeated.
+// DecideRetry decides what to do after an attempt. A request is sent again only
+// where that is safe: when nothing of it was sent, when the target says that it
+// did not run, or when it is idempotent.
 func DecideRetry(state RetryState, result *AttemptResult, req *Request, policy *RetryPolicy, now time.Time) Decision {
 	switch {
 	case result.Err == nil || errors.Is(result.Err, ErrCancelled):
@@ -90,21 +95,21 @@
 	return DecisionRetryOther
 }
 
-// RetryBudget keeps the retries of a service in proportion to its successes. The
-// zero value has nothing saved. It takes no lock.
+// RetryBudget limits a service's retries to a fraction of its successes. The
+// zero value has nothing saved. Its methods take no lock.
 type RetryBudget struct {
 	saved  atomic.Int64 // thousandths of a retry
-	nextAt atomic.Int64 // when the floor has its next retry, unix nanoseconds
+	nextAt atomic.Int64 // when the minimum rate allows the next retry, unix nanoseconds
 }
 
-// Earn notes a success.
+// Earn adds the retries that one success allows.
 func (b *RetryBudget) Earn(policy *RetryPolicy) {
 	if b.saved.Load() < maxSavedRetries*unitsPerRetry {
 		b.saved.Add(int64(policy.Ratio * unitsPerRetry))
 	}
 }
 
-// Spend takes a retry out of the budget, and tells whether it had one.
+// Spend takes one retry from the budget, and reports whether it had one.
 func (b *RetryBudget) Spend(now time.Time, policy *RetryPolicy) bool {
 	for {
 		saved := b.saved.Load()
--- a/shared/bbroute/table.go
+++ b/shared/bbroute/table.go
@@ -9,8 +9,9 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Table is what may be routed where: an immutable snapshot of one state of the
-// tickets. The zero value routes nothing.
+// Table is the routing table: the services' targets and limits at one state of
+// the tickets, immutable but for counters and target states. The zero value
+// routes nothing.
 type Table struct {
 	State           *bbticket.State
 	groups          map[bbunit.ServiceID]*Group
@@ -18,14 +19,15 @@
 	accountLimiters map[bbunit.AccountID]*Limiter
 }
 
-// trackedTarget is a target with the ticket and the address that declared it.
+// trackedTarget is the state of a target, with the number of the ticket and the
+// address that declared it.
 type trackedTarget struct {
 	number  bbunit.TicketNumber
 	address string
 	state   *TargetState
 }
 
-// Group returns the service's targets.
+// Group returns the service's group, and whether the service exists.
 func (t *Table) Group(id bbunit.ServiceID) (*Group, bool) {
 	g, ok := t.groups[id]
 	return g, ok
@@ -44,7 +46,8 @@
 // AccountLimiter returns the limiter of an account, nil when it has no limit.
 func (t *Table) AccountLimiter(id bbunit.AccountID) *Limiter { return t.accountLimiters[id] }
 
-// Limiters returns all limiters that limit anything, sorted by key.
+// Limiters returns the limiters of all accounts and services that have a limit,
+// sorted by key.
 func (t *Table) Limiters() []*Limiter {
 	var out []*Limiter
 	for _, l := range t.accountLimiters {
@@ -59,13 +62,13 @@
 	return out
 }
 
-// TargetState returns what is known of a target.
+// TargetState returns the state of a target, and whether the target exists.
 func (t *Table) TargetState(id bbunit.TargetID) (*TargetState, bool) {
 	tracked, ok := t.targets[id]
 	return tracked.state, ok
 }
 
-// TargetStates returns all targets, sorted by id.
+// TargetStates returns the states of all targets, sorted by id.
 func (t *Table) TargetStates() []*TargetState {
 	out := make([]*TargetState, 0, len(t.targets))
 	for _, tracked := range t.targets {
@@ -75,8 +78,9 @@
 	return out
 }
 
-// WithState returns the table of a newer state, seen from failure domain home. What
-// is known of a target stays with it while its address stays.
+// WithState returns the table for a newer state of the tickets. Targets in
+// localDomain become Local, others Remote. A target that keeps its address
+// keeps its state.
 func (t *Table) WithState(state *bbticket.State, localDomain bbunit.DomainID, policy AdmissionPolicy, now time.Time) *Table {
 	if t.State != nil && state.LastRoutingChange > 0 && t.State.LastRoutingChange == state.LastRoutingChange {
 		return &Table{State: state, groups: t.groups, targets: t.targets, accountLimiters: t.accountLimiters}
@@ -115,8 +119,8 @@
 	return next
 }
 
-// serviceGroup returns a service's group without targets; what is known of the service
-// stays with it.
+// serviceGroup returns a service's group without targets. Counters of a known
+// service are carried over.
 func (t *Table) serviceGroup(s bbticket.Service, policy AdmissionPolicy) *Group {
 	key := "service/" + string(s.ID)
 	old, ok := t.groups[s.ID]
@@ -132,7 +136,8 @@
 	}
 }
 
-// updateLimiter returns the limiter there was, under the limit as declared now.
+// updateLimiter returns the old limiter with the new limit, or a new limiter if
+// there is no old one.
 func updateLimiter(old *Limiter, key string, limit bbticket.Limit) *Limiter {
 	if old == nil {
 		return NewLimiter(key, limit)
@@ -141,17 +146,18 @@
 	return old
 }
 
-// trackTarget carries what is known of a target over to the next table.
+// trackTarget adds the target to next, with its old state if it keeps its
+// address, and returns the state.
 func (t *Table) trackTarget(next *Table, target bbticket.Numbered[bbticket.Target], now time.Time) *TargetState {
 	tracked, ok := t.targets[target.Object.ID]
 	switch {
 	case !ok || tracked.address != target.Object.Address:
 		tracked.state = NewTargetState(target.Object.ID, now)
 		if t.State == nil || t.State.Number == 0 {
-			tracked.state.slowStartAt.Store(0) // all are new to an instance that starts
+			tracked.state.slowStartAt.Store(0) // no slow start: after a start of the instance all targets are new
 		}
 	case tracked.number != target.Number:
-		tracked.state.leaving.since.Store(0) // a newer ticket outweighs an older word
+		tracked.state.leaving.since.Store(0) // a newer ticket overrides an older mark
 	}
 	next.targets[target.Object.ID] = trackedTarget{number: target.Number, address: target.Object.Address, state: tracked.state}
 	return tracked.state
--- a/shared/bbroute/waitqueue.go
+++ b/shared/bbroute/waitqueue.go
@@ -7,33 +7,34 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Waiter is a request that waits for a place.
+// Waiter is a request queued for admission.
 type Waiter struct {
 	Priority bbunit.Priority
 	Deadline time.Time
 	// ExpectedDuration is how long the request is expected to run.
 	ExpectedDuration time.Duration
-	// Ready gets nil once the request may go on, or a Refusal; it must have
-	// room for one.
+	// Ready receives nil once the request is admitted, or a Refusal. It must
+	// have a buffer of 1.
 	Ready chan error
 
 	enqueuedAt time.Time
 }
 
-// missesDeadline tells that the request cannot end in time if it waits that long.
+// missesDeadline reports whether the request cannot finish before its deadline
+// after the given wait.
 func (w *Waiter) missesDeadline(now time.Time, wait time.Duration) bool {
 	return !w.Deadline.IsZero() && now.Add(wait+time.Duration(float64(w.ExpectedDuration)*deadlineMargin)).After(w.Deadline)
 }
 
-// waitQueue is a bounded queue, the highest priority first and the oldest first
-// within one priority. It is a plain state machine; the gate guards it.
+// waitQueue is a bounded priority queue, first in, first out within one
+// priority. It is guarded by the AdmissionController's lock.
 type waitQueue struct {
 	waiters   []*Waiter
 	maxLength int
 	maxWait   time.Duration
 }
 
-// position returns how many go before a new waiter of that priority.
+// position returns the index at which a new waiter of that priority belongs.
 func (q *waitQueue) position(p bbunit.Priority) int {
 	i, _ := slices.BinarySearchFunc(q.waiters, p, func(w *Waiter, p bbunit.Priority) int {
 		if w.Priority >= p {
@@ -44,14 +45,14 @@
 	return i
 }
 
-// expectedWait returns how long the waiter at that place waits when rate requests a
-// second leave the line.
+// expectedWait returns how long the waiter at the given position waits when
+// drainRate requests a second leave the queue.
 func expectedWait(position int, drainRate float64) time.Duration {
 	return time.Duration(float64(position+1) / drainRate * float64(time.Second))
 }
 
-// enqueue lines w up, or returns why not. It also returns the waiter that had to
-// make room, if any.
+// enqueue inserts w, or returns a Refusal. When the queue is full, it evicts
+// and returns the last waiter, if that one has a lower priority.
 func (q *waitQueue) enqueue(w *Waiter, now time.Time, drainRate float64) (*Waiter, error) {
 	i := q.position(w.Priority)
 	expected := expectedWait(i, drainRate)
@@ -71,7 +72,7 @@
 	return evicted, nil
 }
 
-// dequeue takes the first waiter out of the line, nil when it is empty.
+// dequeue removes and returns the first waiter, nil when the queue is empty.
 func (q *waitQueue) dequeue() *Waiter {
 	if len(q.waiters) == 0 {
 		return nil
@@ -81,8 +82,9 @@
 	return w
 }
 
-// evictLate takes out all that can no longer be served in time, lowest priorities
-// being the last in line and so the first to go.
+// evictLate removes and returns the waiters that would miss their deadline or
+// wait more than twice maxWait in all. Low priorities are last in the queue, so
+// they go first.
 func (q *waitQueue) evictLate(now time.Time, drainRate float64) []*Waiter {
 	var evicted []*Waiter
 	kept := q.waiters[:0]
@@ -99,7 +101,7 @@
 	return evicted
 }
 
-// remove takes w out and tells whether it was there.
+// remove removes w and reports whether it was queued.
 func (q *waitQueue) remove(w *Waiter) bool {
 	i := slices.Index(q.waiters, w)
 	if i < 0 {
