--- a/shared/bbroute/admission_test.go
+++ b/shared/bbroute/admission_test.go
@@ -27,7 +27,7 @@
 	return w
 }
 
-// waitResult returns how the wait ended, and whether it did.
+// waitResult reports whether the wait has ended, and its result.
 func waitResult(w *Waiter) (bool, error) {
 	select {
 	case err := <-w.Ready:
@@ -63,7 +63,7 @@
 		waiters = append(waiters, newTestWaiter(p, 0))
 		is.NoErr(a.Enqueue(waiters[p], testNow))
 	}
-	is.True(errors.Is(a.Enqueue(newTestWaiter(0, 0), testNow), ErrOverload)) // none below it
+	is.True(errors.Is(a.Enqueue(newTestWaiter(0, 0), testNow), ErrOverload)) // no waiter has a lower priority
 	is.NoErr(a.Enqueue(newTestWaiter(1, 0), testNow))
 	ok, err := waitResult(waiters[0])
 	is.True(ok)
@@ -78,19 +78,19 @@
 	a := newTestAdmission(1)
 	is.True(a.TryAcquire())
 	for _, timeout := range []time.Duration{1500 * time.Millisecond, 2100 * time.Millisecond} {
-		err := a.Enqueue(newTestWaiter(0, timeout), testNow) // waits 1 s, runs 1 s and a margin
+		err := a.Enqueue(newTestWaiter(0, timeout), testNow) // waits 1 s and runs 1 s, plus the margin
 		is.True(errors.Is(err, ErrOverload))
 	}
 	w := newTestWaiter(0, 2500*time.Millisecond)
 	is.NoErr(a.Enqueue(w, testNow))
-	a.SetWindow(1, testNow.Add(time.Second)) // still waits, and is now too late
+	a.SetWindow(1, testNow.Add(time.Second)) // still queued, and now too late
 	ok, err := waitResult(w)
 	is.True(ok)
 	is.True(errors.Is(err, ErrOverload))
 }
 
-// TestWindow is the table of how many requests an instance lets in, of targets
-// with 8 slots that 4 instances use.
+// TestWindow lists the admission window of one of 4 instances that share
+// targets with 8 slots each.
 func TestWindow(t *testing.T) {
 	reported := func(running, own int) func(g *Group) {
 		return func(g *Group) {
@@ -107,13 +107,13 @@
 		want    int
 	}{
 		{"no report: all slots", []bbunit.DomainID{"d1"}, func(*Group) {}, 8},
-		{"idle: its part of the room", []bbunit.DomainID{"d1"}, reported(0, 0), 3},
-		{"others have all: the least", []bbunit.DomainID{"d1"}, reported(16, 0), 1},
-		{"it has all: the room too", []bbunit.DomainID{"d1"}, reported(8, 8), 12},
-		{"over the room: gives up its part", []bbunit.DomainID{"d1"}, reported(16, 8), 6},
-		{"a little of another failure domain", []bbunit.DomainID{"d1", "d2"}, func(*Group) {}, 9},
-		{"only another failure domain", []bbunit.DomainID{"d2", "d2"}, func(*Group) {}, 16},
-		{"own failure domain down", []bbunit.DomainID{"d1", "d2"}, func(g *Group) { g.Local[0].State.MarkLeaving(testNow) }, 8},
+		{"idle: an equal part of the room", []bbunit.DomainID{"d1"}, reported(0, 0), 3},
+		{"others use all: the minimum", []bbunit.DomainID{"d1"}, reported(16, 0), 1},
+		{"this instance uses all: the room too", []bbunit.DomainID{"d1"}, reported(8, 8), 12},
+		{"over capacity: gives up its part of the excess", []bbunit.DomainID{"d1"}, reported(16, 8), 6},
+		{"local and remote target: a part of the remote slots", []bbunit.DomainID{"d1", "d2"}, func(*Group) {}, 9},
+		{"only remote targets: all slots", []bbunit.DomainID{"d2", "d2"}, func(*Group) {}, 16},
+		{"local target down: all remote slots", []bbunit.DomainID{"d1", "d2"}, func(g *Group) { g.Local[0].State.MarkLeaving(testNow) }, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -125,8 +125,9 @@
 	}
 }
 
-// TestAdmissionInvariants runs any sequence of steps: never more in than the window
-// that let them in, nobody waits while there is room, and all ends are told once.
+// TestAdmissionInvariants runs random steps and checks that no more requests
+// are admitted than the window allows at that time, that no request is queued
+// while there is room, and that each wait ends exactly once.
 func TestAdmissionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newTestAdmission(2)
@@ -169,10 +170,10 @@
 			}
 			collect()
 			if a.InFlight() != admitted || a.Queued() != len(waiters) || len(waiters) > 3 {
-				t.Fatalf("open %d, in %d, waiting %d of %d", a.InFlight(), admitted, a.Queued(), len(waiters))
+				t.Fatalf("in flight %d, want %d; queued %d, want %d", a.InFlight(), admitted, a.Queued(), len(waiters))
 			}
 			if len(waiters) > 0 && admitted < window {
-				t.Fatalf("%d wait while %d of %d are in", len(waiters), admitted, window)
+				t.Fatalf("%d queued while only %d of %d are in flight", len(waiters), admitted, window)
 			}
 		}
 	})
--- a/shared/bbroute/bench_test.go
+++ b/shared/bbroute/bench_test.go
@@ -10,7 +10,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// newSimulation returns the model of 8 routers before 10 targets of 8 slots.
+// newSimulation returns a simulation of 8 routers in front of 10 targets with 8
+// slots each. The load is a fraction of the capacity.
 func newSimulation(policy string, load float64, seed uint64) *simulation {
 	return &simulation{
 		routerCount: 8, targetCount: 10, slots: 8,
@@ -30,32 +31,33 @@
 	benchPolicies = []string{ownPolicy, "random", "round robin"}
 	benchLoads    = []float64{0.5, 0.8, 1.0, 1.5, 3}
 	benchCases    = []struct {
-		name string
-		set  func(m *simulation)
+		name      string
+		configure func(s *simulation)
 	}{
 		{"even", func(*simulation) {}},
-		{"one router gets half of the requests", func(m *simulation) { m.skewedArrivals = true }},
-		{"every third target at half its pace", func(m *simulation) { m.slowTargets = true }},
-		{"others keep half of every third target", func(m *simulation) { m.externalLoad = true }},
-		{"targets run on when callers give up", func(m *simulation) { m.ignoreCancel = true }},
-		{"2 routers 3 targets", func(m *simulation) { m.routerCount, m.targetCount = 2, 3 }},
-		{"reports every 4 s", func(m *simulation) { m.reportInterval = 4 * time.Second }},
-		{"24 routers 40 targets of 16 slots", func(m *simulation) {
-			m.routerCount, m.targetCount, m.slots = 24, 40, 16
-			m.warmUp, m.duration = 5*time.Second, 10*time.Second
+		{"one router gets half of the requests", func(s *simulation) { s.skewedArrivals = true }},
+		{"every third target at half its pace", func(s *simulation) { s.slowTargets = true }},
+		{"others keep half of every third target", func(s *simulation) { s.externalLoad = true }},
+		{"targets run on when callers give up", func(s *simulation) { s.ignoreCancel = true }},
+		{"2 routers 3 targets", func(s *simulation) { s.routerCount, s.targetCount = 2, 3 }},
+		{"reports every 4 s", func(s *simulation) { s.reportInterval = 4 * time.Second }},
+		{"24 routers 40 targets of 16 slots", func(s *simulation) {
+			s.routerCount, s.targetCount, s.slots = 24, 40, 16
+			s.warmUp, s.duration = 5*time.Second, 10*time.Second
 		}},
 	}
 )
 
-// BenchmarkRouting measures waits of the requests that ran, in ms, and goodput
-// in parts of the capacity, beside random choice and round robin.
+// BenchmarkRouting compares the routing policy with random choice and round
+// robin. It reports the time until a request runs, in ms, and the goodput as a
+// fraction of the capacity.
 func BenchmarkRouting(b *testing.B) {
 	b.Logf("seed %d", benchSeed)
 	for _, c := range benchCases {
 		for _, load := range benchLoads {
 			for _, policy := range benchPolicies {
 				s := newSimulation(policy, load, benchSeed)
-				c.set(s)
+				c.configure(s)
 				var r *simulationResult
 				b.Run(fmt.Sprintf("%s/load %.1f/%s", c.name, load, policy), func(b *testing.B) {
 					if r == nil {
@@ -73,8 +75,9 @@
 	}
 }
 
-// TestGoodputUnderOverload holds that goodput at 3 times capacity is at least
-// 90% of the peak, also where targets run on when callers give up.
+// TestGoodputUnderOverload checks that goodput at 3 times the capacity is at
+// least 90% of its peak, also where targets continue to run requests whose
+// callers have left.
 func TestGoodputUnderOverload(t *testing.T) {
 	for _, c := range benchCases[:len(benchCases)-1] {
 		t.Run(c.name, func(t *testing.T) {
@@ -83,7 +86,7 @@
 			for _, load := range benchLoads {
 				s := newSimulation(ownPolicy, load, benchSeed)
 				s.warmUp, s.duration = 5*time.Second, 10*time.Second
-				c.set(s)
+				c.configure(s)
 				s.run()
 				last = s.goodput()
 				peak = max(peak, last)
@@ -95,8 +98,8 @@
 	}
 }
 
-// TestOverloadShedsLowPriorityFirst holds that at 3 times capacity most of what
-// is refused is of the lower priorities.
+// TestOverloadShedsLowPriorityFirst checks that at 3 times the capacity lower
+// priorities are refused more often than higher ones.
 func TestOverloadShedsLowPriorityFirst(t *testing.T) {
 	is := is.New(t)
 	r := newSimulation(ownPolicy, 3, benchSeed).run()
--- a/shared/bbroute/group_test.go
+++ b/shared/bbroute/group_test.go
@@ -14,7 +14,8 @@
 
 var testNow = time.Unix(1_000_000, 0)
 
-// newTestGroup returns service s with targets t0, t1, ... in the failure domains.
+// newTestGroup returns the group of a service with targets t0, t1, ... in the
+// given failure domains; d1 is the local one.
 func newTestGroup(domains ...bbunit.DomainID) *Group {
 	state := &bbticket.State{
 		Services: map[bbunit.ServiceID]bbticket.Numbered[bbticket.Service]{"s": {Object: bbticket.Service{ID: "s"}}},
@@ -28,42 +29,43 @@
 	return g
 }
 
-// TestPickReturnsOnlyUsableTargets draws targets in any condition: one that leaves,
-// is tried or has an open circuit is never picked, and a usable one is found.
+// TestPickReturnsOnlyUsableTargets checks that Pick never returns a target that
+// is leaving, excluded or has an open circuit, and that it finds a usable one
+// if there is one.
 func TestPickReturnsOnlyUsableTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "targets")
 		g := newTestGroup(rapid.SliceOfN(rapid.SampledFrom([]bbunit.DomainID{"d1", "d2"}), n, n).Draw(t, "domains")...)
 		usable := map[bbunit.TargetID]bool{}
-		var tried []bbunit.TargetID
+		var excluded []bbunit.TargetID
 		for _, candidates := range [][]Candidate{g.Local, g.Remote} {
 			for i := range candidates {
-				p := &candidates[i]
+				candidate := &candidates[i]
 				switch rapid.IntRange(0, 4).Draw(t, "condition") {
 				case 0:
-					p.Declared.Leaving = true
+					candidate.Declared.Leaving = true
 				case 1:
-					p.State.MarkLeaving(testNow)
+					candidate.State.MarkLeaving(testNow)
 				case 2:
 					for range testPickPolicy.Circuit.FailureThreshold {
-						p.State.Circuit.RecordFailure(testNow, &testPickPolicy.Circuit)
+						candidate.State.Circuit.RecordFailure(testNow, &testPickPolicy.Circuit)
 					}
 				case 3:
-					tried = append(tried, p.State.ID)
+					excluded = append(excluded, candidate.State.ID)
 				default:
-					usable[p.State.ID] = true
-					p.State.Begin(int64(rapid.IntRange(0, 20).Draw(t, "load"))*meanRequestWork, false)
+					usable[candidate.State.ID] = true
+					candidate.State.Begin(int64(rapid.IntRange(0, 20).Draw(t, "load"))*meanRequestWork, false)
 				}
 			}
 		}
 		req := &Request{Service: "s", PrefixHashes: rapid.SliceOfN(rapid.Uint64(), 0, 3).Draw(t, "prefix")}
-		opts := &PickOptions{Now: testNow, Rand: rapid.Uint64().Draw(t, "rand"), Exclude: tried, Suspect: rapid.Bool().Draw(t, "suspect")}
-		p := g.Pick(req, opts, &testPickPolicy)
-		if (p != nil) != (len(usable) > 0) {
-			t.Fatalf("picked %v with %d usable", p, len(usable))
+		opts := &PickOptions{Now: testNow, Rand: rapid.Uint64().Draw(t, "rand"), Exclude: excluded, Suspect: rapid.Bool().Draw(t, "suspect")}
+		candidate := g.Pick(req, opts, &testPickPolicy)
+		if (candidate != nil) != (len(usable) > 0) {
+			t.Fatalf("picked %v with %d usable", candidate, len(usable))
 		}
-		if p != nil && !usable[p.State.ID] {
-			t.Fatalf("picked unusable %s", p.State.ID)
+		if candidate != nil && !usable[candidate.State.ID] {
+			t.Fatalf("picked unusable %s", candidate.State.ID)
 		}
 	})
 }
@@ -71,16 +73,16 @@
 func TestSpillOver(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		localLoad  int // requests at the near target
+		localLoad  int // requests at the local target
 		remoteLoad int
-		localDown  bool // the near target is unusable
+		localDown  bool // the local target is unusable
 		want       bbunit.TargetID
 	}{
-		{name: "near when idle", want: "t0"},
-		{name: "near up to the spill wait", localLoad: 9, want: "t0"},
-		{name: "far when near waits long", localLoad: 20, want: "t1"},
-		{name: "near when far has its part", localLoad: 20, remoteLoad: 1, want: "t0"},
-		{name: "far without bound when near is down", remoteLoad: 30, localDown: true, want: "t1"},
+		{name: "local when idle", want: "t0"},
+		{name: "local up to the spill wait", localLoad: 9, want: "t0"},
+		{name: "remote when the local wait is long", localLoad: 20, want: "t1"},
+		{name: "local when remote is at its maximum", localLoad: 20, remoteLoad: 1, want: "t0"},
+		{name: "remote without a maximum when local is down", remoteLoad: 30, localDown: true, want: "t1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -94,8 +96,8 @@
 			if c.localDown {
 				g.Local[0].State.MarkLeaving(testNow)
 			}
-			p := g.Pick(&Request{}, &PickOptions{Now: testNow}, &testPickPolicy)
-			is.Equal(p.State.ID, c.want)
+			candidate := g.Pick(&Request{}, &PickOptions{Now: testNow}, &testPickPolicy)
+			is.Equal(candidate.State.ID, c.want)
 		})
 	}
 }
@@ -109,13 +111,13 @@
 	}
 	preferred := pick(1)
 	for r := range uint64(20) {
-		is.Equal(pick(r), preferred) // one prefix, one target
+		is.Equal(pick(r), preferred) // the same prefix gets the same target
 	}
 	for range 4 {
 		preferred.Begin(meanRequestWork, false)
 	}
 	for r := range uint64(20) {
-		is.True(pick(r) != preferred) // above its part of the load
+		is.True(pick(r) != preferred) // above its load bound
 	}
 }
 
@@ -125,9 +127,9 @@
 	g.Local[0].State.slowStartAt.Store(testNow.UnixNano())
 	picks := map[*TargetState]int{}
 	for r := range uint64(40) {
-		p := g.Pick(&Request{}, &PickOptions{Now: testNow.Add(time.Second), Rand: r}, &testPickPolicy)
-		p.State.Begin(meanRequestWork, false)
-		picks[p.State]++
+		candidate := g.Pick(&Request{}, &PickOptions{Now: testNow.Add(time.Second), Rand: r}, &testPickPolicy)
+		candidate.State.Begin(meanRequestWork, false)
+		picks[candidate.State]++
 	}
 	is.True(picks[g.Local[0].State] <= 8)
 }
@@ -138,8 +140,8 @@
 	g.Local[0].State.Begin(meanRequestWork, true)
 	g.Local[1].State.Begin(meanRequestWork, true)
 	for r := range uint64(20) {
-		p := g.Pick(&Request{}, &PickOptions{Now: testNow, Rand: r, Suspect: true}, &testPickPolicy)
-		is.Equal(p.State.ID, bbunit.TargetID("t2"))
+		candidate := g.Pick(&Request{}, &PickOptions{Now: testNow, Rand: r, Suspect: true}, &testPickPolicy)
+		is.Equal(candidate.State.ID, bbunit.TargetID("t2"))
 	}
 }
 
@@ -149,17 +151,17 @@
 	c := &Circuit{}
 	is.True(!c.RecordFailure(testNow, policy))
 	is.True(!c.RecordSuccess())
-	is.True(!c.RecordFailure(testNow, policy)) // a success between starts anew
+	is.True(!c.RecordFailure(testNow, policy)) // the success has reset the count
 	is.True(c.RecordFailure(testNow, policy))
 	is.True(!c.Allow(testNow.Add(999*time.Millisecond), policy))
 	probeAt := testNow.Add(time.Second)
 	is.True(c.Allow(probeAt, policy))
 	is.True(!c.Allow(probeAt, policy)) // one probe at a time
 	is.True(c.Allow(probeAt.Add(policy.ProbeTimeout), policy))
-	for _, open := range []time.Duration{2 * time.Second, 3 * time.Second, 3 * time.Second} {
+	for _, openFor := range []time.Duration{2 * time.Second, 3 * time.Second, 3 * time.Second} {
 		is.True(c.RecordFailure(probeAt, policy))
-		is.True(!c.Allow(probeAt.Add(open-1), policy)) // doubles up to the longest
-		probeAt = probeAt.Add(open)
+		is.True(!c.Allow(probeAt.Add(openFor-1), policy)) // doubles up to MaxOpen
+		probeAt = probeAt.Add(openFor)
 		is.True(c.Allow(probeAt, policy))
 	}
 	is.True(c.RecordSuccess())
--- a/shared/bbroute/limiter_test.go
+++ b/shared/bbroute/limiter_test.go
@@ -12,8 +12,8 @@
 	"bluebellport.example/shared/bbticket"
 )
 
-// TestLimiterEnforcesRate holds that no more than burst and rate allow get in, and
-// that whoever comes back when told to gets in.
+// TestLimiterEnforcesRate checks that no more requests are admitted than rate
+// and burst allow, and that a refused request is admitted after its RetryAfter.
 func TestLimiterEnforcesRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.5, 200).Draw(t, "rate")
@@ -36,14 +36,14 @@
 			admitted++
 			allowed := burst + rate*now.Sub(testNow).Seconds() + 1
 			if float64(admitted) > allowed {
-				t.Fatalf("%d in, at most %.1f allowed", admitted, allowed)
+				t.Fatalf("%d admitted, at most %.1f allowed", admitted, allowed)
 			}
 		}
 	})
 }
 
-// TestSharesAddUp holds that instances that know the same usage share exactly
-// the limit.
+// TestSharesAddUp checks that the shares of instances that know the same usage
+// add up to the limit.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		usage := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 12).Draw(t, "usage")
@@ -66,12 +66,12 @@
 	l := NewLimiter("k", bbticket.Limit{Rate: 100, MaxInFlight: 10})
 	rate := func() float64 { return float64(time.Second) / float64(l.interval.Load()) }
 	l.UpdateShare(Usage{}, nil, 4)
-	is.True(math.Abs(rate()-25) < 1) // idle: a quarter each
+	is.True(math.Abs(rate()-25) < 1) // all idle: equal shares
 	l.UpdateShare(Usage{Rate: 200, InFlight: 10}, []Usage{{}, {}, {}}, 4)
-	is.True(rate() > 90) // the busy one gets nearly all
+	is.True(rate() > 90) // the only busy instance gets nearly all
 	is.Equal(l.maxInFlight.Load(), int64(8))
 	l.UpdateShare(Usage{}, []Usage{{Rate: 200}, {}, {}}, 4)
-	is.True(rate() > 1 && rate() < 5) // an idle one can still start
+	is.True(rate() > 1 && rate() < 5) // an idle instance can still start
 }
 
 func TestLimiterInFlight(t *testing.T) {
--- a/shared/bbroute/order_test.go
+++ b/shared/bbroute/order_test.go
@@ -24,18 +24,18 @@
 		want        OrderStep
 	}{
 		{name: "first order", want: OrderStepWrite},
-		{name: "over another", latest: previous, want: OrderStepWrite},
-		{name: "lost answer, took effect", setup: func(o *Order) { o.OnRead(testNow, previous, false, callTimeout) }, latest: mine, want: OrderStepWait},
-		{name: "lost answer, no effect", setup: func(o *Order) { o.OnRead(testNow, previous, false, callTimeout) }, latest: previous, want: OrderStepWrite},
-		{name: "lost answer, another came between", setup: func(o *Order) { o.OnRead(testNow, previous, false, callTimeout) }, latest: Intent{Fence: 5, OrderID: "third"}, want: OrderStepWrite},
-		{name: "waits out calls of the one before", setup: written, elapsed: callTimeout - 1, latest: mine, want: OrderStepWait},
-		{name: "sends after that", setup: written, elapsed: callTimeout, latest: mine, want: OrderStepSend},
-		{name: "sends at once to a target that checks", setup: written, latest: mine, checksFence: true, want: OrderStepSend},
+		{name: "replaces an earlier order", latest: previous, want: OrderStepWrite},
+		{name: "write with lost answer, took effect", setup: func(o *Order) { o.OnRead(testNow, previous, false, callTimeout) }, latest: mine, want: OrderStepWait},
+		{name: "write with lost answer, no effect", setup: func(o *Order) { o.OnRead(testNow, previous, false, callTimeout) }, latest: previous, want: OrderStepWrite},
+		{name: "write with lost answer, another order came first", setup: func(o *Order) { o.OnRead(testNow, previous, false, callTimeout) }, latest: Intent{Fence: 5, OrderID: "third"}, want: OrderStepWrite},
+		{name: "waits until calls for the predecessor end", setup: written, elapsed: callTimeout - 1, latest: mine, want: OrderStepWait},
+		{name: "sends after the wait", setup: written, elapsed: callTimeout, latest: mine, want: OrderStepSend},
+		{name: "sends at once to a target that checks fencing tokens", setup: written, latest: mine, checksFence: true, want: OrderStepSend},
 		{name: "superseded", setup: written, latest: Intent{Fence: 6, OrderID: "third"}, checksFence: true, want: OrderStepSuperseded},
-		{name: "superseded after its call", setup: func(o *Order) { written(o); o.OnAcknowledged() }, latest: Intent{Fence: 6, OrderID: "third"}, want: OrderStepSuperseded},
-		{name: "marks", setup: func(o *Order) { written(o); o.OnAcknowledged() }, latest: mine, want: OrderStepMark},
+		{name: "superseded after the target acknowledged", setup: func(o *Order) { written(o); o.OnAcknowledged() }, latest: Intent{Fence: 6, OrderID: "third"}, want: OrderStepSuperseded},
+		{name: "marks an acknowledged order", setup: func(o *Order) { written(o); o.OnAcknowledged() }, latest: mine, want: OrderStepMark},
 		{name: "done", setup: func(o *Order) { written(o); o.OnAcknowledged() }, latest: done, want: OrderStepEnd},
-		{name: "done by the home", setup: written, latest: done, want: OrderStepEnd},
+		{name: "done by a resender", setup: written, latest: done, want: OrderStepEnd},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -48,7 +48,7 @@
 	}
 }
 
-// simOrder is one order on its way in the model below.
+// simOrder is one order in the simulation below.
 type simOrder struct {
 	*Order
 	step     OrderStep
@@ -57,14 +57,14 @@
 	ended    bool
 }
 
-// orderCall is a call under way: until then it may have its effect.
+// orderCall is a call to the target. It may take effect until its deadline.
 type orderCall struct {
 	intent   Intent
 	deadline time.Time
 }
 
-// orderSimulation is a store with lost answers, orderers, a home that sends again,
-// and a target that ignores fencing numbers.
+// orderSimulation simulates a store and a target that both lose answers. The
+// target ignores fencing tokens.
 type orderSimulation struct {
 	t        *rapid.T
 	now      time.Time
@@ -76,7 +76,7 @@
 
 const testCallTimeout = time.Second
 
-// write compares and swaps; its answer may be lost either way.
+// write is a compare-and-swap that may fail, or succeed and lose its answer.
 func (s *orderSimulation) write(intent Intent, revision int) bool {
 	lost := rapid.IntRange(0, 3).Draw(s.t, "lost")
 	if revision != s.revision || lost == 1 {
@@ -86,8 +86,8 @@
 	return lost != 2
 }
 
-// send starts a call that was decided on at began. It fails the test when calls
-// with another intent may still be under way.
+// send starts a call whose deadline counts from readAt. It fails the test when
+// calls with another intent may still be in progress.
 func (s *orderSimulation) send(intent Intent, readAt time.Time) bool {
 	deadline := readAt.Add(testCallTimeout)
 	if s.now.After(deadline) {
@@ -95,7 +95,7 @@
 	}
 	for _, call := range s.calls {
 		if s.now.Before(call.deadline) && call.intent.Fence != intent.Fence {
-			s.t.Fatalf("%v sent while %v may be under way", intent, call.intent)
+			s.t.Fatalf("%v sent while a call with %v may be in progress", intent, call.intent)
 		}
 	}
 	s.calls = append(s.calls, orderCall{intent, deadline})
@@ -106,7 +106,8 @@
 	return acknowledged
 }
 
-// advance does the orderer's next move: it reads, or does what it decided.
+// advance makes the next move of the order: a reading, or the step that the
+// last reading returned.
 func (s *orderSimulation) advance(o *simOrder) {
 	if o.readAt.IsZero() {
 		o.readAt, o.revision = s.now, s.revision
@@ -130,45 +131,46 @@
 	o.readAt = time.Time{}
 }
 
-// TestConcurrentOrdersNeverOverlap lets orderers and the home take turns in any order, with
-// writes and calls whose answers are lost, before a target that ignores fencing
-// numbers: it never has calls with two intents under way, and ends with the
-// last one.
+// TestConcurrentOrdersNeverOverlap interleaves orders and a resender at random,
+// with lost answers, and a target that ignores fencing tokens. Calls with two
+// intents are never in progress at the same time, and the last order is the one
+// in effect at the end.
 func TestConcurrentOrdersNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &orderSimulation{t: t, now: testNow}
 		var orders []*simOrder
-		for i := range rapid.IntRange(1, 3).Draw(t, "orderers") {
+		for i := range rapid.IntRange(1, 3).Draw(t, "orders") {
 			orders = append(orders, &simOrder{Order: NewOrder("load", "m", fmt.Sprint(i))})
 		}
-		var resend Resender
-		var pendingResend *orderCall // what the home read and has not sent yet
+		var resender Resender
+		var pendingResend *orderCall // read by the resender and not sent yet
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			s.now = s.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			n := rapid.IntRange(0, len(orders)).Draw(t, "turn")
+			turn := rapid.IntRange(0, len(orders)).Draw(t, "turn")
 			switch {
-			case n < len(orders) && !orders[n].ended:
-				s.advance(orders[n])
-			case pendingResend == nil && resend.ShouldSend(s.now, s.latest, false, testCallTimeout):
+			case turn < len(orders) && !orders[turn].ended:
+				s.advance(orders[turn])
+			case pendingResend == nil && resender.ShouldSend(s.now, s.latest, false, testCallTimeout):
 				pendingResend = &orderCall{intent: s.latest, deadline: s.now}
 			case pendingResend != nil:
 				s.send(pendingResend.intent, pendingResend.deadline)
 				pendingResend = nil
 			}
 		}
-		resend.ShouldSend(s.now, s.latest, false, testCallTimeout)
+		resender.ShouldSend(s.now, s.latest, false, testCallTimeout)
 		s.now = s.now.Add(testCallTimeout)
-		if resend.ShouldSend(s.now, s.latest, false, testCallTimeout) { // the home goes on
+		if resender.ShouldSend(s.now, s.latest, false, testCallTimeout) { // the resender continues
 			s.applied = s.latest
 		}
 		if s.applied.Fence != s.latest.Fence {
-			t.Fatalf("ends with %v, ordered %v", s.applied, s.latest)
+			t.Fatalf("in effect at the end: %v, last order: %v", s.applied, s.latest)
 		}
 	})
 }
 
-// TestResender: the last order is sent again until it is done; to a target that
-// ignores fencing numbers ever again, since a paused orderer may send late.
+// TestResender checks that the last order is sent again until it is done, and
+// without end to a target that ignores fencing tokens, because a paused sender
+// may send an older order late.
 func TestResender(t *testing.T) {
 	is := is.New(t)
 	pending, acknowledged := Intent{Fence: 6, OrderID: "me"}, Intent{Fence: 6, OrderID: "me", Done: true}
@@ -176,7 +178,7 @@
 	var checked, ignored, none Resender
 	is.True(checked.ShouldSend(testNow, pending, true, testCallTimeout))
 	is.True(!checked.ShouldSend(later, acknowledged, true, testCallTimeout))
-	is.True(!ignored.ShouldSend(testNow, pending, false, testCallTimeout)) // calls of the one before
+	is.True(!ignored.ShouldSend(testNow, pending, false, testCallTimeout)) // calls for the predecessor may be in progress
 	is.True(ignored.ShouldSend(later, pending, false, testCallTimeout))
 	is.True(ignored.ShouldSend(later, acknowledged, false, testCallTimeout))
 	is.True(!ignored.ShouldSend(later, Intent{Fence: 7}, false, testCallTimeout))
--- a/shared/bbroute/poison_test.go
+++ b/shared/bbroute/poison_test.go
@@ -13,33 +13,34 @@
 
 var testPoisonPolicy = &PoisonPolicy{CrashThreshold: 2, SuspectTTL: time.Minute, MaxFingerprints: 100}
 
-// TestCrashTablesConverge holds that instances which hear the same marks, in any
-// order, any number of times and with any grouping, refuse the same requests.
+// TestCrashTablesConverge checks that instances that receive the same records
+// end with the same table, in whichever order, grouping and number of
+// repetitions they receive them.
 func TestCrashTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		record := rapid.Custom(func(t *rapid.T) CrashRecord {
+		generator := rapid.Custom(func(t *rapid.T) CrashRecord {
 			var ids []bbunit.TargetID
 			for _, i := range rapid.SliceOfN(rapid.IntRange(0, 15), 1, 4).Draw(t, "targets") {
 				ids = append(ids, bbunit.TargetID(fmt.Sprintf("t%02d", i)))
 			}
-			return CrashRecord{Fingerprint: rapid.Uint64Range(1, 4).Draw(t, "print"), Targets: ids}
+			return CrashRecord{Fingerprint: rapid.Uint64Range(1, 4).Draw(t, "fingerprint"), Targets: ids}
 		})
-		records := rapid.SliceOfN(record, 1, 20).Draw(t, "marks")
+		records := rapid.SliceOfN(generator, 1, 20).Draw(t, "records")
 		a, b := &CrashTable{}, &CrashTable{}
-		for _, m := range records {
-			a, _ = a.With(m.Fingerprint, m.Targets, testNow, testPoisonPolicy)
+		for _, record := range records {
+			a, _ = a.With(record.Fingerprint, record.Targets, testNow, testPoisonPolicy)
 		}
-		for _, m := range rapid.Permutation(append(records, records[0])).Draw(t, "order") {
-			b, _ = b.With(m.Fingerprint, m.Targets, testNow, testPoisonPolicy)
+		for _, record := range rapid.Permutation(append(records, records[0])).Draw(t, "order") {
+			b, _ = b.With(record.Fingerprint, record.Targets, testNow, testPoisonPolicy)
 		}
-		for _, m := range a.Records() { // what a tells b on top changes nothing
+		for _, record := range a.Records() { // b already has all records of a
 			var changed bool
-			if b, changed = b.With(m.Fingerprint, m.Targets, testNow, testPoisonPolicy); changed {
-				t.Fatalf("%v was news", m)
+			if b, changed = b.With(record.Fingerprint, record.Targets, testNow, testPoisonPolicy); changed {
+				t.Fatalf("%v changed the table", record)
 			}
 		}
 		if fmt.Sprint(a.Records()) != fmt.Sprint(b.Records()) {
-			t.Fatalf("%v and %v", a.Records(), b.Records())
+			t.Fatalf("tables differ: %v and %v", a.Records(), b.Records())
 		}
 	})
 }
@@ -64,7 +65,7 @@
 	table, _ = table.With(2, []bbunit.TargetID{"a", "b"}, testNow, testPoisonPolicy)
 	table = table.Expire(testNow.Add(time.Hour), testPoisonPolicy)
 	is.Equal(table.CrashCount(1), 0)
-	is.Equal(table.CrashCount(2), 2) // refused for good
+	is.Equal(table.CrashCount(2), 2) // not a suspect
 }
 
 func TestCrashTableIsBounded(t *testing.T) {
@@ -75,7 +76,7 @@
 		table, _ = table.With(i+2, []bbunit.TargetID{"a"}, testNow.Add(time.Duration(i)), testPoisonPolicy)
 	}
 	is.Equal(table.Len(), testPoisonPolicy.MaxFingerprints)
-	is.Equal(table.CrashCount(1), 2) // suspects make room first
+	is.Equal(table.CrashCount(1), 2) // suspects are evicted first
 	is.Equal(table.CrashCount(301), 1)
 	is.Equal(table.CrashCount(2), 0)
 }
--- a/shared/bbroute/retry_test.go
+++ b/shared/bbroute/retry_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestRetry(t *testing.T) {
+func TestDecideRetry(t *testing.T) {
 	broken := errors.New("broken")
 	policy := &RetryPolicy{MaxAttempts: 3}
 	for _, c := range []struct {
@@ -21,18 +21,18 @@
 	}{
 		{name: "success", state: RetryState{Attempts: 1}, want: DecisionStop},
 		{name: "nothing sent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken}, want: DecisionRetryOther},
-		{name: "sent, not to be repeated", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, Sent: true}, want: DecisionStop},
-		{name: "crashed, not to be repeated", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, Sent: true, Crashed: true}, want: DecisionStop},
-		{name: "sent, may be repeated", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetryOther},
+		{name: "sent, not idempotent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, Sent: true}, want: DecisionStop},
+		{name: "crashed, not idempotent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, Sent: true, Crashed: true}, want: DecisionStop},
+		{name: "sent, idempotent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetryOther},
 		{name: "refused as leaving", state: RetryState{Attempts: 1}, result: AttemptResult{Err: ErrLeaving, Sent: true}, want: DecisionRetryOther},
 		{name: "refused as full", state: RetryState{Attempts: 1}, result: AttemptResult{Err: ErrBusy, Sent: true}, want: DecisionRetryOther},
 		{name: "reused connection, nothing sent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true}, want: DecisionRetryOther},
-		{name: "reused connection, sent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true, Sent: true}, want: DecisionStop},
-		{name: "reused connection, may be repeated", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetrySame},
-		{name: "reused again", state: RetryState{Attempts: 2, Reconnected: true}, result: AttemptResult{Err: broken, ConnReused: true, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetryOther},
+		{name: "reused connection, sent, not idempotent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true, Sent: true}, want: DecisionStop},
+		{name: "reused connection, sent, idempotent", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetrySame},
+		{name: "reused connection after a reconnect", state: RetryState{Attempts: 2, Reconnected: true}, result: AttemptResult{Err: broken, ConnReused: true, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetryOther},
 		{name: "crash on a reused connection", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken, ConnReused: true, Crashed: true, Sent: true}, req: Request{Idempotent: true}, want: DecisionRetryOther},
-		{name: "tries used up", state: RetryState{Attempts: 3}, result: AttemptResult{Err: broken}, want: DecisionStop},
-		{name: "deadline over", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken}, req: Request{Deadline: testNow}, want: DecisionStop},
+		{name: "attempts used up", state: RetryState{Attempts: 3}, result: AttemptResult{Err: broken}, want: DecisionStop},
+		{name: "deadline passed", state: RetryState{Attempts: 1}, result: AttemptResult{Err: broken}, req: Request{Deadline: testNow}, want: DecisionStop},
 		{name: "caller left", state: RetryState{Attempts: 1}, result: AttemptResult{Err: ErrCancelled}, req: Request{Idempotent: true}, want: DecisionStop},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,8 +46,8 @@
 	is := is.New(t)
 	broken := errors.New("broken")
 	is.True((&AttemptResult{Err: broken}).IsTargetFault())
-	is.True(!(&AttemptResult{Err: broken, ConnReused: true, Sent: true}).IsTargetFault()) // a fresh connection first
-	is.True((&AttemptResult{Err: broken, ConnReused: true}).IsTargetFault())              // could not be opened
+	is.True(!(&AttemptResult{Err: broken, ConnReused: true, Sent: true}).IsTargetFault()) // retried over a new connection first
+	is.True((&AttemptResult{Err: broken, ConnReused: true}).IsTargetFault())              // no connection could be opened
 	is.True((&AttemptResult{Err: broken, ConnReused: true, Crashed: true}).IsTargetFault())
 	is.True(!(&AttemptResult{Err: ErrLeaving}).IsTargetFault())
 	is.True(!(&AttemptResult{Err: ErrBusy}).IsTargetFault())
@@ -55,11 +55,11 @@
 	is.True(!(&AttemptResult{}).IsTargetFault())
 }
 
-// TestRetryBudgetBound holds that retries stay below the ratio of the
-// successes, the floor and what can be saved, whatever fails.
+// TestRetryBudgetBound checks that retries never exceed the ratio of the
+// successes plus the minimum rate and its burst.
 func TestRetryBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		policy := &RetryPolicy{MaxAttempts: 3, Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), MinPerSecond: rapid.Float64Range(0, 5).Draw(t, "floor")}
+		policy := &RetryPolicy{MaxAttempts: 3, Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), MinPerSecond: rapid.Float64Range(0, 5).Draw(t, "min per second")}
 		budget := &RetryBudget{}
 		now := testNow
 		var successes, retries float64
--- a/shared/bbroute/simulation_test.go
+++ b/shared/bbroute/simulation_test.go
@@ -12,22 +12,23 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// simulation is a small deterministic queue model: independent routers before
-// targets with slots and a first-in-first-out queue, whose load is reported
-// late. Callers give up at their deadline, and the target then stops.
+// simulation is a deterministic discrete-event simulation of independent
+// routers in front of targets. A target has slots and a first-in-first-out
+// queue, and its load reports arrive late. Callers give up at their deadline,
+// and the target then stops the request.
 type simulation struct {
 	routerCount, targetCount, slots int
-	meanServiceTime                 float64 // mean, seconds
+	meanServiceTime                 float64 // seconds
 	serviceTimeSigma                float64 // sigma of the lognormal service time
 	reportInterval, reportLag       time.Duration
 	warmUp, duration                time.Duration
-	offeredLoad                     float64 // of the capacity
+	offeredLoad                     float64 // fraction of the capacity
 	seed                            uint64
 	policy                          string
 	skewedArrivals                  bool // one router gets half of the requests
-	slowTargets                     bool // every third target runs at half its pace
-	ignoreCancel                    bool // targets run on when callers give up
-	externalLoad                    bool // others keep half of every third target's slots
+	slowTargets                     bool // every third target runs at half speed
+	ignoreCancel                    bool // targets do not stop when callers give up
+	externalLoad                    bool // other clients occupy half of the slots of every third target
 
 	random     *rand.Rand
 	now        time.Time
@@ -38,9 +39,9 @@
 	result     simulationResult
 }
 
-// simulationResult is what one run measured.
+// simulationResult holds the measurements of one run.
 type simulationResult struct {
-	waits             []float64 // seconds, of the requests that began to run
+	waits             []float64 // seconds from arrival until the request runs
 	offered           int
 	onTime            int
 	refusedByPriority map[bbunit.Priority]int
@@ -55,7 +56,8 @@
 	return r.waits[int(fraction*float64(len(r.waits)-1))]
 }
 
-// refusedFraction returns the part of the offered requests that was refused.
+// refusedFraction returns the fraction of the offered requests that was
+// refused.
 func (r *simulationResult) refusedFraction() float64 {
 	n := 0
 	for _, v := range r.refusedByPriority {
@@ -64,13 +66,14 @@
 	return float64(n) / float64(max(r.offered, 1))
 }
 
-// goodput returns the requests answered in time, in parts of the capacity.
+// goodput returns the rate of requests answered before their deadline, as a
+// fraction of the capacity.
 func (s *simulation) goodput() float64 {
 	return float64(s.result.onTime) / s.duration.Seconds() / s.capacity()
 }
 
 type simRequest struct {
-	req         Request
+	request     Request
 	measured    bool
 	arrivedAt   time.Time
 	serviceTime time.Duration
@@ -78,7 +81,7 @@
 	target      *simTarget
 	work        int64
 	sentAt      time.Time
-	stage       int // 0 waits at the router, 1 queued, 2 runs, 3 over
+	stage       int // 0 queued at the router, 1 queued at the target, 2 running, 3 ended
 	waiter      *Waiter
 }
 
@@ -127,7 +130,7 @@
 	heap.Push(&s.events, event{s.now.Add(d), s.nextSeq, fn})
 }
 
-// run runs the model and returns what it measured after the warm-up.
+// run runs the simulation and returns what was measured after the warm-up.
 func (s *simulation) run() *simulationResult {
 	s.random = rand.New(rand.NewPCG(s.seed, 1))
 	s.now = time.Unix(1_000_000, 0)
@@ -164,7 +167,7 @@
 
 func (s *simulation) measuring() bool { return s.now.Sub(time.Unix(1_000_000, 0)) >= s.warmUp }
 
-// capacity is in requests a second.
+// capacity returns the capacity of all targets in requests a second.
 func (s *simulation) capacity() (sum float64) {
 	for _, t := range s.simTargets {
 		sum += float64(s.slots-s.externalSlots(t)) / s.slowdown(t) / s.meanServiceTime
@@ -186,7 +189,7 @@
 		router = s.simRouters[0]
 	}
 	req := &simRequest{
-		req: Request{
+		request: Request{
 			Service:        "s",
 			Priority:       bbunit.Priority(s.random.IntN(3)),
 			Deadline:       s.now.Add(time.Duration(deadlineSeconds * float64(time.Second))),
@@ -198,21 +201,21 @@
 	}
 	if req.measured = s.measuring(); req.measured {
 		s.result.offered++
-		s.result.offeredByPriority[req.req.Priority]++
+		s.result.offeredByPriority[req.request.Priority]++
 	}
-	s.schedule(req.req.Deadline.Sub(s.now), func() { s.expire(req) })
+	s.schedule(req.request.Deadline.Sub(s.now), func() { s.expire(req) })
 	s.admit(req)
 }
 
-// admit sends the request, lines it up or refuses it.
+// admit sends the request to a target, queues it or refuses it.
 func (s *simulation) admit(req *simRequest) {
 	g := s.group(req.router)
-	req.work = g.ExpectedWork(&req.req)
+	req.work = g.ExpectedWork(&req.request)
 	if s.policy != "bluebellport" || g.admission.TryAcquire() {
 		s.send(req)
 		return
 	}
-	req.waiter = &Waiter{Priority: req.req.Priority, Deadline: req.req.Deadline, ExpectedDuration: g.admission.ExpectedDuration(req.work), Ready: make(chan error, 1)}
+	req.waiter = &Waiter{Priority: req.request.Priority, Deadline: req.request.Deadline, ExpectedDuration: g.admission.ExpectedDuration(req.work), Ready: make(chan error, 1)}
 	if err := g.admission.Enqueue(req.waiter, s.now); err != nil {
 		s.refuse(req)
 		return
@@ -224,11 +227,12 @@
 func (s *simulation) refuse(req *simRequest) {
 	req.stage = 3
 	if req.measured {
-		s.result.refusedByPriority[req.req.Priority]++
+		s.result.refusedByPriority[req.request.Priority]++
 	}
 }
 
-// deliverAdmissions looks at what became of those that wait at the router.
+// deliverAdmissions sends or refuses the requests at the router whose wait has
+// ended.
 func (s *simulation) deliverAdmissions(router *simRouter) {
 	queued := router.queued
 	router.queued = nil
@@ -262,7 +266,7 @@
 		candidate = &g.Local[router.roundRobin%s.targetCount]
 	default:
 		router.seed++
-		candidate = g.Pick(&req.req, &PickOptions{Now: s.now, Rand: router.seed * 0x9e3779b97f4a7c15}, &testPickPolicy)
+		candidate = g.Pick(&req.request, &PickOptions{Now: s.now, Rand: router.seed * 0x9e3779b97f4a7c15}, &testPickPolicy)
 	}
 	candidate.State.Begin(req.work, false)
 	req.target, req.sentAt, req.stage = s.simTargets[slices.IndexFunc(s.group(router).Local, func(c Candidate) bool { return c.State == candidate.State })], s.now, 1
@@ -283,12 +287,12 @@
 	}
 }
 
-// finish ends a request that ran whole.
+// finish ends a request that ran to completion.
 func (s *simulation) finish(req *simRequest) {
 	if req.stage != 2 {
 		return
 	}
-	if s.measuring() && !s.now.After(req.req.Deadline) {
+	if s.measuring() && !s.now.After(req.request.Deadline) {
 		s.result.onTime++
 	}
 	duration := s.now.Sub(req.sentAt)
@@ -300,7 +304,7 @@
 	return &s.group(req.router).Local[req.target.id]
 }
 
-// externalSlots returns how many of the target's slots others keep.
+// externalSlots returns how many slots of the target other clients occupy.
 func (s *simulation) externalSlots(t *simTarget) int {
 	if s.externalLoad && t.id%3 == 0 {
 		return s.slots / 2
@@ -308,7 +312,7 @@
 	return 0
 }
 
-// slowdown returns how much longer an answer of the target takes.
+// slowdown returns the factor by which the target is slower than normal.
 func (s *simulation) slowdown(t *simTarget) float64 {
 	if s.slowTargets && t.id%3 == 0 {
 		return 2
@@ -316,7 +320,7 @@
 	return 1
 }
 
-// expire ends a request at its deadline, wherever it is.
+// expire ends a request at its deadline.
 func (s *simulation) expire(req *simRequest) {
 	switch req.stage {
 	case 0:
@@ -332,7 +336,7 @@
 	}
 }
 
-// remove takes the request out of its target and gives its place back.
+// remove removes the request from its target and from the admission controller.
 func (s *simulation) remove(req *simRequest) {
 	t := req.target
 	if req.stage == 2 {
@@ -349,7 +353,8 @@
 	}
 }
 
-// reportLoad reports the target's load to all routers, late.
+// reportLoad sends the target's load to all routers, after the report lag, and
+// schedules the next report.
 func (s *simulation) reportLoad(t *simTarget) {
 	r := LoadReport{Running: t.running + s.externalSlots(t), Waiting: len(t.queue), Slots: s.slots, SampledAt: s.now}
 	s.schedule(s.reportLag, func() {
