--- a/shared/bbroute/group.go
+++ b/shared/bbroute/group.go
@@ -53,9 +53,9 @@
 	Suspect bool
 }
 
-// Pick returns the target for the request, nil when none is usable. The request
-// has then passed the circuit breaker of the target. Pick allocates nothing and
-// takes no lock.
+// Pick returns the target for the request, nil when none is usable. The
+// target's circuit breaker has then already allowed the request. Pick allocates
+// nothing and takes no lock.
 func (g *Group) Pick(req *Request, opts *PickOptions, policy *PickPolicy) *Candidate {
 	opts.RoundRobin = g.roundRobin.Add(1)
 	for range len(g.Local) + len(g.Remote) {
--- a/shared/bbroute/limiter.go
+++ b/shared/bbroute/limiter.go
@@ -32,8 +32,8 @@
 	return l
 }
 
-// SetLimit sets the limit of the whole failure domain. A changed limit is this
-// instance's alone until the next UpdateShare.
+// SetLimit sets the limit of the whole failure domain. When it changes, this
+// instance's share is the whole limit until the next UpdateShare.
 func (l *Limiter) SetLimit(limit bbticket.Limit) {
 	if old := l.limit.Load(); old != nil && *old == limit {
 		return
@@ -85,7 +85,8 @@
 // Release ends an admitted request.
 func (l *Limiter) Release() { l.inFlight.Add(-1) }
 
-// Cancel reverts Acquire for a request that was refused later, rate included.
+// Cancel reverts Acquire for a request that was refused after all: neither the
+// requests in flight nor the rate count it any more.
 func (l *Limiter) Cancel() {
 	l.inFlight.Add(-1)
 	l.nextArrival.Add(-l.interval.Load())
