--- a/shared/bbroute/order_test.go
+++ b/shared/bbroute/order_test.go
@@ -143,7 +143,7 @@
 			orders = append(orders, &simOrder{Order: NewOrder("load", "m", fmt.Sprint(i))})
 		}
 		var resender Resender
-		var pendingResend *orderCall // read by the resender and not sent yet
+		var pendingResend *orderCall // not sent yet; its deadline holds when the resender read the intent
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			s.now = s.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			turn := rapid.IntRange(0, len(orders)).Draw(t, "turn")
