--- a/shared/bbjournal/chain.go
+++ b/shared/bbjournal/chain.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// leafFull is the size at which a leaf is sealed, in bytes.
-	leafFull = 64 << 10
-	// leafMost is the largest leaf that a plan writes, in bytes; records that
+	// sealLeafBytes is the size at which a leaf is sealed, in bytes.
+	sealLeafBytes = 64 << 10
+	// maxLeafBytes is the largest leaf that a plan writes, in bytes; records that
 	// would pass it have to come again.
-	leafMost = 512 << 10
-	// leavesKept is into how many leaves the retention is cut at least.
-	leavesKept = 8
-	// skew is the largest difference of clocks that the retention allows for.
-	skew = 10 * time.Minute
+	maxLeafBytes = 512 << 10
+	// minLeavesPerRetention is into how many leaves the retention is cut at least.
+	minLeavesPerRetention = 8
+	// maxClockSkew is the largest difference of clocks that the retention allows for.
+	maxClockSkew = 10 * time.Minute
 )
 
 // leaf is what is known of one leaf.
@@ -35,8 +35,8 @@
 	fresh bool
 	// stale tells that the leaf is known to have changed.
 	stale bool
-	// doubt tells that a write based on rev may still take effect.
-	doubt bool
+	// unknownWrite tells that a write based on rev may still take effect.
+	unknownWrite bool
 }
 
 // ChainCache is what one committer knows of a partition. It keeps the head whole and
@@ -50,21 +50,21 @@
 	// Seed keeps callers from choosing ids whose hashes collide.
 	Seed uint64
 
-	loaded bool
-	begun  time.Time
-	read   time.Time // the head is known to have been the head then
-	head   leaf
+	loaded          bool
+	commitStartedAt time.Time
+	headConfirmedAt time.Time // the head is known to have been the head then
+	head            leaf
 	// contended tells that others write to the head, so that it is read before
 	// a write rather than after the write has failed.
-	contended bool
-	sealed    map[uint64]LeafNumber
-	old       map[LeafNumber]*sealedLeaf
-	open      map[LeafNumber]*leaf
+	contended     bool
+	sealedRecords map[uint64]LeafNumber
+	sealedLeaves  map[LeafNumber]*sealedLeaf
+	readLeaves    map[LeafNumber]*leaf
 }
 
 type sealedLeaf struct {
-	rev bbstore.Revision
-	at  int64 // milliseconds since the epoch
+	rev      bbstore.Revision
+	sealedAt int64 // milliseconds since the epoch
 }
 
 // Write is one compare-and-swap that a plan asks for. A nil Value deletes.
@@ -78,35 +78,35 @@
 
 // Begin starts a commit: what was read before it may have changed since. After
 // a long rest the partition is listed anew, lest a deleted number is used again.
-func (b *ChainCache) Begin(now time.Time) {
-	if now.Sub(b.read) > b.Retention/2 {
-		b.loaded = false
+func (c *ChainCache) Begin(now time.Time) {
+	if now.Sub(c.headConfirmedAt) > c.Retention/2 {
+		c.loaded = false
 	}
-	b.begun = now
-	b.head.fresh = false
-	b.head.stale = b.head.stale || b.contended
-	b.open = map[LeafNumber]*leaf{}
+	c.commitStartedAt = now
+	c.head.fresh = false
+	c.head.stale = c.head.stale || c.contended
+	c.readLeaves = map[LeafNumber]*leaf{}
 }
 
 // Loaded tells whether the partition was listed.
-func (b *ChainCache) Loaded() bool { return b.loaded }
+func (c *ChainCache) Loaded() bool { return c.loaded }
 
 // Load takes a listing of the partition.
-func (b *ChainCache) Load(entries []bbstore.Entry) error {
+func (c *ChainCache) Load(entries []bbstore.Entry) error {
 	leaves, err := decodeLeaves(entries)
 	if err != nil {
 		return err
 	}
-	b.sealed, b.old, b.open = map[uint64]LeafNumber{}, map[LeafNumber]*sealedLeaf{}, map[LeafNumber]*leaf{}
-	b.head = leaf{number: 1, value: &bbwire.Leaf{}, fresh: true}
+	c.sealedRecords, c.sealedLeaves, c.readLeaves = map[uint64]LeafNumber{}, map[LeafNumber]*sealedLeaf{}, map[LeafNumber]*leaf{}
+	c.head = leaf{number: 1, value: &bbwire.Leaf{}, fresh: true}
 	for _, l := range leaves {
 		if l.value.Sealed {
-			b.seal(l)
+			c.addSealed(l)
 		} else {
-			b.setHead(l) // the last one is the head, whatever came before
+			c.setHead(l) // the last one is the head, whatever came before
 		}
 	}
-	b.loaded, b.read = true, b.begun
+	c.loaded, c.headConfirmedAt = true, c.commitStartedAt
 	return nil
 }
 
@@ -128,24 +128,24 @@
 	return out, nil
 }
 
-// seal remembers which requests a sealed leaf holds and opens the next number.
-func (b *ChainCache) seal(l *leaf) {
-	b.old[l.number] = &sealedLeaf{rev: l.rev, at: l.value.Sealedat}
+// addSealed remembers which requests a sealed leaf holds and opens the next number.
+func (c *ChainCache) addSealed(l *leaf) {
+	c.sealedLeaves[l.number] = &sealedLeaf{rev: l.rev, sealedAt: l.value.Sealedat}
 	for _, r := range l.value.Records {
-		b.sealed[b.hash(keyOf(r))] = l.number
+		c.sealedRecords[c.hash(keyOf(r))] = l.number
 	}
-	if l.number >= b.head.number {
-		b.head = leaf{number: l.number + 1, value: &bbwire.Leaf{}}
+	if l.number >= c.head.number {
+		c.head = leaf{number: l.number + 1, value: &bbwire.Leaf{}}
 	}
 }
 
-func (b *ChainCache) setHead(l *leaf) {
-	l.index = indexOf(l.value)
+func (c *ChainCache) setHead(l *leaf) {
+	l.index = indexRecords(l.value)
 	l.fresh = true
-	b.head = *l
+	c.head = *l
 }
 
-func indexOf(v *bbwire.Leaf) map[string]*bbwire.Record {
+func indexRecords(v *bbwire.Leaf) map[string]*bbwire.Record {
 	index := make(map[string]*bbwire.Record, len(v.Records))
 	for _, r := range v.Records {
 		index[keyOf(r)] = r
@@ -153,94 +153,94 @@
 	return index
 }
 
-func (b *ChainCache) hash(key string) uint64 {
-	d := xxhash.NewWithSeed(b.Seed)
+func (c *ChainCache) hash(key string) uint64 {
+	d := xxhash.NewWithSeed(c.Seed)
 	_, _ = d.WriteString(key)
 	return d.Sum64()
 }
 
 // Key returns the key of a leaf.
-func (b *ChainCache) Key(n LeafNumber) string { return b.Partition.leafKey(n) }
+func (c *ChainCache) Key(n LeafNumber) string { return c.Partition.leafKey(n) }
 
 // OnLeafRead takes what was read of leaf n.
-func (b *ChainCache) OnLeafRead(n LeafNumber, e bbstore.Entry) error {
+func (c *ChainCache) OnLeafRead(n LeafNumber, e bbstore.Entry) error {
 	l := &leaf{number: n, rev: e.Rev, value: &bbwire.Leaf{}, fresh: true}
 	if err := proto.Unmarshal(e.Value, l.value); err != nil {
 		return err
 	}
-	if n != b.head.number {
-		b.seeSealed(l)
+	if n != c.head.number {
+		c.updateSealed(l)
 		return nil
 	}
-	b.read = b.begun
-	b.contended = e.Rev != b.head.rev
+	c.headConfirmedAt = c.commitStartedAt
+	c.contended = e.Rev != c.head.rev
 	switch {
-	case e.Rev == 0 && b.head.rev != 0:
-		b.loaded = false // sealed by others and deleted since
+	case e.Rev == 0 && c.head.rev != 0:
+		c.loaded = false // sealed by others and deleted since
 	case l.value.Sealed:
-		b.seal(l)
-		b.head.stale = true
+		c.addSealed(l)
+		c.head.stale = true
 	default:
-		l.doubt = b.head.doubt && e.Rev == b.head.rev
-		b.setHead(l)
+		l.unknownWrite = c.head.unknownWrite && e.Rev == c.head.rev
+		c.setHead(l)
 	}
 	return nil
 }
 
-func (b *ChainCache) seeSealed(l *leaf) {
+func (c *ChainCache) updateSealed(l *leaf) {
 	if l.rev != 0 {
-		l.index = indexOf(l.value)
-		b.open[l.number] = l
-		if o := b.old[l.number]; o != nil {
+		l.index = indexRecords(l.value)
+		c.readLeaves[l.number] = l
+		if o := c.sealedLeaves[l.number]; o != nil {
 			o.rev = l.rev
 		}
 		return
 	}
-	delete(b.old, l.number)
-	for h, n := range b.sealed {
+	delete(c.sealedLeaves, l.number)
+	for h, n := range c.sealedRecords {
 		if n == l.number {
-			delete(b.sealed, h)
+			delete(c.sealedRecords, h)
 		}
 	}
 }
 
 // OnWritten reports that w took effect at revision rev.
-func (b *ChainCache) OnWritten(w Write, rev bbstore.Revision) {
+func (c *ChainCache) OnWritten(w Write, rev bbstore.Revision) {
 	l := &leaf{number: w.Number, rev: rev, value: w.leaf, fresh: true}
 	switch {
 	case w.Value == nil:
 		l.rev = 0
-		b.seeSealed(l)
-	case w.Number != b.head.number:
-		b.seeSealed(l)
+		c.updateSealed(l)
+	case w.Number != c.head.number:
+		c.updateSealed(l)
 	case w.leaf.Sealed:
-		b.read = b.begun
-		b.seal(l)
+		c.headConfirmedAt = c.commitStartedAt
+		c.addSealed(l)
 	default:
-		b.read = b.begun
-		b.setHead(l)
+		c.headConfirmedAt = c.commitStartedAt
+		c.setHead(l)
 	}
 }
 
 // OnWriteFailed reports that w met a conflict (unsure false) or that its outcome is not
 // known (unsure true): the leaf has to be read again.
-func (b *ChainCache) OnWriteFailed(w Write, unsure bool) {
-	if w.Number != b.head.number {
-		delete(b.open, w.Number)
+func (c *ChainCache) OnWriteFailed(w Write, unknown bool) {
+	if w.Number != c.head.number {
+		delete(c.readLeaves, w.Number)
 		return
 	}
-	b.head.stale = true
-	b.head.doubt = b.head.doubt || unsure
+	c.head.stale = true
+	c.head.unknownWrite = c.head.unknownWrite || unknown
 }
 
 // Expired returns the deletions of leaves that are past the retention, at most
 // n.
-func (b *ChainCache) Expired(now time.Time, n int) []Write {
+func (c *ChainCache) Expired(now time.Time, n int) []Write {
 	var out []Write
-	limit := now.Add(-b.Retention - skew).UnixMilli()
-	for number, l := range b.old {
-		if l.at < limit {
-			out = append(out, Write{Number: number, Key: b.Key(number), Prev: l.rev})
+	cutoff := now.Add(-c.Retention - maxClockSkew).UnixMilli()
+	for number, l := range c.sealedLeaves {
+		if l.sealedAt < cutoff {
+			out = append(out, Write{Number: number, Key: c.Key(number), Prev: l.rev})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Number < out[j].Number })
--- a/shared/bbjournal/chain_test.go
+++ b/shared/bbjournal/chain_test.go
@@ -21,16 +21,16 @@
 	rev   bbstore.Revision
 }
 
-// service is the key-value service with the writes that are still under way.
-type service struct {
-	cells  map[string]cell
-	rev    bbstore.Revision
-	flying []Write
+// fakeStore is the key-value service with the writes that are still under way.
+type fakeStore struct {
+	cells    map[string]cell
+	rev      bbstore.Revision
+	inFlight []Write
 }
 
-func newService() *service { return &service{cells: map[string]cell{}} }
+func newFakeStore() *fakeStore { return &fakeStore{cells: map[string]cell{}} }
 
-func (s *service) cas(w Write) (bbstore.Revision, bool) {
+func (s *fakeStore) cas(w Write) (bbstore.Revision, bool) {
 	if s.cells[w.Key].rev != w.Prev {
 		return 0, false
 	}
@@ -43,7 +43,7 @@
 	return s.rev, true
 }
 
-func (s *service) list() []bbstore.Entry {
+func (s *fakeStore) list() []bbstore.Entry {
 	var out []bbstore.Entry
 	for k, c := range s.cells {
 		out = append(out, bbstore.Entry{Key: k, Value: c.value, Rev: c.rev})
@@ -53,90 +53,90 @@
 
 // committer is one instance that commits for the partition.
 type committer struct {
-	book    *ChainCache
-	queue   []*entry
-	plan    *Plan
-	planned []*entry
-	step    int
+	chain     *ChainCache
+	queue     []*queuedRecord
+	plan      *Plan
+	planned   []*queuedRecord
+	stepIndex int
 }
 
-type entry struct {
+type queuedRecord struct {
 	rec  *bbwire.Record
 	done func(v *bbwire.Verdict)
 }
 
 func newCommitter() *committer {
-	return &committer{book: &ChainCache{Partition: 1, Retention: time.Hour, Seed: 5}}
+	return &committer{chain: &ChainCache{Partition: 1, Retention: time.Hour, Seed: 5}}
 }
 
-// fate is what becomes of a write.
-type fate int
+// writeOutcome is what becomes of a write.
+type writeOutcome int
 
 const (
-	fateAnswered fate = iota
-	fateLost          // takes effect, the answer is lost
-	fateDropped       // takes no effect, the answer is lost
-	fateLate          // may take effect later, the answer is lost
+	outcomeAnswered   writeOutcome = iota
+	outcomeAnswerLost              // takes effect, the answer is lost
+	outcomeDropped                 // takes no effect, the answer is lost
+	outcomeDelayed                 // may take effect later, the answer is lost
 )
 
 // advance does the next single call of the committer, so that others may act
 // between any two.
-func (c *committer) advance(s *service, now time.Time, how fate) error {
+func (c *committer) advance(store *fakeStore, now time.Time, outcome writeOutcome) error {
 	if c.plan == nil {
-		c.book.Begin(now)
+		c.chain.Begin(now)
 		c.replan(now)
 	}
 	p := c.plan
 	switch {
 	case p.NeedsListing:
-		if err := c.book.Load(s.list()); err != nil {
+		if err := c.chain.Load(store.list()); err != nil {
 			return err
 		}
 		c.replan(now)
-	case c.step < len(p.Reads):
-		n := p.Reads[c.step]
-		cell := s.cells[c.book.Key(n)]
-		if err := c.book.OnLeafRead(n, bbstore.Entry{Value: cell.value, Rev: cell.rev}); err != nil {
+	case c.stepIndex < len(p.Reads):
+		n := p.Reads[c.stepIndex]
+		cell := store.cells[c.chain.Key(n)]
+		if err := c.chain.OnLeafRead(n, bbstore.Entry{Value: cell.value, Rev: cell.rev}); err != nil {
 			return err
 		}
-		if c.step++; c.step == len(p.Reads) {
+		if c.stepIndex++; c.stepIndex == len(p.Reads) {
 			c.replan(now)
 		}
-	case c.step < len(p.Writes):
-		c.write(s, now, p.Writes[c.step], how)
+	case c.stepIndex < len(p.Writes):
+		c.write(store, now, p.Writes[c.stepIndex], outcome)
 	default:
 		c.finish()
 	}
 	return nil
 }
 
-func (c *committer) write(s *service, now time.Time, w Write, how fate) {
-	switch how {
-	case fateDropped:
-		c.book.OnWriteFailed(w, true)
-	case fateLate:
-		s.flying = append(s.flying, w)
-		c.book.OnWriteFailed(w, true)
+func (c *committer) write(store *fakeStore, now time.Time, w Write, outcome writeOutcome) {
+	switch outcome {
+	case outcomeDropped:
+		c.chain.OnWriteFailed(w, true)
+	case outcomeDelayed:
+		store.inFlight = append(store.inFlight, w)
+		c.chain.OnWriteFailed(w, true)
 	default:
-		rev, ok := s.cas(w)
-		if how == fateLost || !ok {
-			c.book.OnWriteFailed(w, how == fateLost)
+		rev, ok := store.cas(w)
+		if outcome == outcomeAnswerLost || !ok {
+			c.chain.OnWriteFailed(w, outcome == outcomeAnswerLost)
 			break
 		}
-		c.book.OnWritten(w, rev)
-		c.step++
+		c.chain.OnWritten(w, rev)
+		c.stepIndex++
 		return
 	}
 	c.replan(now)
 }
 
 func (c *committer) replan(now time.Time) {
-	c.planned = append([]*entry{}, c.queue...)
+	c.planned = append([]*queuedRecord{}, c.queue...)
 	var records []*bbwire.Record
 	for _, e := range c.planned {
 		records = append(records, e.rec)
 	}
-	c.plan, c.step = c.book.Plan(records, now), 0
+	c.plan, c.stepIndex = c.chain.Plan(records, now), 0
 }
 
 func (c *committer) finish() {
@@ -154,64 +154,64 @@
 
 func (c *committer) idle() bool { return len(c.queue) == 0 && c.plan == nil }
 
-// try is one attempt at a request.
-type try struct {
+// attempt is one attempt at a request.
+type attempt struct {
 	rec   *bbwire.Record
 	state string // pending, granted, dead, sent
 }
 
-// machine plays attempts at a few requests against several committers.
-type machine struct {
-	t       *rapid.T
-	s       *service
-	cs      []*committer
-	now     time.Time
-	tries   map[string]*try
-	order   []string
-	ran     map[string]int
-	taken   map[string]map[string]bool // request to owners whose bill was taken
-	pending int
+// model plays attempts at a few requests against several committers.
+type model struct {
+	t            *rapid.T
+	store        *fakeStore
+	committers   []*committer
+	now          time.Time
+	attempts     map[string]*attempt
+	owners       []string
+	runs         map[string]int
+	billedBy     map[string]map[string]bool // request to owners whose bill was taken
+	pendingBills int
 }
 
-func (m *machine) any(label string) *committer {
-	return m.cs[rapid.IntRange(0, len(m.cs)-1).Draw(m.t, label)]
+func (m *model) anyCommitter(label string) *committer {
+	return m.committers[rapid.IntRange(0, len(m.committers)-1).Draw(m.t, label)]
 }
 
-func (m *machine) pick(state string) *try {
-	var of []*try
-	for _, o := range m.order {
-		if m.tries[o].state == state {
-			of = append(of, m.tries[o])
+func (m *model) anyAttempt(state string) *attempt {
+	var matching []*attempt
+	for _, o := range m.owners {
+		if m.attempts[o].state == state {
+			matching = append(matching, m.attempts[o])
 		}
 	}
-	if len(of) == 0 {
+	if len(matching) == 0 {
 		m.t.Skip("none " + state)
 	}
-	return of[rapid.IntRange(0, len(of)-1).Draw(m.t, state)]
+	return matching[rapid.IntRange(0, len(matching)-1).Draw(m.t, state)]
 }
 
-func (m *machine) newTry(request string) *try {
-	o := fmt.Sprintf("i#1/%d", len(m.order))
-	t := &try{state: "pending", rec: &bbwire.Record{
+func (m *model) newAttempt(request string) *attempt {
+	o := fmt.Sprintf("i#1/%d", len(m.owners))
+	t := &attempt{state: "pending", rec: &bbwire.Record{
 		Kind: bbwire.Record_CLAIM, Account: "a", Request: request, Owner: o, Made: m.now.UnixMilli(),
 	}}
-	m.tries[o] = t
-	m.order = append(m.order, o)
+	m.attempts[o] = t
+	m.owners = append(m.owners, o)
 	return t
 }
 
-func (m *machine) withdraw(c *committer, of *bbwire.Record) {
-	r := Copy(of)
+func (m *model) withdraw(c *committer, rec *bbwire.Record) {
+	r := Copy(rec)
 	r.Kind = bbwire.Record_WITHDRAWN
-	c.queue = append(c.queue, &entry{r, func(*bbwire.Verdict) {}})
+	c.queue = append(c.queue, &queuedRecord{r, func(*bbwire.Verdict) {}})
 }
 
-func (m *machine) submit(c *committer, t *try) {
-	c.queue = append(c.queue, &entry{t.rec, func(v *bbwire.Verdict) { m.told(c, t, v) }})
+func (m *model) submit(c *committer, t *attempt) {
+	c.queue = append(c.queue, &queuedRecord{t.rec, func(v *bbwire.Verdict) { m.onVerdict(c, t, v) }})
 }
 
-// told is the owner's rule: see Recorder.
-func (m *machine) told(c *committer, t *try, v *bbwire.Verdict) {
+// onVerdict is the owner's rule: see Recorder.
+func (m *model) onVerdict(c *committer, t *attempt, v *bbwire.Verdict) {
 	if t.state == "dead" && v.Kind == bbwire.Verdict_TAKEN {
 		m.withdraw(c, t.rec)
 	}
@@ -222,7 +222,7 @@
 		t.state = "granted"
 		return
 	}
-	if o := m.tries[v.Record.GetOwner()]; v.Record.GetKind() == bbwire.Record_CLAIM && o.state == "dead" {
+	if o := m.attempts[v.Record.GetOwner()]; v.Record.GetKind() == bbwire.Record_CLAIM && o.state == "dead" {
 		m.withdraw(c, v.Record)
 		m.submit(c, t)
 		return
@@ -231,49 +231,49 @@
 	m.withdraw(c, t.rec)
 }
 
-func (m *machine) bill(t *try) {
+func (m *model) bill(t *attempt) {
 	r := Copy(t.rec)
 	r.Kind, r.Amount = bbwire.Record_BILL, 5
-	for _, c := range []*committer{m.any("bill"), m.any("copy")} {
-		m.pending++
-		c.queue = append(c.queue, &entry{r, func(v *bbwire.Verdict) {
-			m.pending--
+	for _, c := range []*committer{m.anyCommitter("bill"), m.anyCommitter("copy")} {
+		m.pendingBills++
+		c.queue = append(c.queue, &queuedRecord{r, func(v *bbwire.Verdict) {
+			m.pendingBills--
 			if v.Kind != bbwire.Verdict_TAKEN {
 				return
 			}
-			if m.taken[r.Request] == nil {
-				m.taken[r.Request] = map[string]bool{}
+			if m.billedBy[r.Request] == nil {
+				m.billedBy[r.Request] = map[string]bool{}
 			}
-			m.taken[r.Request][r.Owner] = true
+			m.billedBy[r.Request][r.Owner] = true
 		}})
 	}
 }
 
-func (m *machine) unknown(t *try) {
+func (m *model) unknown(t *attempt) {
 	r := Copy(t.rec)
 	r.Kind = bbwire.Record_UNKNOWN
-	c := m.any("unknown")
-	c.queue = append(c.queue, &entry{r, func(*bbwire.Verdict) {}})
+	c := m.anyCommitter("unknown")
+	c.queue = append(c.queue, &queuedRecord{r, func(*bbwire.Verdict) {}})
 }
 
-func (m *machine) check() {
-	live := map[string]int{}
-	for _, t := range m.tries {
+func (m *model) check() {
+	granted := map[string]int{}
+	for _, t := range m.attempts {
 		if t.state == "granted" || t.state == "sent" {
-			live[t.rec.Request]++
+			granted[t.rec.Request]++
 		}
 	}
-	for id, n := range live {
+	for id, n := range granted {
 		if n > 1 && id[0] == 'c' {
 			m.t.Fatalf("%s: %d attempts granted", id, n)
 		}
 	}
-	for id, n := range m.ran {
+	for id, n := range m.runs {
 		if n > 1 {
 			m.t.Fatalf("%s ran %d times", id, n)
 		}
 	}
-	for id, owners := range m.taken {
+	for id, owners := range m.billedBy {
 		if len(owners) > 1 {
 			m.t.Fatalf("%s billed by %v", id, owners)
 		}
@@ -281,17 +281,17 @@
 }
 
 // settle lets every write land and every queue empty.
-func (m *machine) settle() {
-	for _, w := range m.s.flying {
-		m.s.cas(w)
+func (m *model) settle() {
+	for _, w := range m.store.inFlight {
+		m.store.cas(w)
 	}
-	m.s.flying = nil
+	m.store.inFlight = nil
 	for range 10000 {
 		busy := false
-		for _, c := range m.cs {
+		for _, c := range m.committers {
 			if !c.idle() {
 				busy = true
-				if err := c.advance(m.s, m.now, fateAnswered); err != nil {
+				if err := c.advance(m.store, m.now, outcomeAnswered); err != nil {
 					m.t.Fatal(err)
 				}
 			}
@@ -303,9 +303,9 @@
 	m.t.Fatal("queues do not empty")
 }
 
-// standing returns the records in the chain by request.
-func (m *machine) standing() map[string][]*bbwire.Record {
-	leaves, err := decodeLeaves(m.s.list())
+// records returns the records in the chain by request.
+func (m *model) records() map[string][]*bbwire.Record {
+	leaves, err := decodeLeaves(m.store.list())
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -318,56 +318,56 @@
 	return out
 }
 
-func (m *machine) checkEnd() {
-	if m.pending != 0 {
-		m.t.Fatalf("%d bills without a verdict", m.pending)
+func (m *model) checkFinal() {
+	if m.pendingBills != 0 {
+		m.t.Fatalf("%d bills without a verdict", m.pendingBills)
 	}
-	for id, rs := range m.standing() {
+	for id, rs := range m.records() {
 		if len(rs) > 1 {
 			m.t.Fatalf("%s stands %d times: %v", id, len(rs), rs)
 		}
-		if owners := m.taken[id]; len(owners) > 0 && (rs[0].Kind != bbwire.Record_BILL || !owners[rs[0].Owner]) {
+		if owners := m.billedBy[id]; len(owners) > 0 && (rs[0].Kind != bbwire.Record_BILL || !owners[rs[0].Owner]) {
 			m.t.Fatalf("%s: taken from %v, stands %v", id, owners, rs[0])
 		}
 	}
 	for _, id := range []string{"c0", "c1"} {
-		m.checkFree(id)
+		m.checkClaimable(id)
 	}
 }
 
-// checkFree has the caller come once more with a request that never ran.
-func (m *machine) checkFree(id string) {
-	for _, t := range m.tries {
+// checkClaimable has the caller come once more with a request that never ran.
+func (m *model) checkClaimable(id string) {
+	for _, t := range m.attempts {
 		if t.rec.Request == id && (t.state == "sent" || t.state == "granted") {
 			return
 		}
 	}
-	t := m.newTry(id)
-	m.submit(m.cs[0], t)
+	t := m.newAttempt(id)
+	m.submit(m.committers[0], t)
 	m.settle()
 	if t.state != "granted" {
-		m.t.Fatalf("%s never ran and is refused: %v", id, m.standing()[id])
+		m.t.Fatalf("%s never ran and is refused: %v", id, m.records()[id])
 	}
 }
 
-// TestBookKeepsOnce checks that no fault of the service and no pause between
+// TestChainGrantsAndBillsOnce checks that no fault of the service and no pause between
 // any two calls makes a claim granted twice, a request billed twice, a bill
 // lost, or a request refused for ever that never ran.
-func TestBookKeepsOnce(t *testing.T) {
+func TestChainGrantsAndBillsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{
-			t: t, s: newService(), now: time.Unix(1e9, 0), tries: map[string]*try{},
-			ran: map[string]int{}, taken: map[string]map[string]bool{},
-			cs: []*committer{newCommitter(), newCommitter(), newCommitter()},
+		m := &model{
+			t: t, store: newFakeStore(), now: time.Unix(1e9, 0), attempts: map[string]*attempt{},
+			runs: map[string]int{}, billedBy: map[string]map[string]bool{},
+			committers: []*committer{newCommitter(), newCommitter(), newCommitter()},
 		}
 		request := rapid.SampledFrom([]string{"c0", "c1"})
 		advance := func(t *rapid.T) {
-			c := m.any("committer")
+			c := m.anyCommitter("committer")
 			if c.idle() {
 				t.Skip("idle")
 			}
-			how := fate(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(t, "fate"))
-			if err := c.advance(m.s, m.now, how); err != nil {
+			outcome := writeOutcome(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(t, "fate"))
+			if err := c.advance(m.store, m.now, outcome); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -378,222 +378,222 @@
 			"advance3": advance,
 			"advance4": advance,
 			"land": func(t *rapid.T) {
-				if len(m.s.flying) == 0 {
+				if len(m.store.inFlight) == 0 {
 					t.Skip("none under way")
 				}
-				i := rapid.IntRange(0, len(m.s.flying)-1).Draw(t, "write")
-				m.s.cas(m.s.flying[i])
-				m.s.flying = append(m.s.flying[:i], m.s.flying[i+1:]...)
+				i := rapid.IntRange(0, len(m.store.inFlight)-1).Draw(t, "write")
+				m.store.cas(m.store.inFlight[i])
+				m.store.inFlight = append(m.store.inFlight[:i], m.store.inFlight[i+1:]...)
 			},
-			"claim":  func(t *rapid.T) { m.submit(m.any("at"), m.newTry(request.Draw(t, "request"))) },
-			"resend": func(*rapid.T) { m.submit(m.any("at"), m.pick("pending")) },
+			"claim":  func(t *rapid.T) { m.submit(m.anyCommitter("at"), m.newAttempt(request.Draw(t, "request"))) },
+			"resend": func(*rapid.T) { m.submit(m.anyCommitter("at"), m.anyAttempt("pending")) },
 			"giveup": func(*rapid.T) {
-				t := m.pick("pending")
+				t := m.anyAttempt("pending")
 				t.state = "dead"
-				m.withdraw(m.any("at"), t.rec)
+				m.withdraw(m.anyCommitter("at"), t.rec)
 			},
 			"withdraw": func(*rapid.T) {
-				t := m.pick("granted")
+				t := m.anyAttempt("granted")
 				t.state = "dead"
-				m.withdraw(m.any("at"), t.rec)
+				m.withdraw(m.anyCommitter("at"), t.rec)
 			},
 			"send": func(*rapid.T) {
-				t := m.pick("granted")
+				t := m.anyAttempt("granted")
 				t.state = "sent"
-				m.ran[t.rec.Request]++
+				m.runs[t.rec.Request]++
 			},
-			"bill":    func(*rapid.T) { m.bill(m.pick("sent")) },
-			"unknown": func(*rapid.T) { m.unknown(m.pick("sent")) },
+			"bill":    func(*rapid.T) { m.bill(m.anyAttempt("sent")) },
+			"unknown": func(*rapid.T) { m.unknown(m.anyAttempt("sent")) },
 			"read": func(*rapid.T) {
-				try := m.newTry("i0") // idempotent: not claimed
-				try.state = "sent"
-				m.bill(try)
+				a := m.newAttempt("i0") // idempotent: not claimed
+				a.state = "sent"
+				m.bill(a)
 			},
 			"time": func(*rapid.T) { m.now = m.now.Add(time.Minute) },
 		})
 		m.settle()
 		m.check()
-		m.checkEnd()
+		m.checkFinal()
 	})
 }
 
-// run commits records at once and returns their verdicts.
-func run(c *committer, s *service, now time.Time, records ...*bbwire.Record) []bbwire.Verdict_Kind {
+// commitAll commits records at once and returns their verdicts.
+func commitAll(c *committer, store *fakeStore, now time.Time, records ...*bbwire.Record) []bbwire.Verdict_Kind {
 	var out []bbwire.Verdict_Kind
 	for _, r := range records {
-		c.queue = append(c.queue, &entry{r, func(v *bbwire.Verdict) { out = append(out, v.Kind) }})
+		c.queue = append(c.queue, &queuedRecord{r, func(v *bbwire.Verdict) { out = append(out, v.Kind) }})
 	}
 	for !c.idle() {
-		if err := c.advance(s, now, fateAnswered); err != nil {
+		if err := c.advance(store, now, outcomeAnswered); err != nil {
 			panic(err)
 		}
 	}
 	return out
 }
 
-func claimOf(id, owner string, now time.Time) *bbwire.Record {
+func newClaim(id, owner string, now time.Time) *bbwire.Record {
 	return &bbwire.Record{Account: "a", Request: id, Owner: owner, Made: now.UnixMilli()}
 }
 
-func TestBookSealsFullLeaves(t *testing.T) {
+func TestChainSealsFullLeaves(t *testing.T) {
 	is := is.New(t)
-	s, c, now := newService(), newCommitter(), time.Unix(1e9, 0)
+	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
 	for i := range 30 {
 		var rs []*bbwire.Record
 		for k := range 100 {
-			r := claimOf(fmt.Sprintf("r%d-%d", i, k), "i#1/1", now)
+			r := newClaim(fmt.Sprintf("r%d-%d", i, k), "i#1/1", now)
 			r.Service = fmt.Sprintf("%0100d", 0)
 			rs = append(rs, r)
 		}
-		for _, v := range run(c, s, now, rs...) {
+		for _, v := range commitAll(c, store, now, rs...) {
 			is.Equal(v, bbwire.Verdict_TAKEN)
 		}
 	}
-	is.True(len(s.cells) >= 3)
-	for _, cell := range s.cells {
-		is.True(len(cell.value) < 2*leafFull)
+	is.True(len(store.cells) >= 3)
+	for _, cell := range store.cells {
+		is.True(len(cell.value) < 2*sealLeafBytes)
 	}
 	for _, other := range []*committer{c, newCommitter()} {
-		is.Equal(run(other, s, now, claimOf("r0-0", "i#1/2", now))[0], bbwire.Verdict_CONFLICT)
-		is.Equal(run(other, s, now, claimOf("r29-99", "i#1/2", now))[0], bbwire.Verdict_CONFLICT)
+		is.Equal(commitAll(other, store, now, newClaim("r0-0", "i#1/2", now))[0], bbwire.Verdict_CONFLICT)
+		is.Equal(commitAll(other, store, now, newClaim("r29-99", "i#1/2", now))[0], bbwire.Verdict_CONFLICT)
 	}
-	bill := claimOf("r0-0", "i#1/1", now)
+	bill := newClaim("r0-0", "i#1/1", now)
 	bill.Kind, bill.Amount = bbwire.Record_BILL, 3
-	is.Equal(run(newCommitter(), s, now, bill)[0], bbwire.Verdict_TAKEN)
-	is.Equal(run(c, s, now, claimOf("r0-0", "i#1/2", now))[0], bbwire.Verdict_CONFLICT)
+	is.Equal(commitAll(newCommitter(), store, now, bill)[0], bbwire.Verdict_TAKEN)
+	is.Equal(commitAll(c, store, now, newClaim("r0-0", "i#1/2", now))[0], bbwire.Verdict_CONFLICT)
 }
 
-func TestBookRefusesMoreThanALeafHolds(t *testing.T) {
+func TestChainDefersRecordsBeyondMaxLeaf(t *testing.T) {
 	is := is.New(t)
-	s, c, now := newService(), newCommitter(), time.Unix(1e9, 0)
-	c.book.Begin(now)
-	is.NoErr(c.book.Load(nil))
+	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
+	c.chain.Begin(now)
+	is.NoErr(c.chain.Load(nil))
 	var rs []*bbwire.Record
 	for k := range 6000 {
-		r := claimOf(fmt.Sprint("r", k), "i#1/1", now)
+		r := newClaim(fmt.Sprint("r", k), "i#1/1", now)
 		r.Service = fmt.Sprintf("%0100d", 0)
 		rs = append(rs, r)
 	}
-	p := c.book.Plan(rs, now)
-	is.True(len(p.Writes[0].Value) <= leafMost)
+	p := c.chain.Plan(rs, now)
+	is.True(len(p.Writes[0].Value) <= maxLeafBytes)
 	is.Equal(p.Verdicts[0].Kind, bbwire.Verdict_TAKEN)
 	is.Equal(p.Verdicts[5999].Kind, bbwire.Verdict_RETRY)
-	is.Equal(len(run(c, s, now, rs...)), 6000) // the rest comes again
+	is.Equal(len(commitAll(c, store, now, rs...)), 6000) // the rest comes again
 }
 
-func TestBookForgetsAfterTheRetention(t *testing.T) {
+func TestChainExpiresAfterRetention(t *testing.T) {
 	is := is.New(t)
-	s, c, now := newService(), newCommitter(), time.Unix(1e9, 0)
-	is.Equal(run(c, s, now, claimOf("r", "i#1/1", now))[0], bbwire.Verdict_TAKEN)
+	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
+	is.Equal(commitAll(c, store, now, newClaim("r", "i#1/1", now))[0], bbwire.Verdict_TAKEN)
 	now = now.Add(10 * time.Minute)
-	run(c, s, now, claimOf("next", "i#1/2", now)) // seals the old leaf
+	commitAll(c, store, now, newClaim("next", "i#1/2", now)) // seals the old leaf
 	now = now.Add(55 * time.Minute)
-	c.book.Begin(now)
-	is.Equal(len(c.book.Expired(now, 9)), 0)
-	is.Equal(run(c, s, now, claimOf("r", "i#1/3", now))[0], bbwire.Verdict_CONFLICT)
+	c.chain.Begin(now)
+	is.Equal(len(c.chain.Expired(now, 9)), 0)
+	is.Equal(commitAll(c, store, now, newClaim("r", "i#1/3", now))[0], bbwire.Verdict_CONFLICT)
 	now = now.Add(20 * time.Minute)
-	ws := c.book.Expired(now, 9)
+	ws := c.chain.Expired(now, 9)
 	is.Equal(len(ws), 1)
-	rev, ok := s.cas(ws[0])
+	rev, ok := store.cas(ws[0])
 	is.True(ok)
-	c.book.OnWritten(ws[0], rev)
-	is.Equal(run(c, s, now, claimOf("r", "i#1/4", now))[0], bbwire.Verdict_TAKEN)
+	c.chain.OnWritten(ws[0], rev)
+	is.Equal(commitAll(c, store, now, newClaim("r", "i#1/4", now))[0], bbwire.Verdict_TAKEN)
 
 	id := uuid.Must(uuid.NewV7()).String()
 	made, ok := RequestIDTime(id)
 	is.True(ok)
-	is.Equal(run(c, s, made.Add(2*time.Hour), claimOf(id, "i#1/5", now))[0], bbwire.Verdict_LATE)
-	bill := claimOf("b", "i#1/6", now)
+	is.Equal(commitAll(c, store, made.Add(2*time.Hour), newClaim(id, "i#1/5", now))[0], bbwire.Verdict_LATE)
+	bill := newClaim("b", "i#1/6", now)
 	bill.Kind = bbwire.Record_BILL
-	is.Equal(run(c, s, now.Add(2*time.Hour), bill)[0], bbwire.Verdict_LATE)
+	is.Equal(commitAll(c, store, now.Add(2*time.Hour), bill)[0], bbwire.Verdict_LATE)
 }
 
-// TestBookSeesWhatOthersDid has one committer change what another has cached, in
+// TestChainSeesConcurrentChanges has one committer change what another has cached, in
 // the head and in a sealed leaf.
-func TestBookSeesWhatOthersDid(t *testing.T) {
+func TestChainSeesConcurrentChanges(t *testing.T) {
 	for _, sealed := range []bool{false, true} {
 		is := is.New(t)
-		s, a, b, now := newService(), newCommitter(), newCommitter(), time.Unix(1e9, 0)
-		first, second := claimOf("r", "i#1/1", now), claimOf("r", "i#1/2", now)
-		run(a, s, now, claimOf("other", "i#1/9", now))
-		is.Equal(run(b, s, now, first)[0], bbwire.Verdict_TAKEN)
+		store, a, b, now := newFakeStore(), newCommitter(), newCommitter(), time.Unix(1e9, 0)
+		first, second := newClaim("r", "i#1/1", now), newClaim("r", "i#1/2", now)
+		commitAll(a, store, now, newClaim("other", "i#1/9", now))
+		is.Equal(commitAll(b, store, now, first)[0], bbwire.Verdict_TAKEN)
 		if sealed {
 			now = now.Add(10 * time.Minute)
-			run(b, s, now, claimOf("seal", "i#1/8", now))
+			commitAll(b, store, now, newClaim("seal", "i#1/8", now))
 		}
-		is.Equal(run(a, s, now, second)[0], bbwire.Verdict_CONFLICT)
-		is.Equal(run(b, s, now, withdrawalOf(first))[0], bbwire.Verdict_TAKEN)
-		is.Equal(run(a, s, now, second)[0], bbwire.Verdict_TAKEN)
-		is.Equal(run(b, s, now, withdrawalOf(second))[0], bbwire.Verdict_TAKEN)
-		is.Equal(run(a, s, now, first)[0], bbwire.Verdict_TAKEN)
+		is.Equal(commitAll(a, store, now, second)[0], bbwire.Verdict_CONFLICT)
+		is.Equal(commitAll(b, store, now, newWithdrawal(first))[0], bbwire.Verdict_TAKEN)
+		is.Equal(commitAll(a, store, now, second)[0], bbwire.Verdict_TAKEN)
+		is.Equal(commitAll(b, store, now, newWithdrawal(second))[0], bbwire.Verdict_TAKEN)
+		is.Equal(commitAll(a, store, now, first)[0], bbwire.Verdict_TAKEN)
 	}
 }
 
-// TestWithdrawalOutlivesALateWrite gives up a claim whose write is under way: it
+// TestWithdrawalBlocksDelayedClaim gives up a claim whose write is under way: it
 // must not land once the withdrawal is through.
-func TestWithdrawalOutlivesALateWrite(t *testing.T) {
+func TestWithdrawalBlocksDelayedClaim(t *testing.T) {
 	is := is.New(t)
-	s, c, now := newService(), newCommitter(), time.Unix(1e9, 0)
-	claim := claimOf("r", "i#1/1", now)
-	c.queue = []*entry{{claim, func(*bbwire.Verdict) {}}}
-	for len(s.flying) == 0 {
-		is.NoErr(c.advance(s, now, fateLate))
+	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
+	claim := newClaim("r", "i#1/1", now)
+	c.queue = []*queuedRecord{{claim, func(*bbwire.Verdict) {}}}
+	for len(store.inFlight) == 0 {
+		is.NoErr(c.advance(store, now, outcomeDelayed))
 	}
 	c.queue, c.plan = nil, nil // dropped
-	run(c, s, now, withdrawalOf(claim))
-	_, landed := s.cas(s.flying[0])
+	commitAll(c, store, now, newWithdrawal(claim))
+	_, landed := store.cas(store.inFlight[0])
 	is.True(!landed)
-	is.Equal(run(newCommitter(), s, now, claimOf("r", "i#1/2", now))[0], bbwire.Verdict_TAKEN)
+	is.Equal(commitAll(newCommitter(), store, now, newClaim("r", "i#1/2", now))[0], bbwire.Verdict_TAKEN)
 }
 
-func withdrawalOf(r *bbwire.Record) *bbwire.Record {
+func newWithdrawal(r *bbwire.Record) *bbwire.Record {
 	w := Copy(r)
 	w.Kind = bbwire.Record_WITHDRAWN
 	return w
 }
 
-// TestBookIgnoresALateCreation lands the creation of a leaf whose number was
+// TestChainIgnoresDelayedCreation lands the creation of a leaf whose number was
 // used, sealed and deleted meanwhile.
-func TestBookIgnoresALateCreation(t *testing.T) {
+func TestChainIgnoresDelayedCreation(t *testing.T) {
 	is := is.New(t)
-	s, c, now := newService(), newCommitter(), time.Unix(1e9, 0)
-	late := newCommitter()
-	late.book.Begin(now)
-	is.NoErr(late.book.Load(nil))
-	w := late.book.Plan([]*bbwire.Record{claimOf("ghost", "i#1/9", now)}, now).Writes[0]
-	run(c, s, now, claimOf("r", "i#1/1", now))
+	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
+	delayed := newCommitter()
+	delayed.chain.Begin(now)
+	is.NoErr(delayed.chain.Load(nil))
+	w := delayed.chain.Plan([]*bbwire.Record{newClaim("ghost", "i#1/9", now)}, now).Writes[0]
+	commitAll(c, store, now, newClaim("r", "i#1/1", now))
 	now = now.Add(10 * time.Minute)
-	run(c, s, now, claimOf("r2", "i#1/2", now))
-	run(c, s, now, claimOf("r3", "i#1/3", now))
-	delete(s.cells, w.Key)
-	_, ok := s.cas(w)
+	commitAll(c, store, now, newClaim("r2", "i#1/2", now))
+	commitAll(c, store, now, newClaim("r3", "i#1/3", now))
+	delete(store.cells, w.Key)
+	_, ok := store.cas(w)
 	is.True(ok)
-	is.Equal(run(newCommitter(), s, now, claimOf("ghost", "i#1/4", now))[0], bbwire.Verdict_TAKEN)
-	is.Equal(run(newCommitter(), s, now, claimOf("r3", "i#1/5", now))[0], bbwire.Verdict_CONFLICT)
+	is.Equal(commitAll(newCommitter(), store, now, newClaim("ghost", "i#1/4", now))[0], bbwire.Verdict_TAKEN)
+	is.Equal(commitAll(newCommitter(), store, now, newClaim("r3", "i#1/5", now))[0], bbwire.Verdict_CONFLICT)
 }
 
-// TestBookListsAnewAfterALongRest has a committer rest, with sweeps, while the
+// TestChainRelistsAfterIdleTime has a committer rest, with sweeps, while the
 // leaf that it would create comes and goes.
-func TestBookListsAnewAfterALongRest(t *testing.T) {
+func TestChainRelistsAfterIdleTime(t *testing.T) {
 	is := is.New(t)
-	s, c, now := newService(), newCommitter(), time.Unix(1e9, 0)
-	run(c, s, now, claimOf("r1", "i#1/1", now))
+	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
+	commitAll(c, store, now, newClaim("r1", "i#1/1", now))
 	now = now.Add(10 * time.Minute)
-	run(c, s, now, claimOf("r2", "i#1/2", now)) // seals 1, 2 would be next
+	commitAll(c, store, now, newClaim("r2", "i#1/2", now)) // seals 1, 2 would be next
 	other := newCommitter()
 	for i := range 20 {
 		now = now.Add(10 * time.Minute)
-		run(other, s, now, claimOf(fmt.Sprint("o", i), "i#1/3", now))
-		for _, w := range other.book.Expired(now, 9) {
-			rev, ok := s.cas(w)
+		commitAll(other, store, now, newClaim(fmt.Sprint("o", i), "i#1/3", now))
+		for _, w := range other.chain.Expired(now, 9) {
+			rev, ok := store.cas(w)
 			is.True(ok)
-			other.book.OnWritten(w, rev)
+			other.chain.OnWritten(w, rev)
 		}
-		c.book.Begin(now) // a sweep
+		c.chain.Begin(now) // a sweep
 	}
-	_, kept := s.cells[c.book.Key(2)]
+	_, kept := store.cells[c.chain.Key(2)]
 	is.True(!kept)
-	is.Equal(run(c, s, now, claimOf("o19", "i#1/4", now))[0], bbwire.Verdict_CONFLICT)
+	is.Equal(commitAll(c, store, now, newClaim("o19", "i#1/4", now))[0], bbwire.Verdict_CONFLICT)
 }
 
 func TestRecordCheck(t *testing.T) {
@@ -626,16 +626,16 @@
 
 func BenchmarkPlan(b *testing.B) {
 	now := time.Unix(1e9, 0)
-	book := &ChainCache{Partition: 1, Retention: time.Hour}
+	chain := &ChainCache{Partition: 1, Retention: time.Hour}
 	v := &bbwire.Leaf{Made: now.UnixMilli()}
 	for i := range 500 {
-		v.Records = append(v.Records, claimOf(fmt.Sprint("r", i), "i#1/1", now))
+		v.Records = append(v.Records, newClaim(fmt.Sprint("r", i), "i#1/1", now))
 	}
 	value, _ := proto.Marshal(v)
-	book.Begin(now)
-	_ = book.Load([]bbstore.Entry{{Key: book.Key(1), Value: value, Rev: 1}})
-	rs := []*bbwire.Record{claimOf("new", "i#1/2", now)}
+	chain.Begin(now)
+	_ = chain.Load([]bbstore.Entry{{Key: chain.Key(1), Value: value, Rev: 1}})
+	rs := []*bbwire.Record{newClaim("new", "i#1/2", now)}
 	for b.Loop() {
-		book.Plan(rs, now)
+		chain.Plan(rs, now)
 	}
 }
--- a/shared/bbjournal/plan.go
+++ b/shared/bbjournal/plan.go
@@ -21,138 +21,138 @@
 	Verdicts []*bbwire.Verdict
 }
 
-// work is a plan in the making: changes on top of what the book knows.
-type work struct {
+// planner is a plan in the making: changes on top of what the book knows.
+type planner struct {
 	*ChainCache
-	now     time.Time
-	changes map[LeafNumber]map[string]*bbwire.Record // nil: removed
-	place   map[string]LeafNumber
-	order   []string // new requests of the head, as they came
-	need    map[LeafNumber]bool
-	size    int
+	now       time.Time
+	changes   map[LeafNumber]map[string]*bbwire.Record // nil: removed
+	leafOf    map[string]LeafNumber
+	newKeys   []string // new requests of the head, as they came
+	reads     map[LeafNumber]bool
+	headBytes int
 }
 
 // Plan decides what becomes of the records. The verdicts are final only when
 // nothing is left to load, to read or to write.
-func (b *ChainCache) Plan(records []*bbwire.Record, now time.Time) *Plan {
-	p := &Plan{}
-	if !b.loaded {
-		p.NeedsListing = true
-		return p
+func (c *ChainCache) Plan(records []*bbwire.Record, now time.Time) *Plan {
+	plan := &Plan{}
+	if !c.loaded {
+		plan.NeedsListing = true
+		return plan
 	}
-	w := &work{
-		ChainCache: b, now: now, need: map[LeafNumber]bool{},
-		changes: map[LeafNumber]map[string]*bbwire.Record{}, place: map[string]LeafNumber{},
-		size: proto.Size(b.head.value),
+	p := &planner{
+		ChainCache: c, now: now, reads: map[LeafNumber]bool{},
+		changes: map[LeafNumber]map[string]*bbwire.Record{}, leafOf: map[string]LeafNumber{},
+		headBytes: proto.Size(c.head.value),
 	}
-	if b.head.stale {
-		w.need[b.head.number] = true
+	if c.head.stale {
+		p.reads[c.head.number] = true
 	}
 	for _, r := range records {
-		p.Verdicts = append(p.Verdicts, w.apply(r))
+		plan.Verdicts = append(plan.Verdicts, p.planRecord(r))
 	}
-	if len(w.need) == 0 {
-		p.Writes = w.writes()
+	if len(p.reads) == 0 {
+		plan.Writes = p.buildWrites()
 	}
-	for n := range w.need {
-		p.Reads = append(p.Reads, n)
+	for n := range p.reads {
+		plan.Reads = append(plan.Reads, n)
 	}
-	sort.Slice(p.Reads, func(i, j int) bool { return p.Reads[i] < p.Reads[j] })
-	return p
+	sort.Slice(plan.Reads, func(i, j int) bool { return plan.Reads[i] < plan.Reads[j] })
+	return plan
 }
 
-func (w *work) apply(r *bbwire.Record) *bbwire.Verdict {
+func (p *planner) planRecord(r *bbwire.Record) *bbwire.Verdict {
 	key := keyOf(r)
-	s, at := w.find(key)
-	if s == nil && w.late(r) {
+	existing, number := p.lookup(key)
+	if existing == nil && p.expired(r) {
 		return &bbwire.Verdict{Kind: bbwire.Verdict_LATE}
 	}
-	kind, next := decide(s, r)
-	if next == s {
+	kind, next := decide(existing, r)
+	if next == existing {
 		if kind != bbwire.Verdict_TAKEN || r.Kind == bbwire.Record_WITHDRAWN {
-			w.refresh() // a refusal never rests on what was read earlier
+			p.requireFreshHead() // a refusal never rests on what was read earlier
 		}
-		return &bbwire.Verdict{Kind: kind, Record: s}
+		return &bbwire.Verdict{Kind: kind, Record: existing}
 	}
-	if s == nil {
-		w.size += proto.Size(r) + 4
-		if w.size > leafMost {
+	if existing == nil {
+		p.headBytes += proto.Size(r) + 4
+		if p.headBytes > maxLeafBytes {
 			return &bbwire.Verdict{Kind: bbwire.Verdict_RETRY}
 		}
-		at = w.head.number
+		number = p.head.number
 	}
-	w.set(at, key, next)
+	p.setRecord(number, key, next)
 	return &bbwire.Verdict{Kind: kind}
 }
 
-// refresh has the head read, unless it was read in this commit.
-func (w *work) refresh() {
-	if !w.head.fresh {
-		w.need[w.head.number] = true
+// requireFreshHead has the head read, unless it was read in this commit.
+func (p *planner) requireFreshHead() {
+	if !p.head.fresh {
+		p.reads[p.head.number] = true
 	}
 }
 
-// find returns the record that stands for the key and its leaf.
-func (w *work) find(key string) (*bbwire.Record, LeafNumber) {
-	if n, ok := w.place[key]; ok {
-		return w.changes[n][key], n
+// lookup returns the record that stands for the key and its leaf.
+func (p *planner) lookup(key string) (*bbwire.Record, LeafNumber) {
+	if n, ok := p.leafOf[key]; ok {
+		return p.changes[n][key], n
 	}
-	if r, ok := w.head.index[key]; ok {
-		return r, w.head.number
+	if r, ok := p.head.index[key]; ok {
+		return r, p.head.number
 	}
-	n, ok := w.sealed[w.hash(key)]
+	n, ok := p.sealedRecords[p.hash(key)]
 	if !ok {
 		return nil, 0
 	}
-	l, ok := w.open[n]
+	l, ok := p.readLeaves[n]
 	if !ok {
-		w.need[n] = true
+		p.reads[n] = true
 		return nil, n
 	}
 	return l.index[key], n
 }
 
-func (w *work) set(n LeafNumber, key string, r *bbwire.Record) {
-	if w.changes[n] == nil {
-		w.changes[n] = map[string]*bbwire.Record{}
+func (p *planner) setRecord(n LeafNumber, key string, r *bbwire.Record) {
+	if p.changes[n] == nil {
+		p.changes[n] = map[string]*bbwire.Record{}
 	}
-	if _, ok := w.changes[n][key]; !ok && n == w.head.number && w.head.index[key] == nil {
-		w.order = append(w.order, key)
+	if _, ok := p.changes[n][key]; !ok && n == p.head.number && p.head.index[key] == nil {
+		p.newKeys = append(p.newKeys, key)
 	}
-	w.changes[n][key] = r
-	w.place[key] = n
+	p.changes[n][key] = r
+	p.leafOf[key] = n
 }
 
-// late tells whether the request may have stood in a leaf that is deleted.
-func (w *work) late(r *bbwire.Record) bool {
-	limit := w.now.Add(-w.Retention)
+// expired tells whether the request may have stood in a leaf that is deleted.
+func (p *planner) expired(r *bbwire.Record) bool {
+	cutoff := p.now.Add(-p.Retention)
 	switch r.Kind {
 	case bbwire.Record_CLAIM:
 		made, ok := RequestIDTime(r.Request)
-		return ok && made.Before(limit)
+		return ok && made.Before(cutoff)
 	case bbwire.Record_BILL, bbwire.Record_UNKNOWN:
-		return r.Made < limit.UnixMilli()
+		return r.Made < cutoff.UnixMilli()
 	}
 	return false
 }
 
-// writes turns the changes into writes, the head last: what goes from a sealed
+// buildWrites turns the changes into writes, the head last: what goes from a sealed
 // leaf has gone before the head takes it in again.
-func (w *work) writes() []Write {
+func (p *planner) buildWrites() []Write {
 	var out []Write
-	for n := range w.changes {
-		if n != w.head.number {
-			out = append(out, w.write(w.open[n], w.changes[n], nil))
+	for n := range p.changes {
+		if n != p.head.number {
+			out = append(out, p.buildWrite(p.readLeaves[n], p.changes[n], nil))
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Number < out[j].Number })
-	if len(w.changes[w.head.number]) > 0 || w.head.doubt {
-		out = append(out, w.write(&w.head, w.changes[w.head.number], w.order))
+	if len(p.changes[p.head.number]) > 0 || p.head.unknownWrite {
+		out = append(out, p.buildWrite(&p.head, p.changes[p.head.number], p.newKeys))
 	}
 	return out
 }
 
-func (w *work) write(l *leaf, changes map[string]*bbwire.Record, order []string) Write {
+func (p *planner) buildWrite(l *leaf, changes map[string]*bbwire.Record, newKeys []string) Write {
 	v := &bbwire.Leaf{Sealed: l.value.Sealed, Made: l.value.Made, Sealedat: l.value.Sealedat}
 	for _, r := range l.value.Records {
 		if next, ok := changes[keyOf(r)]; ok {
@@ -162,24 +162,24 @@
 			v.Records = append(v.Records, r)
 		}
 	}
-	for _, key := range order {
+	for _, key := range newKeys {
 		if r := changes[key]; r != nil {
 			v.Records = append(v.Records, r)
 		}
 	}
-	w.close(v)
+	p.sealIfDue(v)
 	value, _ := proto.Marshal(v) // fails only for text that is not UTF-8, which Check refuses
-	return Write{Number: l.number, Key: w.Key(l.number), Value: value, Prev: l.rev, leaf: v}
+	return Write{Number: l.number, Key: p.Key(l.number), Value: value, Prev: l.rev, leaf: v}
 }
 
-// close seals a leaf that is full or old.
-func (w *work) close(v *bbwire.Leaf) {
-	now := w.now.UnixMilli()
+// sealIfDue seals a leaf that is full or old.
+func (p *planner) sealIfDue(v *bbwire.Leaf) {
+	now := p.now.UnixMilli()
 	if v.Made == 0 {
 		v.Made = now
 	}
-	old := now-v.Made > (w.Retention / leavesKept).Milliseconds()
-	if !v.Sealed && (old || proto.Size(v) > leafFull) {
+	aged := now-v.Made > (p.Retention / minLeavesPerRetention).Milliseconds()
+	if !v.Sealed && (aged || proto.Size(v) > sealLeafBytes) {
 		v.Sealed, v.Sealedat = true, now
 	}
 }
--- a/shared/bbjournal/query.go
+++ b/shared/bbjournal/query.go
@@ -62,11 +62,11 @@
 			}
 		}
 	}
-	sort.SliceStable(out, func(i, j int) bool { return before(out[i], out[j]) })
+	sort.SliceStable(out, func(i, j int) bool { return recordLess(out[i], out[j]) })
 	return out, nil
 }
 
-func before(a, b *bbwire.Record) bool {
+func recordLess(a, b *bbwire.Record) bool {
 	switch {
 	case a.Made != b.Made:
 		return a.Made < b.Made
@@ -92,27 +92,27 @@
 
 // Totals sums records up for each account, in the order of their names.
 func Totals(records []*bbwire.Record) []Total {
-	by := map[string]*Total{}
+	totals := map[string]*Total{}
 	for _, r := range records {
-		t := by[r.Account]
-		if t == nil {
-			t = &Total{Account: bbunit.AccountID(r.Account)}
-			by[r.Account] = t
+		total := totals[r.Account]
+		if total == nil {
+			total = &Total{Account: bbunit.AccountID(r.Account)}
+			totals[r.Account] = total
 		}
 		switch r.Kind {
 		case bbwire.Record_BILL:
-			t.Bills++
-			t.Amount += bbunit.Tokens(r.Amount)
+			total.Bills++
+			total.Amount += bbunit.Tokens(r.Amount)
 		case bbwire.Record_UNKNOWN:
-			t.Unknown++
-			t.Held += bbunit.Tokens(r.Amount)
+			total.Unknown++
+			total.Held += bbunit.Tokens(r.Amount)
 		case bbwire.Record_CLAIM:
-			t.Claims++
+			total.Claims++
 		}
 	}
-	out := make([]Total, 0, len(by))
-	for _, t := range by {
-		out = append(out, *t)
+	out := make([]Total, 0, len(totals))
+	for _, total := range totals {
+		out = append(out, *total)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Account < out[j].Account })
 	return out
--- a/shared/bbjournal/query_test.go
+++ b/shared/bbjournal/query_test.go
@@ -13,28 +13,28 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// put commits a record to a store, in its partition.
-func put(t *testing.T, m *bbstore.Mem, r *bbwire.Record, now time.Time) {
+// commitRecord commits a record to a store, in its partition.
+func commitRecord(t *testing.T, store *bbstore.Mem, r *bbwire.Record, now time.Time) {
 	t.Helper()
-	b := &ChainCache{Partition: PartitionOf(r.Account, r.Request), Retention: time.Hour}
-	b.Begin(now)
-	es, _, err := m.List(context.Background(), b.Partition.Prefix())
+	chain := &ChainCache{Partition: PartitionOf(r.Account, r.Request), Retention: time.Hour}
+	chain.Begin(now)
+	es, _, err := store.List(context.Background(), chain.Partition.Prefix())
 	if err == nil {
-		err = b.Load(es)
+		err = chain.Load(es)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, w := range b.Plan([]*bbwire.Record{r}, now).Writes {
-		if _, err := m.CAS(context.Background(), w.Key, w.Value, w.Prev, 0); err != nil {
+	for _, w := range chain.Plan([]*bbwire.Record{r}, now).Writes {
+		if _, err := store.CAS(context.Background(), w.Key, w.Value, w.Prev, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func TestBillsAndTotals(t *testing.T) {
+func TestListRecordsAndTotals(t *testing.T) {
 	is := is.New(t)
-	m, now := bbstore.NewMem(), time.Unix(1e9, 0)
+	store, now := bbstore.NewMem(), time.Unix(1e9, 0)
 	for i := range 30 {
 		kind := bbwire.Record_BILL
 		switch i % 10 {
@@ -43,12 +43,12 @@
 		case 1:
 			kind = bbwire.Record_CLAIM
 		}
-		put(t, m, &bbwire.Record{
+		commitRecord(t, store, &bbwire.Record{
 			Kind: kind, Account: fmt.Sprint("acc", i%3), Request: fmt.Sprint("r", i),
 			Amount: int64(i), Made: now.UnixMilli() + int64(i),
 		}, now)
 	}
-	all, err := ListRecords(context.Background(), m, Filter{})
+	all, err := ListRecords(context.Background(), store, Filter{})
 	is.NoErr(err)
 	is.Equal(len(all), 30)
 	for i, r := range all {
@@ -59,14 +59,14 @@
 		{Account: "acc1", Bills: 8, Amount: 4 + 7 + 13 + 16 + 19 + 22 + 25 + 28, Unknown: 1, Held: 10, Claims: 1},
 		{Account: "acc2", Bills: 8, Amount: 2 + 5 + 8 + 14 + 17 + 23 + 26 + 29, Unknown: 1, Held: 20, Claims: 1},
 	})
-	one, err := ListRecords(context.Background(), m, Filter{Account: "acc1", Request: "r4"})
+	one, err := ListRecords(context.Background(), store, Filter{Account: "acc1", Request: "r4"})
 	is.NoErr(err)
 	is.Equal(len(one), 1)
-	is.Equal(m.Counts().Reads, int64(30+Partitions+1))
-	unknown, err := ListRecords(context.Background(), m, Filter{Unknown: true})
+	is.Equal(store.Counts().Reads, int64(30+Partitions+1))
+	unknown, err := ListRecords(context.Background(), store, Filter{Unknown: true})
 	is.NoErr(err)
 	is.Equal(len(unknown), 6)
-	m.SetFaults(bbstore.Faults{Down: true})
-	_, err = ListRecords(context.Background(), m, Filter{})
+	store.SetFaults(bbstore.Faults{Down: true})
+	_, err = ListRecords(context.Background(), store, Filter{})
 	is.True(errors.Is(err, bbstore.ErrDown))
 }
--- a/shared/bbjournal/record.go
+++ b/shared/bbjournal/record.go
@@ -66,19 +66,19 @@
 
 // ParseOwner reads the form that String returns, or ErrRecord.
 func ParseOwner(s string) (Owner, error) {
-	hash, slash := strings.LastIndexByte(s, '#'), strings.LastIndexByte(s, '/')
-	if hash <= 0 || slash < hash {
+	hashAt, slashAt := strings.LastIndexByte(s, '#'), strings.LastIndexByte(s, '/')
+	if hashAt <= 0 || slashAt < hashAt {
 		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrInvalidRecord)
 	}
-	inc, err := strconv.ParseUint(s[hash+1:slash], 36, 64)
+	inc, err := strconv.ParseUint(s[hashAt+1:slashAt], 36, 64)
 	if err != nil {
 		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrInvalidRecord)
 	}
-	seq, err := strconv.ParseUint(s[slash+1:], 36, 64)
+	seq, err := strconv.ParseUint(s[slashAt+1:], 36, 64)
 	if err != nil {
 		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrInvalidRecord)
 	}
-	return Owner{Instance: bbunit.InstanceID(s[:hash]), Inc: bbunit.Incarnation(inc), Seq: seq}, nil
+	return Owner{Instance: bbunit.InstanceID(s[:hashAt]), Inc: bbunit.Incarnation(inc), Seq: seq}, nil
 }
 
 // Check returns ErrRecord when r is malformed: a name missing or too long, or a
--- a/shared/bbjournal/rule.go
+++ b/shared/bbjournal/rule.go
@@ -5,23 +5,23 @@
 // decide returns what becomes of r when s stands (nil: nothing does), and what
 // stands afterwards. An owner's repeated record changes nothing and is taken
 // again, so that a lost answer is resolved by sending the record once more.
-func decide(s, r *bbwire.Record) (bbwire.Verdict_Kind, *bbwire.Record) {
-	if s == nil {
+func decide(existing, r *bbwire.Record) (bbwire.Verdict_Kind, *bbwire.Record) {
+	if existing == nil {
 		return decideNew(r)
 	}
 	switch r.Kind {
 	case bbwire.Record_CLAIM:
-		return decideClaim(s, r), s
+		return decideClaim(existing, r), existing
 	case bbwire.Record_BILL:
-		return decideBill(s, r)
+		return decideBill(existing, r)
 	case bbwire.Record_UNKNOWN:
-		return decideUnknown(s, r)
+		return decideUnknown(existing, r)
 	case bbwire.Record_WITHDRAWN:
-		if s.Kind == bbwire.Record_CLAIM && s.Owner == r.Owner {
+		if existing.Kind == bbwire.Record_CLAIM && existing.Owner == r.Owner {
 			return bbwire.Verdict_TAKEN, nil
 		}
 	}
-	return bbwire.Verdict_CONFLICT, s
+	return bbwire.Verdict_CONFLICT, existing
 }
 
 func decideNew(r *bbwire.Record) (bbwire.Verdict_Kind, *bbwire.Record) {
@@ -32,36 +32,36 @@
 	return bbwire.Verdict_TAKEN, nil
 }
 
-func decideClaim(s, r *bbwire.Record) bbwire.Verdict_Kind {
+func decideClaim(existing, r *bbwire.Record) bbwire.Verdict_Kind {
 	switch {
-	case s.Print != r.Print:
+	case existing.Print != r.Print:
 		return bbwire.Verdict_MISMATCH
-	case s.Kind == bbwire.Record_CLAIM && s.Owner == r.Owner:
+	case existing.Kind == bbwire.Record_CLAIM && existing.Owner == r.Owner:
 		return bbwire.Verdict_TAKEN
 	}
 	return bbwire.Verdict_CONFLICT
 }
 
-func decideBill(s, r *bbwire.Record) (bbwire.Verdict_Kind, *bbwire.Record) {
+func decideBill(existing, r *bbwire.Record) (bbwire.Verdict_Kind, *bbwire.Record) {
 	switch {
-	case s.Print != r.Print:
-		return bbwire.Verdict_MISMATCH, s
-	case s.Kind != bbwire.Record_BILL:
+	case existing.Print != r.Print:
+		return bbwire.Verdict_MISMATCH, existing
+	case existing.Kind != bbwire.Record_BILL:
 		return bbwire.Verdict_TAKEN, r
-	case s.Owner == r.Owner && s.Amount == r.Amount:
-		return bbwire.Verdict_TAKEN, s
+	case existing.Owner == r.Owner && existing.Amount == r.Amount:
+		return bbwire.Verdict_TAKEN, existing
 	}
-	return bbwire.Verdict_REPEATED, s
+	return bbwire.Verdict_REPEATED, existing
 }
 
 // decideUnknown takes UNKNOWN only from the owner that stands; its own bill goes
 // before it and is not a repetition.
-func decideUnknown(s, r *bbwire.Record) (bbwire.Verdict_Kind, *bbwire.Record) {
+func decideUnknown(existing, r *bbwire.Record) (bbwire.Verdict_Kind, *bbwire.Record) {
 	switch {
-	case s.Owner != r.Owner:
-		return bbwire.Verdict_REPEATED, s
-	case s.Kind == bbwire.Record_CLAIM:
+	case existing.Owner != r.Owner:
+		return bbwire.Verdict_REPEATED, existing
+	case existing.Kind == bbwire.Record_CLAIM:
 		return bbwire.Verdict_TAKEN, r
 	}
-	return bbwire.Verdict_TAKEN, s
+	return bbwire.Verdict_TAKEN, existing
 }
--- a/shared/bbjournal/rule_test.go
+++ b/shared/bbjournal/rule_test.go
@@ -16,12 +16,12 @@
 	kinds := []bbwire.Record_Kind{
 		bbwire.Record_CLAIM, bbwire.Record_BILL, bbwire.Record_UNKNOWN, bbwire.Record_WITHDRAWN,
 	}
-	standing := []*bbwire.Record{nil}
+	existing := []*bbwire.Record{nil}
 	for _, k := range kinds[:3] {
-		standing = append(standing, &bbwire.Record{Kind: k, Owner: "o1", Print: 1, Amount: 5})
+		existing = append(existing, &bbwire.Record{Kind: k, Owner: "o1", Print: 1, Amount: 5})
 	}
 	var sb strings.Builder
-	for _, s := range standing {
+	for _, s := range existing {
 		for _, k := range kinds {
 			for _, r := range []*bbwire.Record{
 				{Kind: k, Owner: "o1", Print: 1, Amount: 5},
--- a/shared/bbmember/fleet.go
+++ b/shared/bbmember/fleet.go
@@ -51,50 +51,50 @@
 // Fleet decides who is live. It has no clock, random source or goroutine of
 // its own, and is not safe for concurrent use.
 type Fleet struct {
-	cfg     Config
-	self    Report
-	rnd     *rand.Rand
-	entries map[bbunit.InstanceID]*entry
-	order   []bbunit.InstanceID // keys of entries, sorted
-	graves  map[bbunit.InstanceID]grave
-	view    *View
-	far     []bbunit.InstanceID // partners in other failure domains
-	rounds  int
-	failed  bool // a connection failed since the last probe
-
-	last   time.Time     // wall time of the last event
-	clock  time.Duration // time passed, which never jumps
-	ticked time.Duration
+	cfg            Config
+	self           Report
+	rng            *rand.Rand
+	peers          map[bbunit.InstanceID]*peer
+	peerIDs        []bbunit.InstanceID // keys of entries, sorted
+	tombstones     map[bbunit.InstanceID]tombstone
+	view           *View
+	remotePartners []bbunit.InstanceID // partners in other failure domains
+	rounds         int
+	contactFailed  bool // a connection failed since the last probe
+
+	lastEventAt      time.Time     // wall time of the last event
+	elapsed          time.Duration // time passed, which never jumps
+	lastStalestProbe time.Duration
 }
 
-// entry is what is known of another instance.
-type entry struct {
+// peer is what is known of another instance.
+type peer struct {
 	Report
-	seen    time.Duration // last rise of the beat, or contact
-	lost    time.Duration // last failed contact
-	probed  time.Duration // last probe
-	changed time.Duration // joined or began to leave
-	listed  bool
-	heard   bool
+	lastSeen    time.Duration // last rise of the beat, or contact
+	lastFailure time.Duration // last failed contact
+	lastProbe   time.Duration // last probe
+	changedAt   time.Duration // joined or began to leave
+	inList      bool
+	confirmed   bool
 }
 
-// grave keeps a dropped member's last beat, so that stale reports don't bring
+// tombstone keeps a dropped member's last beat, so that stale reports don't bring
 // it back.
-type grave struct {
-	inc     bbunit.Incarnation
-	beat    uint64
-	leaving bool
-	at      time.Duration
+type tombstone struct {
+	inc       bbunit.Incarnation
+	heartbeat uint64
+	leaving   bool
+	droppedAt time.Duration
 }
 
 // NewFleet returns the fleet as seen by self, which starts at now.
 func NewFleet(self Member, cfg Config, now time.Time, rnd *rand.Rand) *Fleet {
 	f := &Fleet{
-		cfg: cfg, self: Report{Member: self, Heartbeat: uint64(max(now.UnixMilli(), 1))}, rnd: rnd,
-		entries: map[bbunit.InstanceID]*entry{}, graves: map[bbunit.InstanceID]grave{},
-		last: now, clock: time.Second,
+		cfg: cfg, self: Report{Member: self, Heartbeat: uint64(max(now.UnixMilli(), 1))}, rng: rnd,
+		peers: map[bbunit.InstanceID]*peer{}, tombstones: map[bbunit.InstanceID]tombstone{},
+		lastEventAt: now, elapsed: time.Second,
 	}
-	f.view = f.build()
+	f.view = f.buildView()
 	return f
 }
 
@@ -103,133 +103,133 @@
 
 // Address returns where a member is reached, whether it is live or not.
 func (f *Fleet) Address(id bbunit.InstanceID) (string, bool) {
-	if e, ok := f.entries[id]; ok {
+	if e, ok := f.peers[id]; ok {
 		return e.Address, e.Address != ""
 	}
 	return "", false
 }
 
-// pass moves the clock on. Steps are bounded, so that neither a jump of the
+// advanceClock moves the clock on. Steps are bounded, so that neither a jump of the
 // wall clock nor a pause of this instance makes the others look silent.
-func (f *Fleet) pass(now time.Time) {
-	step := now.Sub(f.last)
-	f.last = now
-	f.clock += min(max(step, 0), 2*f.cfg.Period)
+func (f *Fleet) advanceClock(now time.Time) {
+	step := now.Sub(f.lastEventAt)
+	f.lastEventAt = now
+	f.elapsed += min(max(step, 0), 2*f.cfg.Period)
 }
 
 // UpdateList takes the platform's list.
 func (f *Fleet) UpdateList(now time.Time, list []ListEntry) Actions {
-	f.pass(now)
-	for _, e := range f.entries {
-		e.listed = false
+	f.advanceClock(now)
+	for _, e := range f.peers {
+		e.inList = false
 	}
 	for _, l := range list {
-		if l.ID == f.self.ID || !validNames(l.ID, l.Domain) {
+		if l.ID == f.self.ID || !validIDs(l.ID, l.Domain) {
 			continue
 		}
-		e := f.entries[l.ID]
+		e := f.peers[l.ID]
 		if e == nil {
-			e = f.add(Report{Member: Member{ID: l.ID, Domain: l.Domain, Address: l.Address}})
+			e = f.addPeer(Report{Member: Member{ID: l.ID, Domain: l.Domain, Address: l.Address}})
 		}
-		e.listed = true
-		if !e.heard {
+		e.inList = true
+		if !e.confirmed {
 			e.Address, e.Domain = l.Address, l.Domain
 		}
-		if l.Leaving && (!e.heard || l.Since >= int64(e.Heartbeat)) {
-			e.leave(f.clock)
+		if l.Leaving && (!e.confirmed || l.Since >= int64(e.Heartbeat)) {
+			e.markLeaving(f.elapsed)
 		}
 	}
-	return f.finish(Actions{})
+	return f.addView(Actions{})
 }
 
 // HandleHello takes what a member said of itself on a fresh connection.
 func (f *Fleet) HandleHello(now time.Time, m Member) Actions {
-	f.pass(now)
-	if m.ID == f.self.ID || !validNames(m.ID, m.Domain) {
+	f.advanceClock(now)
+	if m.ID == f.self.ID || !validIDs(m.ID, m.Domain) {
 		return Actions{Dropped: 1}
 	}
-	e := f.entries[m.ID]
-	g, buried := f.graves[m.ID]
+	e := f.peers[m.ID]
+	g, dropped := f.tombstones[m.ID]
 	switch {
-	case buried && g.inc != m.Inc, e != nil && e.Inc != 0 && e.Inc != m.Inc:
-		return f.finish(Actions{}) // its reports tell which life is the later
+	case dropped && g.inc != m.Inc, e != nil && e.Inc != 0 && e.Inc != m.Inc:
+		return f.addView(Actions{}) // its reports tell which life is the later
 	case e == nil:
-		e = f.add(Report{Member: m})
+		e = f.addPeer(Report{Member: m})
 	case e.Inc == 0:
-		leaving := e.Leaving || f.left(m)
+		leaving := e.Leaving || f.leftBefore(m)
 		e.Report = Report{Member: m}
 		e.Leaving = leaving
 	}
-	e.contact(f.clock)
-	return f.finish(Actions{})
+	e.markSeen(f.elapsed)
+	return f.addView(Actions{})
 }
 
 // RecordContact notes that traffic came from members; only their ids and
 // incarnations are read.
 func (f *Fleet) RecordContact(now time.Time, from []Member) Actions {
-	f.pass(now)
+	f.advanceClock(now)
 	for _, m := range from {
-		if e := f.entries[m.ID]; e != nil && e.Inc == m.Inc {
-			e.contact(f.clock)
+		if e := f.peers[m.ID]; e != nil && e.Inc == m.Inc {
+			e.markSeen(f.elapsed)
 		}
 	}
-	return f.finish(Actions{})
+	return f.addView(Actions{})
 }
 
 // RecordFailure notes that no connection to a member could be made.
 func (f *Fleet) RecordFailure(now time.Time, id bbunit.InstanceID) Actions {
-	f.pass(now)
-	if e := f.entries[id]; e != nil {
-		e.lost, f.failed = f.clock, true
+	f.advanceClock(now)
+	if e := f.peers[id]; e != nil {
+		e.lastFailure, f.contactFailed = f.elapsed, true
 	}
-	return f.finish(Actions{})
+	return f.addView(Actions{})
 }
 
 // HandleGossip takes the reports of a message. News that a member leaves goes on at
 // once.
 func (f *Fleet) HandleGossip(now time.Time, reports []Report) Actions {
-	f.pass(now)
+	f.advanceClock(now)
 	var a Actions
-	var news []Report
+	var leavingReports []Report
 	for _, r := range reports {
 		switch {
-		case !f.valid(r):
+		case !f.validReport(r):
 			a.Dropped++
 		case r.ID == f.self.ID:
 			a.Superseded = a.Superseded || (r.Inc != f.self.Inc && r.Heartbeat > f.self.Heartbeat)
-		case f.learn(r) && r.Leaving:
-			news = append(news, r)
+		case f.mergeReport(r) && r.Leaving:
+			leavingReports = append(leavingReports, r)
 		}
 	}
-	if len(news) > 0 {
-		for _, to := range f.partners(f.cfg.Fanout, 1) {
-			a.Send = append(a.Send, Message{To: to, Reports: news})
+	if len(leavingReports) > 0 {
+		for _, to := range f.sampleLive(f.cfg.Fanout, 1) {
+			a.Send = append(a.Send, Message{To: to, Reports: leavingReports})
 		}
 	}
-	return f.finish(a)
+	return f.addView(a)
 }
 
-// learn merges one report; it returns whether the member just joined or began
+// mergeReport merges one report; it returns whether the member just joined or began
 // to leave.
-func (f *Fleet) learn(r Report) bool {
-	if g, ok := f.graves[r.ID]; ok && r.Heartbeat <= g.beat {
+func (f *Fleet) mergeReport(r Report) bool {
+	if g, ok := f.tombstones[r.ID]; ok && r.Heartbeat <= g.heartbeat {
 		return false
 	}
-	e := f.entries[r.ID]
+	e := f.peers[r.ID]
 	if e == nil {
-		f.add(r).contact(f.clock)
+		f.addPeer(r).markSeen(f.elapsed)
 		return true
 	}
 	if r.Heartbeat <= e.Heartbeat {
 		return false
 	}
-	joined, first := e.Inc != r.Inc, e.Inc == 0
-	was := e.Leaving && !joined
+	newIncarnation, firstReport := e.Inc != r.Inc, e.Inc == 0
+	wasLeaving := e.Leaving && !newIncarnation
 	e.Report = r
-	e.Leaving = r.Leaving || was || f.left(r.Member)
-	e.heard, e.seen = true, f.clock
-	if e.Leaving != was || (joined && !first) {
-		e.changed = f.clock
+	e.Leaving = r.Leaving || wasLeaving || f.leftBefore(r.Member)
+	e.confirmed, e.lastSeen = true, f.elapsed
+	if e.Leaving != wasLeaving || (newIncarnation && !firstReport) {
+		e.changedAt = f.elapsed
 		return true
 	}
 	return false
@@ -238,105 +238,105 @@
 // Leave tells the own failure domain, and some of the others, that this
 // instance leaves.
 func (f *Fleet) Leave(now time.Time) Actions {
-	f.pass(now)
+	f.advanceClock(now)
 	f.self.Leaving = true
 	f.self.Heartbeat++
 	var a Actions
-	for _, to := range f.partners(f.cfg.MaxDomainReports, f.cfg.MaxSampleReports) {
+	for _, to := range f.sampleLive(f.cfg.MaxDomainReports, f.cfg.MaxSampleReports) {
 		a.Send = append(a.Send, Message{To: to, Reports: []Report{f.self}})
 	}
-	return f.finish(a)
+	return f.addView(a)
 }
 
 // Tick runs one round; it is called each period.
 func (f *Fleet) Tick(now time.Time) Actions {
-	f.pass(now)
+	f.advanceClock(now)
 	f.self.Heartbeat++
-	f.bury()
+	f.dropSilent()
 	var a Actions
-	for _, to := range f.contacts() {
-		a.Send = append(a.Send, Message{To: to, Reports: f.reports(to)})
+	for _, to := range f.pickRoundPartners() {
+		a.Send = append(a.Send, Message{To: to, Reports: f.buildReports(to)})
 	}
-	a.Probe = f.probes()
-	return f.finish(a)
+	a.Probe = f.pickProbes()
+	return f.addView(a)
 }
 
-// bury drops members that nobody vouches for any more. A listed one stays to be
+// dropSilent drops members that nobody vouches for any more. A listed one stays to be
 // reached, with its life forgotten.
-func (f *Fleet) bury() {
-	for _, id := range slices.Clone(f.order) {
-		e := f.entries[id]
-		gone := f.silence(e) > f.cfg.ForgetTimeout
-		left := e.Leaving && f.silent(e)
+func (f *Fleet) dropSilent() {
+	for _, id := range slices.Clone(f.peerIDs) {
+		e := f.peers[id]
+		timedOut := f.silence(e) > f.cfg.ForgetTimeout
+		departed := e.Leaving && f.isSilent(e)
 		switch {
-		case e.listed && gone && e.heard:
-			f.graves[id] = grave{inc: e.Inc, leaving: e.Leaving, at: f.clock}
-			e.Inc, e.Heartbeat, e.heard = 0, 0, false
-		case !e.listed && (gone || left):
-			f.graves[id] = grave{inc: e.Inc, beat: e.Heartbeat, leaving: e.Leaving, at: f.clock}
-			delete(f.entries, id)
-			i, _ := slices.BinarySearch(f.order, id)
-			f.order = slices.Delete(f.order, i, i+1)
+		case e.inList && timedOut && e.confirmed:
+			f.tombstones[id] = tombstone{inc: e.Inc, leaving: e.Leaving, droppedAt: f.elapsed}
+			e.Inc, e.Heartbeat, e.confirmed = 0, 0, false
+		case !e.inList && (timedOut || departed):
+			f.tombstones[id] = tombstone{inc: e.Inc, heartbeat: e.Heartbeat, leaving: e.Leaving, droppedAt: f.elapsed}
+			delete(f.peers, id)
+			i, _ := slices.BinarySearch(f.peerIDs, id)
+			f.peerIDs = slices.Delete(f.peerIDs, i, i+1)
 		}
 	}
-	for id, g := range f.graves {
-		if f.clock-g.at > 4*f.cfg.ForgetTimeout {
-			delete(f.graves, id)
+	for id, g := range f.tombstones {
+		if f.elapsed-g.droppedAt > 4*f.cfg.ForgetTimeout {
+			delete(f.tombstones, id)
 		}
 	}
 }
 
-func (f *Fleet) add(r Report) *entry {
-	e := &entry{Report: r, seen: f.clock, changed: f.clock}
-	e.Leaving = e.Leaving || f.left(r.Member)
-	f.entries[r.ID] = e
-	i, _ := slices.BinarySearch(f.order, r.ID)
-	f.order = slices.Insert(f.order, i, r.ID)
+func (f *Fleet) addPeer(r Report) *peer {
+	e := &peer{Report: r, lastSeen: f.elapsed, changedAt: f.elapsed}
+	e.Leaving = e.Leaving || f.leftBefore(r.Member)
+	f.peers[r.ID] = e
+	i, _ := slices.BinarySearch(f.peerIDs, r.ID)
+	f.peerIDs = slices.Insert(f.peerIDs, i, r.ID)
 	return e
 }
 
-// left tells whether a life was dropped while it was leaving.
-func (f *Fleet) left(m Member) bool {
-	g, ok := f.graves[m.ID]
+// leftBefore tells whether a life was dropped while it was leaving.
+func (f *Fleet) leftBefore(m Member) bool {
+	g, ok := f.tombstones[m.ID]
 	return ok && g.leaving && g.inc == m.Inc
 }
 
-func (e *entry) contact(clock time.Duration) { e.heard, e.seen = true, clock }
+func (e *peer) markSeen(elapsed time.Duration) { e.confirmed, e.lastSeen = true, elapsed }
 
-func (e *entry) leave(clock time.Duration) {
+func (e *peer) markLeaving(elapsed time.Duration) {
 	if !e.Leaving {
-		e.Leaving, e.changed = true, clock
+		e.Leaving, e.changedAt = true, elapsed
 	}
 }
 
-func (f *Fleet) silence(e *entry) time.Duration { return f.clock - e.seen }
+func (f *Fleet) silence(e *peer) time.Duration { return f.elapsed - e.lastSeen }
 
-func (f *Fleet) silent(e *entry) bool { return f.silence(e) > f.cfg.SuspicionTimeout }
+func (f *Fleet) isSilent(e *peer) bool { return f.silence(e) > f.cfg.SuspicionTimeout }
 
-// live tells whether a member belongs into the view: a silent one does until a
+// isLive tells whether a member belongs into the view: a silent one does until a
 // fresh connection to it has failed as well.
-func (f *Fleet) live(e *entry) bool { return !f.silent(e) || e.lost <= e.seen }
+func (f *Fleet) isLive(e *peer) bool { return !f.isSilent(e) || e.lastFailure <= e.lastSeen }
 
-// finish adds the view to the actions when it changed.
-func (f *Fleet) finish(a Actions) Actions {
-	if !f.current() {
-		f.view = f.build()
+// addView adds the view to the actions when it changed.
+func (f *Fleet) addView(a Actions) Actions {
+	if !f.viewIsCurrent() {
+		f.view = f.buildView()
 		a.View = f.view
 	}
 	return a
 }
 
-// current tells whether the view is as it would be built now.
-func (f *Fleet) current() bool {
+// viewIsCurrent tells whether the view is as it would be built now.
+func (f *Fleet) viewIsCurrent() bool {
 	if f.view.Self != f.self.Member {
 		return false
 	}
 	members := f.view.Members
-	for _, id := range f.order {
+	for _, id := range f.peerIDs {
 		if len(members) > 0 && members[0].ID == f.self.ID {
 			members = members[1:]
 		}
-		if e := f.entries[id]; f.live(e) {
+		if e := f.peers[id]; f.isLive(e) {
 			if len(members) == 0 || members[0] != e.Member {
 				return false
 			}
@@ -346,18 +346,18 @@
 	return len(members) == 0 || (len(members) == 1 && members[0].ID == f.self.ID)
 }
 
-func (f *Fleet) build() *View {
-	v := &View{Self: f.self.Member, Members: make([]Member, 0, len(f.order)+1)}
-	placed := f.self.Leaving
-	for _, id := range f.order {
-		if !placed && id > f.self.ID {
-			v.Members, placed = append(v.Members, f.self.Member), true
+func (f *Fleet) buildView() *View {
+	v := &View{Self: f.self.Member, Members: make([]Member, 0, len(f.peerIDs)+1)}
+	selfPlaced := f.self.Leaving
+	for _, id := range f.peerIDs {
+		if !selfPlaced && id > f.self.ID {
+			v.Members, selfPlaced = append(v.Members, f.self.Member), true
 		}
-		if e := f.entries[id]; f.live(e) {
+		if e := f.peers[id]; f.isLive(e) {
 			v.Members = append(v.Members, e.Member)
 		}
 	}
-	if !placed {
+	if !selfPlaced {
 		v.Members = append(v.Members, f.self.Member)
 	}
 	return v
--- a/shared/bbmember/fleet_test.go
+++ b/shared/bbmember/fleet_test.go
@@ -16,35 +16,35 @@
 
 // fleetCost is what a fleet of a size costs, and how soon it hears.
 type fleetCost struct {
-	rate    float64 // bytes of gossip sent by an instance in a second
-	probes  float64 // probes by an instance in a second
-	missing int
-	leaving int // seconds until every instance knows of one that leaves
-	death   int // seconds until the failure domain knows of one that died
+	bytesPerSecond  float64 // bytes of gossip sent by an instance in a second
+	probesPerSecond float64 // probes by an instance in a second
+	missingPairs    int
+	leaveSeconds    int // seconds until every instance knows of one that leaves
+	crashSeconds    int // seconds until the failure domain knows of one that died
 }
 
 func measureFleet(n, domains int) fleetCost {
 	const periods = 30
 	s := newSim(n, domains, 7)
 	s.run(20)
-	for _, d := range s.nodes {
-		d.sent = 0
+	for _, node := range s.nodes {
+		node.bytesSent = 0
 	}
 	s.probes = 0
 	s.run(periods)
-	c := fleetCost{missing: s.missing()}
-	for _, d := range s.nodes {
-		c.rate += float64(d.sent) / float64(n) / periods
+	c := fleetCost{missingPairs: s.missingPairs()}
+	for _, node := range s.nodes {
+		c.bytesPerSecond += float64(node.bytesSent) / float64(n) / periods
 	}
-	c.probes = float64(s.probes) / float64(n) / periods
-	gone, dead := s.nodes[0], s.nodes[1]
-	s.act(gone, gone.Leave(s.now))
-	gone.down = true
-	c.leaving = s.until(60, func(d *simNode) bool { m, ok := d.View().Find(gone.Member.ID); return !ok || m.Leaving })
-	dead.down = true
-	c.death = s.until(60, func(d *simNode) bool {
-		_, ok := d.View().Find(dead.Member.ID)
-		return !ok || d.Member.Domain != dead.Member.Domain
+	c.probesPerSecond = float64(s.probes) / float64(n) / periods
+	leaver, crashed := s.nodes[0], s.nodes[1]
+	s.perform(leaver, leaver.Leave(s.now))
+	leaver.down = true
+	c.leaveSeconds = s.runUntil(60, func(node *simNode) bool { m, ok := node.View().Find(leaver.Member.ID); return !ok || m.Leaving })
+	crashed.down = true
+	c.crashSeconds = s.runUntil(60, func(node *simNode) bool {
+		_, ok := node.View().Find(crashed.Member.ID)
+		return !ok || node.Member.Domain != crashed.Member.Domain
 	})
 	return c
 }
@@ -58,10 +58,10 @@
 			for b.Loop() {
 				c = measureFleet(z.n, z.domains)
 			}
-			b.ReportMetric(c.rate, "B/s")
-			b.ReportMetric(c.probes, "probes/s")
-			b.ReportMetric(float64(c.leaving), "s-leaving")
-			b.ReportMetric(float64(c.death), "s-death")
+			b.ReportMetric(c.bytesPerSecond, "B/s")
+			b.ReportMetric(c.probesPerSecond, "probes/s")
+			b.ReportMetric(float64(c.leaveSeconds), "s-leaving")
+			b.ReportMetric(float64(c.crashSeconds), "s-death")
 		})
 	}
 }
@@ -71,10 +71,10 @@
 		is := is.New(t)
 		c := measureFleet(z.n, z.domains)
 		t.Logf("instances %d, failure domains %d: %+v", z.n, z.domains, c)
-		is.Equal(c.missing, 0)
-		is.True(c.leaving >= 0 && c.leaving <= 5)
-		is.True(c.death >= 0 && c.death <= 15)
-		is.True(c.rate < 4000)
+		is.Equal(c.missingPairs, 0)
+		is.True(c.leaveSeconds >= 0 && c.leaveSeconds <= 5)
+		is.True(c.crashSeconds >= 0 && c.crashSeconds <= 15)
+		is.True(c.bytesPerSecond < 4000)
 	}
 }
 
@@ -90,10 +90,10 @@
 	}
 }
 
-func beatAt(d time.Duration) uint64 { return uint64(simStart.Add(d).UnixMilli()) }
+func heartbeatAt(d time.Duration) uint64 { return uint64(simStart.Add(d).UnixMilli()) }
 
 func TestMalformedReportsAreDropped(t *testing.T) {
-	good := testReport("a", 1, beatAt(0))
+	good := testReport("a", 1, heartbeatAt(0))
 	cases := map[string]func(r *Report){
 		"no id":               func(r *Report) { r.ID = "" },
 		"long id":             func(r *Report) { r.ID = bbunit.InstanceID(strings.Repeat("x", 200)) },
@@ -105,42 +105,42 @@
 		"unspecified address": func(r *Report) { r.Address = "0.0.0.0:1" },
 		"no port":             func(r *Report) { r.Address = "10.0.0.2:0" },
 	}
-	for name, spoil := range cases {
+	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet()
 			bad := good
-			spoil(&bad)
-			a := f.HandleGossip(simStart, []Report{bad, testReport("b", 1, beatAt(0))})
+			corrupt(&bad)
+			a := f.HandleGossip(simStart, []Report{bad, testReport("b", 1, heartbeatAt(0))})
 			is.Equal(a.Dropped, 1)
 			is.Equal(len(f.View().Members), 2) // self and b: the rest of the message counts
 		})
 	}
 }
 
-func TestLivesOfOneName(t *testing.T) {
-	const old, young = 1, 2
+func TestIncarnationsOfOneInstance(t *testing.T) {
+	const earlier, later = 1, 2
 	cases := map[string]struct {
 		run  func(f *Fleet)
 		want bbunit.Incarnation
 	}{
 		"a later life replaces the earlier": {func(f *Fleet) {
-			f.HandleGossip(simStart, []Report{testReport("a", old, beatAt(0))})
-			f.HandleGossip(simStart, []Report{testReport("a", young, beatAt(time.Minute))})
-		}, young},
+			f.HandleGossip(simStart, []Report{testReport("a", earlier, heartbeatAt(0))})
+			f.HandleGossip(simStart, []Report{testReport("a", later, heartbeatAt(time.Minute))})
+		}, later},
 		"an earlier life that resumes does not come back": {func(f *Fleet) {
-			f.HandleGossip(simStart, []Report{testReport("a", young, beatAt(time.Minute))})
-			f.HandleGossip(simStart, []Report{testReport("a", old, beatAt(30*time.Second))})
-			f.HandleHello(simStart, testReport("a", old, 0).Member)
-		}, young},
+			f.HandleGossip(simStart, []Report{testReport("a", later, heartbeatAt(time.Minute))})
+			f.HandleGossip(simStart, []Report{testReport("a", earlier, heartbeatAt(30*time.Second))})
+			f.HandleHello(simStart, testReport("a", earlier, 0).Member)
+		}, later},
 		"a later life with a clock behind is taken once the earlier is forgotten": {func(f *Fleet) {
-			f.HandleGossip(simStart, []Report{testReport("a", old, beatAt(time.Minute))})
+			f.HandleGossip(simStart, []Report{testReport("a", earlier, heartbeatAt(time.Minute))})
 			f.UpdateList(simStart, []ListEntry{{ID: "a", Domain: "d1", Address: "10.0.0.2:1"}})
 			for i := range 70 {
 				f.Tick(simStart.Add(time.Duration(i) * time.Second))
 			}
-			f.HandleGossip(simStart, []Report{testReport("a", young, beatAt(0))})
-		}, young},
+			f.HandleGossip(simStart, []Report{testReport("a", later, heartbeatAt(0))})
+		}, later},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -155,33 +155,33 @@
 	t.Run("an earlier life's greeting does not keep the later one in the view", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet()
-		f.HandleGossip(simStart, []Report{testReport("a", young, beatAt(0))})
+		f.HandleGossip(simStart, []Report{testReport("a", later, heartbeatAt(0))})
 		at := simStart
 		for range 10 {
 			at = at.Add(time.Second)
 			f.Tick(at)
 		}
 		f.RecordFailure(at, "a")
-		f.HandleHello(at, testReport("a", old, 0).Member)
+		f.HandleHello(at, testReport("a", earlier, 0).Member)
 		_, ok := f.View().Find("a")
 		is.True(!ok)
 	})
 	t.Run("an instance hears that it was replaced", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet()
-		is.True(f.HandleGossip(simStart, []Report{testReport("self", 10, beatAt(time.Minute))}).Superseded)
-		is.True(!f.HandleGossip(simStart, []Report{testReport("self", 8, beatAt(-time.Minute))}).Superseded)
+		is.True(f.HandleGossip(simStart, []Report{testReport("self", 10, heartbeatAt(time.Minute))}).Superseded)
+		is.True(!f.HandleGossip(simStart, []Report{testReport("self", 8, heartbeatAt(-time.Minute))}).Superseded)
 		is.Equal(f.View().Self.Inc, bbunit.Incarnation(9))
 	})
 }
 
-func TestLeavingGoesAheadOfTheList(t *testing.T) {
+func TestLeavingReportOverridesList(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet()
 	live := []ListEntry{{ID: "a", Domain: "d1", Address: "10.0.0.2:1"}}
 	f.UpdateList(simStart, live)
-	f.HandleGossip(simStart, []Report{testReport("a", 1, beatAt(0))})
-	r := testReport("a", 1, beatAt(0)+1)
+	f.HandleGossip(simStart, []Report{testReport("a", 1, heartbeatAt(0))})
+	r := testReport("a", 1, heartbeatAt(0)+1)
 	r.Leaving = true
 	f.HandleGossip(simStart, []Report{r})
 	f.UpdateList(simStart, live) // the list still has it live
@@ -194,7 +194,7 @@
 	m, _ = f.View().Find("a")
 	is.True(m.Leaving) // a life that leaves doesn't come back
 
-	f.HandleGossip(simStart, []Report{testReport("a", 2, beatAt(time.Minute))})
+	f.HandleGossip(simStart, []Report{testReport("a", 2, heartbeatAt(time.Minute))})
 	f.UpdateList(simStart, []ListEntry{{ID: "a", Domain: "d1", Address: "10.0.0.2:1", Leaving: true, Since: simStart.UnixMilli()}})
 	m, _ = f.View().Find("a")
 	is.True(!m.Leaving) // the mark was for the earlier life
@@ -205,7 +205,7 @@
 		t.Run(jump.String(), func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet()
-			f.HandleGossip(simStart, []Report{testReport("a", 1, beatAt(0))})
+			f.HandleGossip(simStart, []Report{testReport("a", 1, heartbeatAt(0))})
 			f.Tick(simStart.Add(time.Second))
 			f.RecordFailure(simStart.Add(jump), "a")
 			f.Tick(simStart.Add(jump))
@@ -224,7 +224,7 @@
 func TestSuspicionNeedsAFailedConnection(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet()
-	f.HandleGossip(simStart, []Report{testReport("a", 1, beatAt(0))})
+	f.HandleGossip(simStart, []Report{testReport("a", 1, heartbeatAt(0))})
 	probed := false
 	at := simStart
 	for range 10 {
@@ -247,26 +247,26 @@
 	is := is.New(t)
 	s := newSim(48, 4, 3)
 	s.run(10)
-	part := func(d *simNode) bool { return d.Member.Domain == s.nodes[0].Member.Domain }
-	s.cut = func(a, b *simNode) bool { return part(a) != part(b) }
-	apart := s.until(120, func(d *simNode) bool {
-		for _, m := range d.View().Members {
-			if part(s.byID[m.ID]) != part(d) {
+	inFirstDomain := func(node *simNode) bool { return node.Member.Domain == s.nodes[0].Member.Domain }
+	s.partitioned = func(a, b *simNode) bool { return inFirstDomain(a) != inFirstDomain(b) }
+	split := s.runUntil(120, func(node *simNode) bool {
+		for _, m := range node.View().Members {
+			if inFirstDomain(s.byID[m.ID]) != inFirstDomain(node) {
 				return false
 			}
 		}
 		return true
 	})
 	s.run(120)
-	s.cut = func(_, _ *simNode) bool { return false }
-	healed := s.until(60, func(d *simNode) bool { return len(d.View().Members) == len(s.nodes) })
-	t.Logf("cut seen whole after %d s, healed after %d s", apart, healed)
-	is.True(apart >= 0)
+	s.partitioned = func(_, _ *simNode) bool { return false }
+	healed := s.runUntil(60, func(node *simNode) bool { return len(node.View().Members) == len(s.nodes) })
+	t.Logf("cut seen whole after %d s, healed after %d s", split, healed)
+	is.True(split >= 0)
 	is.True(healed >= 0 && healed <= 30)
 }
 
-// TestFleetNeverLosesItself checks what holds after any events at all.
-func TestFleetNeverLosesItself(t *testing.T) {
+// TestViewInvariants checks what holds after any events at all.
+func TestViewInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTestFleet()
 		at := simStart
@@ -275,7 +275,7 @@
 			at = at.Add(time.Duration(rapid.IntRange(-5000, 20000).Draw(t, "ms")) * time.Millisecond)
 			id := fmt.Sprintf("m%d", rapid.IntRange(0, 3).Draw(t, "id"))
 			inc, beat := rapid.Uint64Range(1, 3).Draw(t, "inc"), rapid.Uint64Range(0, 9).Draw(t, "beat")
-			r := testReport(id, inc, beatAt(time.Duration(inc)*time.Minute)+beat)
+			r := testReport(id, inc, heartbeatAt(time.Duration(inc)*time.Minute)+beat)
 			r.Leaving = beat >= 5 // each life begins to leave at its fifth beat
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
@@ -310,11 +310,11 @@
 		if m.ID == "self" {
 			self++
 		}
-		life := fmt.Sprint(m.ID, m.Inc)
-		if m.Inc != 0 && leaving[life] && !m.Leaving {
-			t.Fatalf("%s came back", life)
+		incarnation := fmt.Sprint(m.ID, m.Inc)
+		if m.Inc != 0 && leaving[incarnation] && !m.Leaving {
+			t.Fatalf("%s came back", incarnation)
 		}
-		leaving[life] = leaving[life] || m.Leaving
+		leaving[incarnation] = leaving[incarnation] || m.Leaving
 	}
 	if self != 1 {
 		t.Fatalf("this instance is %d times in its view", self)
@@ -323,7 +323,7 @@
 
 // A member that has greeted but whose heartbeat is not known is not reported:
 // the others would drop the report as malformed.
-func TestGreetedMembersAreReportedWithTheirBeat(t *testing.T) {
+func TestMembersWithoutHeartbeatAreNotReported(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	member := func(id bbunit.InstanceID) Member {
--- a/shared/bbmember/list.go
+++ b/shared/bbmember/list.go
@@ -13,8 +13,8 @@
 // read.
 const ErrInvalidList = errors.ConstError("bad list of instances")
 
-// listedJSON is one entry as the platform sends it.
-type listedJSON struct {
+// listEntryJSON is one entry as the platform sends it.
+type listEntryJSON struct {
 	ID      bbunit.InstanceID `json:"id"`
 	Domain  bbunit.DomainID   `json:"domain"`
 	Address string            `json:"address"`
@@ -34,7 +34,7 @@
 	}
 	seen := make(map[bbunit.InstanceID]bool, len(raw))
 	for i, r := range raw {
-		l, err := parseListed(r)
+		l, err := parseListEntry(r)
 		if err == nil && seen[l.ID] {
 			err = errors.Errorf("%q comes twice", l.ID)
 		}
@@ -48,8 +48,8 @@
 	return list, bad, nil
 }
 
-func parseListed(r json.RawMessage) (ListEntry, error) {
-	var j listedJSON
+func parseListEntry(r json.RawMessage) (ListEntry, error) {
+	var j listEntryJSON
 	if err := json.Unmarshal(r, &j); err != nil {
 		return ListEntry{}, err
 	}
@@ -57,7 +57,7 @@
 	switch {
 	case err != nil:
 		return ListEntry{}, err
-	case !validNames(j.ID, j.Domain):
+	case !validIDs(j.ID, j.Domain):
 		return ListEntry{}, errors.Errorf("id %.40q, domain %.40q", j.ID, j.Domain)
 	case !ValidAddress(j.Address):
 		return ListEntry{}, errors.Errorf("address %.40q is not an IP number and port", j.Address)
--- a/shared/bbmember/partners.go
+++ b/shared/bbmember/partners.go
@@ -7,121 +7,121 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// probes picks the members to connect to afresh: those of the own failure
+// pickProbes picks the members to connect to afresh: those of the own failure
 // domain that went silent, and the one longest unheard of all: seldom, but each
 // round while connections fail.
-func (f *Fleet) probes() []bbunit.InstanceID {
+func (f *Fleet) pickProbes() []bbunit.InstanceID {
 	var out []bbunit.InstanceID
-	var stalest *entry
-	for _, id := range f.order {
-		e := f.entries[id]
-		if f.clock-e.probed < f.cfg.SuspicionTimeout/2 {
+	var stalest *peer
+	for _, id := range f.peerIDs {
+		e := f.peers[id]
+		if f.elapsed-e.lastProbe < f.cfg.SuspicionTimeout/2 {
 			continue
 		}
 		if e.Domain == f.self.Domain && len(out) < f.cfg.Fanout && f.silence(e) > f.cfg.SuspicionTimeout/2 {
-			e.probed = f.clock
+			e.lastProbe = f.elapsed
 			out = append(out, id)
 			continue
 		}
-		if f.silent(e) && (stalest == nil || max(e.probed, e.seen) < max(stalest.probed, stalest.seen)) {
+		if f.isSilent(e) && (stalest == nil || max(e.lastProbe, e.lastSeen) < max(stalest.lastProbe, stalest.lastSeen)) {
 			stalest = e
 		}
 	}
-	if stalest != nil && (f.failed || f.clock-f.ticked >= f.cfg.SuspicionTimeout/2) {
-		f.failed, f.ticked, stalest.probed = false, f.clock, f.clock
+	if stalest != nil && (f.contactFailed || f.elapsed-f.lastStalestProbe >= f.cfg.SuspicionTimeout/2) {
+		f.contactFailed, f.lastStalestProbe, stalest.lastProbe = false, f.elapsed, f.elapsed
 		out = append(out, stalest.ID)
 	}
 	return out
 }
 
-// partners picks live members at random, of the own failure domain and of the
+// sampleLive picks live members at random, of the own failure domain and of the
 // others.
-func (f *Fleet) partners(own, others int) []bbunit.InstanceID {
-	var in, out []bbunit.InstanceID
-	for _, id := range f.order {
-		e := f.entries[id]
+func (f *Fleet) sampleLive(nSame, nOther int) []bbunit.InstanceID {
+	var sameDomain, otherDomains []bbunit.InstanceID
+	for _, id := range f.peerIDs {
+		e := f.peers[id]
 		switch {
-		case !f.live(e):
+		case !f.isLive(e):
 		case e.Domain == f.self.Domain:
-			in = append(in, id)
+			sameDomain = append(sameDomain, id)
 		default:
-			out = append(out, id)
+			otherDomains = append(otherDomains, id)
 		}
 	}
-	return append(f.pick(in, own), f.pick(out, others)...)
+	return append(f.sample(sameDomain, nSame), f.sample(otherDomains, nOther)...)
 }
 
-// contacts picks the partners of one round.
-func (f *Fleet) contacts() []bbunit.InstanceID {
+// pickRoundPartners picks the partners of one round.
+func (f *Fleet) pickRoundPartners() []bbunit.InstanceID {
 	f.rounds++
-	f.redraw(f.partners(0, len(f.order)))
-	return append(f.partners(f.cfg.Fanout, 0), f.pick(slices.Clone(f.far), 1)...)
+	f.updateRemotePartners(f.sampleLive(0, len(f.peerIDs)))
+	return append(f.sampleLive(f.cfg.Fanout, 0), f.sample(slices.Clone(f.remotePartners), 1)...)
 }
 
-// redraw keeps the far partners that can be reached, drops one at random each
+// updateRemotePartners keeps the far partners that can be reached, drops one at random each
 // Redraw rounds, and fills up from the live ones, which come in random order.
-func (f *Fleet) redraw(live []bbunit.InstanceID) {
-	f.far = slices.DeleteFunc(f.far, func(id bbunit.InstanceID) bool {
-		return !slices.Contains(live, id) || f.entries[id].lost > f.entries[id].seen
+func (f *Fleet) updateRemotePartners(live []bbunit.InstanceID) {
+	f.remotePartners = slices.DeleteFunc(f.remotePartners, func(id bbunit.InstanceID) bool {
+		return !slices.Contains(live, id) || f.peers[id].lastFailure > f.peers[id].lastSeen
 	})
-	if f.rounds%f.cfg.RotationRounds == 0 && len(f.far) == f.cfg.RemotePartners {
-		i := f.rnd.IntN(len(f.far))
-		f.far = slices.Delete(f.far, i, i+1)
+	if f.rounds%f.cfg.RotationRounds == 0 && len(f.remotePartners) == f.cfg.RemotePartners {
+		i := f.rng.IntN(len(f.remotePartners))
+		f.remotePartners = slices.Delete(f.remotePartners, i, i+1)
 	}
 	for _, id := range live {
-		if len(f.far) < f.cfg.RemotePartners && !slices.Contains(f.far, id) {
-			f.far = append(f.far, id)
+		if len(f.remotePartners) < f.cfg.RemotePartners && !slices.Contains(f.remotePartners, id) {
+			f.remotePartners = append(f.remotePartners, id)
 		}
 	}
 }
 
-// pick returns n of ids, chosen at random; it reorders ids.
-func (f *Fleet) pick(ids []bbunit.InstanceID, n int) []bbunit.InstanceID {
+// sample returns n of ids, chosen at random; it reorders ids.
+func (f *Fleet) sample(ids []bbunit.InstanceID, n int) []bbunit.InstanceID {
 	n = min(n, len(ids))
 	for i := range n {
-		j := i + f.rnd.IntN(len(ids)-i)
+		j := i + f.rng.IntN(len(ids)-i)
 		ids[i], ids[j] = ids[j], ids[i]
 	}
 	return ids[:n]
 }
 
-// reports returns what a member is told: this instance first, then what
+// buildReports returns what a member is told: this instance first, then what
 // changed lately, then the failure domain and a sample of the others.
-func (f *Fleet) reports(to bbunit.InstanceID) []Report {
-	own := f.cfg.MaxDomainReports
-	if e := f.entries[to]; e == nil || e.Domain != f.self.Domain {
-		own = f.cfg.MaxSampleReports
+func (f *Fleet) buildReports(to bbunit.InstanceID) []Report {
+	maxSame := f.cfg.MaxDomainReports
+	if e := f.peers[to]; e == nil || e.Domain != f.self.Domain {
+		maxSame = f.cfg.MaxSampleReports
 	}
-	var leaving, fresh, in, out []bbunit.InstanceID
-	for _, id := range f.order {
-		e := f.entries[id]
+	var leaving, joined, sameDomain, otherDomains []bbunit.InstanceID
+	for _, id := range f.peerIDs {
+		e := f.peers[id]
 		switch {
-		case id == to || !e.heard || !f.live(e) || e.Inc == 0 || e.Heartbeat == 0:
-		case e.Leaving && f.clock-e.changed < f.cfg.SuspicionTimeout:
+		case id == to || !e.confirmed || !f.isLive(e) || e.Inc == 0 || e.Heartbeat == 0:
+		case e.Leaving && f.elapsed-e.changedAt < f.cfg.SuspicionTimeout:
 			leaving = append(leaving, id)
-		case f.clock-e.changed < f.cfg.SuspicionTimeout:
-			fresh = append(fresh, id)
+		case f.elapsed-e.changedAt < f.cfg.SuspicionTimeout:
+			joined = append(joined, id)
 		case e.Domain == f.self.Domain:
-			in = append(in, id)
+			sameDomain = append(sameDomain, id)
 		default:
-			out = append(out, id)
+			otherDomains = append(otherDomains, id)
 		}
 	}
-	ids := append(f.pick(leaving, f.cfg.MaxSampleReports), f.pick(fresh, f.cfg.MaxSampleReports)...)
-	ids = append(ids, f.freshest(in, own)...)
-	ids = append(ids, f.pick(out, f.cfg.MaxSampleReports)...)
+	ids := append(f.sample(leaving, f.cfg.MaxSampleReports), f.sample(joined, f.cfg.MaxSampleReports)...)
+	ids = append(ids, f.mostRecentlySeen(sameDomain, maxSame)...)
+	ids = append(ids, f.sample(otherDomains, f.cfg.MaxSampleReports)...)
 	reports := []Report{f.self}
 	for _, id := range ids {
-		reports = append(reports, f.entries[id].Report)
+		reports = append(reports, f.peers[id].Report)
 	}
 	return reports
 }
 
-// freshest returns n of ids, those whose beats rose last; it reorders ids.
-func (f *Fleet) freshest(ids []bbunit.InstanceID, n int) []bbunit.InstanceID {
-	ids = f.pick(ids, len(ids))
+// mostRecentlySeen returns n of ids, those whose beats rose last; it reorders ids.
+func (f *Fleet) mostRecentlySeen(ids []bbunit.InstanceID, n int) []bbunit.InstanceID {
+	ids = f.sample(ids, len(ids))
 	slices.SortStableFunc(ids, func(a, b bbunit.InstanceID) int {
-		return cmp.Compare(f.entries[b].seen, f.entries[a].seen)
+		return cmp.Compare(f.peers[b].lastSeen, f.peers[a].lastSeen)
 	})
 	return ids[:min(n, len(ids))]
 }
--- a/shared/bbmember/report.go
+++ b/shared/bbmember/report.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxName is the longest id of an instance or failure domain, in bytes.
-	maxName = 128
-	// maxAhead is how far a beat may be ahead of this instance's clock.
-	maxAhead = 366 * 24 * time.Hour
+	// maxIDBytes is the longest id of an instance or failure domain, in bytes.
+	maxIDBytes = 128
+	// maxHeartbeatAhead is how far a beat may be ahead of this instance's clock.
+	maxHeartbeatAhead = 366 * 24 * time.Hour
 )
 
-func validNames(id bbunit.InstanceID, d bbunit.DomainID) bool {
-	return id != "" && len(id) <= maxName && d != "" && len(d) <= maxName
+func validIDs(id bbunit.InstanceID, d bbunit.DomainID) bool {
+	return id != "" && len(id) <= maxIDBytes && d != "" && len(d) <= maxIDBytes
 }
 
 // ValidAddress tells whether an address is an IP number and a port.
@@ -24,13 +24,13 @@
 	return err == nil && a.Port() != 0 && !a.Addr().IsUnspecified()
 }
 
-// valid refuses reports that no instance sends.
-func (f *Fleet) valid(r Report) bool {
+// validReport refuses reports that no instance sends.
+func (f *Fleet) validReport(r Report) bool {
 	switch {
-	case !validNames(r.ID, r.Domain), !ValidAddress(r.Address):
+	case !validIDs(r.ID, r.Domain), !ValidAddress(r.Address):
 		return false
 	case r.Inc == 0, r.Heartbeat == 0:
 		return false
 	}
-	return r.Heartbeat <= uint64(max(f.last.Add(maxAhead).UnixMilli(), 0))
+	return r.Heartbeat <= uint64(max(f.lastEventAt.Add(maxHeartbeatAhead).UnixMilli(), 0))
 }
--- a/shared/bbmember/view.go
+++ b/shared/bbmember/view.go
@@ -33,19 +33,19 @@
 		m Member
 		s uint64
 	}
-	var all []scored
+	var candidates []scored
 	for _, m := range v.Members {
 		if m.Leaving || (d != "" && m.Domain != d) {
 			continue
 		}
-		all = append(all, scored{m, xxhash.Sum64String(key + "\x00" + string(m.ID))})
+		candidates = append(candidates, scored{m, xxhash.Sum64String(key + "\x00" + string(m.ID))})
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].s > all[j].s })
-	if len(all) > n {
-		all = all[:n]
+	sort.Slice(candidates, func(i, j int) bool { return candidates[i].s > candidates[j].s })
+	if len(candidates) > n {
+		candidates = candidates[:n]
 	}
-	out := make([]Member, len(all))
-	for i, s := range all {
+	out := make([]Member, len(candidates))
+	for i, s := range candidates {
 		out[i] = s.m
 	}
 	return out
--- a/shared/bbmember/view_test.go
+++ b/shared/bbmember/view_test.go
@@ -9,7 +9,7 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-func TestRankMovesOnlyWhatItMust(t *testing.T) {
+func TestRankMovesOnlyKeysOfLostMember(t *testing.T) {
 	is := is.New(t)
 	v := &View{}
 	for i := range 8 {
--- a/shared/bbticket/apply.go
+++ b/shared/bbticket/apply.go
@@ -14,41 +14,41 @@
 	if s == nil {
 		s = &State{}
 	}
-	n := &State{Number: max(s.Number, t.Number)}
-	n.Accounts = merge(s.Accounts, t.Accounts, t.Number, func(a Account) bbunit.AccountID { return a.ID })
-	n.Budgets = s.Budgets.merge(func(yield func(bbunit.BudgetID, Numbered[Budget]) bool) {
+	next := &State{Number: max(s.Number, t.Number)}
+	next.Accounts = mergeTicket(s.Accounts, t.Accounts, t.Number, func(a Account) bbunit.AccountID { return a.ID })
+	next.Budgets = s.Budgets.merge(func(yield func(bbunit.BudgetID, Numbered[Budget]) bool) {
 		for _, b := range t.Budgets {
 			if !yield(b.ID, Numbered[Budget]{Number: t.Number, Object: b}) {
 				return
 			}
 		}
 	})
-	n.Services = merge(s.Services, t.Services, t.Number, func(v Service) bbunit.ServiceID { return v.ID })
-	n.Targets = merge(s.Targets, t.Targets, t.Number, func(g Target) bbunit.TargetID { return g.ID })
-	n.index(s, t)
-	n.LastRoutingChange = s.LastRoutingChange
+	next.Services = mergeTicket(s.Services, t.Services, t.Number, func(v Service) bbunit.ServiceID { return v.ID })
+	next.Targets = mergeTicket(s.Targets, t.Targets, t.Number, func(g Target) bbunit.TargetID { return g.ID })
+	next.updateIndexes(s, t)
+	next.LastRoutingChange = s.LastRoutingChange
 	if len(t.Accounts)+len(t.Services)+len(t.Targets) > 0 {
-		n.LastRoutingChange = max(n.LastRoutingChange, t.Number)
+		next.LastRoutingChange = max(next.LastRoutingChange, t.Number)
 	}
-	return n
+	return next
 }
 
 // Merge returns the newer of two states for each object, whatever order they
 // come in.
-func (s *State) Merge(o *State) *State {
+func (s *State) Merge(other *State) *State {
 	if s == nil {
 		s = &State{}
 	}
-	if o == nil {
-		o = &State{}
+	if other == nil {
+		other = &State{}
 	}
-	n := &State{Number: max(s.Number, o.Number)}
-	n.Accounts = newer(s.Accounts, o.Accounts)
-	n.Budgets = s.Budgets.merge(o.Budgets.All())
-	n.Services = newer(s.Services, o.Services)
-	n.Targets = newer(s.Targets, o.Targets)
-	n.Reindex()
-	return n
+	merged := &State{Number: max(s.Number, other.Number)}
+	merged.Accounts = mergeNewer(s.Accounts, other.Accounts)
+	merged.Budgets = s.Budgets.merge(other.Budgets.All())
+	merged.Services = mergeNewer(s.Services, other.Services)
+	merged.Targets = mergeNewer(s.Targets, other.Targets)
+	merged.Reindex()
+	return merged
 }
 
 // Reindex rebuilds the derived indexes; needed after a state was decoded.
@@ -56,11 +56,11 @@
 	s.indexKeys()
 	s.indexBudgets()
 	s.indexTargets()
-	s.LastRoutingChange = max(last(s.Accounts), last(s.Services), last(s.Targets))
+	s.LastRoutingChange = max(highestNumber(s.Accounts), highestNumber(s.Services), highestNumber(s.Targets))
 }
 
-// last is the highest ticket among the objects.
-func last[K comparable, T any](m map[K]Numbered[T]) bbunit.TicketNumber {
+// highestNumber is the highest ticket among the objects.
+func highestNumber[K comparable, T any](m map[K]Numbered[T]) bbunit.TicketNumber {
 	var n bbunit.TicketNumber
 	for _, o := range m {
 		n = max(n, o.Number)
@@ -68,9 +68,9 @@
 	return n
 }
 
-// index changes the indexes only where the ticket touches them.
-func (s *State) index(from *State, t Ticket) {
-	s.ByKey, s.ByAccount, s.ByService = from.ByKey, from.ByAccount, from.ByService
+// updateIndexes changes the indexes only where the ticket touches them.
+func (s *State) updateIndexes(prev *State, t Ticket) {
+	s.ByKey, s.ByAccount, s.ByService = prev.ByKey, prev.ByAccount, prev.ByService
 	if len(t.Accounts) > 0 || s.ByKey == nil {
 		s.indexKeys()
 	}
@@ -78,34 +78,34 @@
 	case s.ByAccount == nil:
 		s.indexBudgets()
 	case len(t.Budgets) > 0:
-		s.reindexBudgets(from, t)
+		s.moveBudgets(prev, t)
 	}
 	if len(t.Targets) > 0 || s.ByService == nil {
 		s.indexTargets()
 	}
 }
 
-// reindexBudgets moves the ticket's budgets between the accounts' lists.
-func (s *State) reindexBudgets(from *State, t Ticket) {
+// moveBudgets moves the ticket's budgets between the accounts' lists.
+func (s *State) moveBudgets(prev *State, t Ticket) {
 	s.ByAccount = maps.Clone(s.ByAccount)
 	for _, b := range t.Budgets {
-		was, now := from.Budgets.Get(b.ID), s.Budgets.Get(b.ID)
-		if was.Number > 0 && !was.Object.Deleted {
-			s.unlist(was.Object.Account, b.ID)
+		oldBudget, newBudget := prev.Budgets.Get(b.ID), s.Budgets.Get(b.ID)
+		if oldBudget.Number > 0 && !oldBudget.Object.Deleted {
+			s.removeBudget(oldBudget.Object.Account, b.ID)
 		}
-		if !now.Object.Deleted {
-			s.unlist(now.Object.Account, b.ID)
-			list := s.ByAccount[now.Object.Account]
-			at, _ := slices.BinarySearch(list, b.ID)
-			s.ByAccount[now.Object.Account] = slices.Insert(slices.Clone(list), at, b.ID)
+		if !newBudget.Object.Deleted {
+			s.removeBudget(newBudget.Object.Account, b.ID)
+			list := s.ByAccount[newBudget.Object.Account]
+			i, _ := slices.BinarySearch(list, b.ID)
+			s.ByAccount[newBudget.Object.Account] = slices.Insert(slices.Clone(list), i, b.ID)
 		}
 	}
 }
 
-// unlist takes a budget off an account's list, which may be shared.
-func (s *State) unlist(a bbunit.AccountID, b bbunit.BudgetID) {
+// removeBudget takes a budget off an account's list, which may be shared.
+func (s *State) removeBudget(a bbunit.AccountID, b bbunit.BudgetID) {
 	list := s.ByAccount[a]
-	at, ok := slices.BinarySearch(list, b)
+	i, ok := slices.BinarySearch(list, b)
 	if !ok {
 		return
 	}
@@ -113,7 +113,7 @@
 		delete(s.ByAccount, a)
 		return
 	}
-	s.ByAccount[a] = slices.Delete(slices.Clone(list), at, at+1)
+	s.ByAccount[a] = slices.Delete(slices.Clone(list), i, i+1)
 }
 
 func (s *State) indexKeys() {
@@ -146,8 +146,8 @@
 	}
 }
 
-// merge copies the map and writes the objects that are newer.
-func merge[K comparable, T any](old map[K]Numbered[T], objects []T, n bbunit.TicketNumber, id func(T) K) map[K]Numbered[T] {
+// mergeTicket copies the map and writes the objects that are newer.
+func mergeTicket[K comparable, T any](old map[K]Numbered[T], objects []T, n bbunit.TicketNumber, id func(T) K) map[K]Numbered[T] {
 	if len(objects) == 0 && old != nil {
 		return old
 	}
@@ -161,7 +161,7 @@
 	return out
 }
 
-func newer[K comparable, T any](a, b map[K]Numbered[T]) map[K]Numbered[T] {
+func mergeNewer[K comparable, T any](a, b map[K]Numbered[T]) map[K]Numbered[T] {
 	out := make(map[K]Numbered[T], max(len(a), len(b)))
 	maps.Copy(out, a)
 	for k, v := range b {
--- a/shared/bbticket/diff.go
+++ b/shared/bbticket/diff.go
@@ -26,32 +26,32 @@
 	}
 	out := []Change{}
 	for _, a := range t.Accounts {
-		out = diff(out, "account "+string(a.ID), s.Accounts[a.ID], a, a.Deleted)
+		out = diffObject(out, "account "+string(a.ID), s.Accounts[a.ID], a, a.Deleted)
 	}
 	for _, b := range t.Budgets {
-		out = diff(out, "budget "+string(b.ID), s.Budgets.Get(b.ID), b, b.Deleted)
+		out = diffObject(out, "budget "+string(b.ID), s.Budgets.Get(b.ID), b, b.Deleted)
 	}
 	for _, v := range t.Services {
-		out = diff(out, "service "+string(v.ID), s.Services[v.ID], v, v.Deleted)
+		out = diffObject(out, "service "+string(v.ID), s.Services[v.ID], v, v.Deleted)
 	}
 	for _, g := range t.Targets {
-		out = diff(out, "target "+string(g.ID), s.Targets[g.ID], g, g.Deleted)
+		out = diffObject(out, "target "+string(g.ID), s.Targets[g.ID], g, g.Deleted)
 	}
 	return out
 }
 
-func diff[T any](out []Change, name string, old Numbered[T], now T, gone bool) []Change {
+func diffObject[T any](out []Change, name string, old Numbered[T], next T, deleted bool) []Change {
 	if old.Number == 0 {
 		return append(out, Change{Action: "add", Object: name})
 	}
-	if gone {
+	if deleted {
 		return append(out, Change{Action: "remove", Object: name})
 	}
-	a, b := reflect.ValueOf(old.Object), reflect.ValueOf(now)
+	a, b := reflect.ValueOf(old.Object), reflect.ValueOf(next)
 	for i := range a.NumField() {
-		if was, is := a.Field(i).Interface(), b.Field(i).Interface(); !reflect.DeepEqual(was, is) {
+		if oldValue, newValue := a.Field(i).Interface(), b.Field(i).Interface(); !reflect.DeepEqual(oldValue, newValue) {
 			field, _, _ := strings.Cut(a.Type().Field(i).Tag.Get("yaml"), ",")
-			out = append(out, Change{Action: "change", Object: name, Field: field, Old: fmt.Sprint(was), New: fmt.Sprint(is)})
+			out = append(out, Change{Action: "change", Object: name, Field: field, Old: fmt.Sprint(oldValue), New: fmt.Sprint(newValue)})
 		}
 	}
 	return out
@@ -62,17 +62,17 @@
 func (s *State) Ticket() Ticket {
 	return Ticket{
 		Number:   s.Number,
-		Accounts: live(s.Accounts, func(a Account) bool { return a.Deleted }),
-		Budgets:  live(maps.Collect(s.Budgets.All()), func(b Budget) bool { return b.Deleted }),
-		Services: live(s.Services, func(v Service) bool { return v.Deleted }),
-		Targets:  live(s.Targets, func(g Target) bool { return g.Deleted }),
+		Accounts: liveObjects(s.Accounts, func(a Account) bool { return a.Deleted }),
+		Budgets:  liveObjects(maps.Collect(s.Budgets.All()), func(b Budget) bool { return b.Deleted }),
+		Services: liveObjects(s.Services, func(v Service) bool { return v.Deleted }),
+		Targets:  liveObjects(s.Targets, func(g Target) bool { return g.Deleted }),
 	}
 }
 
-func live[K cmp.Ordered, T any](m map[K]Numbered[T], gone func(T) bool) []T {
+func liveObjects[K cmp.Ordered, T any](m map[K]Numbered[T], deleted func(T) bool) []T {
 	var out []T
 	for _, k := range slices.Sorted(maps.Keys(m)) {
-		if o := m[k].Object; !gone(o) {
+		if o := m[k].Object; !deleted(o) {
 			out = append(out, o)
 		}
 	}
--- a/shared/bbticket/log.go
+++ b/shared/bbticket/log.go
@@ -18,17 +18,17 @@
 const (
 	// HeadKey holds the head: the last number, with the tail of the log.
 	HeadKey = "/bb/ticket/head"
-	// snapPrefix holds the state that the tail stands on, in shards.
-	snapPrefix = "/bb/ticket/snap/"
+	// snapshotPrefix holds the state that the tail stands on, in shards.
+	snapshotPrefix = "/bb/ticket/snap/"
 )
 
 const (
-	// shards is how many parts the folded state has.
-	shards = 64
-	// maxTail is the size of the head, in bytes, above which it is folded.
-	maxTail = 256 << 10
-	// maxPast is how many nonces of folded tickets the head keeps.
-	maxPast = 1024
+	// snapshotShards is how many parts the folded state has.
+	snapshotShards = 64
+	// maxHeadBytes is the size of the head, in bytes, above which it is folded.
+	maxHeadBytes = 256 << 10
+	// maxCompacted is how many nonces of folded tickets the head keeps.
+	maxCompacted = 1024
 	// MaxTicketBytes is the largest ticket, in bytes of JSON.
 	MaxTicketBytes = 512 << 10
 )
@@ -132,7 +132,7 @@
 		}
 		s := &State{}
 		if h.SnapshotNumber > 0 {
-			if s, err = l.loadShards(ctx); err != nil {
+			if s, err = l.loadSnapshot(ctx); err != nil {
 				return nil, errors.Trace(err)
 			}
 			s.Number = max(s.Number, h.SnapshotNumber)
@@ -143,18 +143,18 @@
 	}
 }
 
-func (l *Log) loadShards(ctx context.Context) (*State, error) {
-	es, _, err := l.store.List(ctx, snapPrefix)
+func (l *Log) loadSnapshot(ctx context.Context) (*State, error) {
+	entries, _, err := l.store.List(ctx, snapshotPrefix)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	s := &State{}
-	for _, e := range es {
-		var part State
-		if err := json.Unmarshal(e.Value, &part); err != nil {
+	for _, e := range entries {
+		var shard State
+		if err := json.Unmarshal(e.Value, &shard); err != nil {
 			return nil, errors.Annotatef(err, "shard %s", e.Key)
 		}
-		s = s.Merge(&part)
+		s = s.Merge(&shard)
 	}
 	// The shards may be ahead of the head while a fold is under way; the tail
 	// still has what is missing between.
@@ -175,7 +175,7 @@
 		if err != nil {
 			return errors.Trace(err)
 		}
-		if done, err := h.settled(t.Number, nonce); done {
+		if done, err := h.outcome(t.Number, nonce); done {
 			return err
 		}
 		s, err := l.Load(ctx)
@@ -188,7 +188,7 @@
 		if err := s.Check(t); err != nil {
 			return err
 		}
-		err = l.append(ctx, h, rev, LogEntry{Ticket: t, Nonce: nonce, At: now})
+		err = l.appendEntry(ctx, h, rev, LogEntry{Ticket: t, Nonce: nonce, At: now})
 		switch {
 		case err == nil:
 			return nil
@@ -203,8 +203,8 @@
 	}
 }
 
-// settled tells whether the number's fate is known from the head.
-func (h Head) settled(n bbunit.TicketNumber, nonce string) (bool, error) {
+// outcome tells whether the number's fate is known from the head.
+func (h Head) outcome(n bbunit.TicketNumber, nonce string) (bool, error) {
 	if n == h.Number+1 {
 		return false, nil
 	}
@@ -221,19 +221,19 @@
 	return true, &NumberError{Requested: n, Head: h.Number}
 }
 
-// append writes the head with one more ticket, folding the tail first when it
+// appendEntry writes the head with one more ticket, folding the tail first when it
 // has grown large.
-func (l *Log) append(ctx context.Context, h Head, rev bbstore.Revision, a LogEntry) error {
+func (l *Log) appendEntry(ctx context.Context, h Head, rev bbstore.Revision, a LogEntry) error {
 	next := Head{Number: a.Ticket.Number, SnapshotNumber: h.SnapshotNumber, Compacted: h.Compacted, Tail: append(h.Tail[:len(h.Tail):len(h.Tail)], a)}
 	v, err := json.Marshal(next)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if len(v) > maxTail && len(h.Tail) > 0 {
-		if err := l.fold(ctx, h); err != nil {
+	if len(v) > maxHeadBytes && len(h.Tail) > 0 {
+		if err := l.compact(ctx, h); err != nil {
 			return errors.Annotate(err, "folding the ticket log")
 		}
-		next.SnapshotNumber, next.Tail, next.Compacted = h.Number, []LogEntry{a}, h.past()
+		next.SnapshotNumber, next.Tail, next.Compacted = h.Number, []LogEntry{a}, h.compactTail()
 		if v, err = json.Marshal(next); err != nil {
 			return errors.Trace(err)
 		}
@@ -242,46 +242,46 @@
 	return errors.Trace(err)
 }
 
-// past is what Past becomes when the whole tail is folded.
-func (h Head) past() []CompactedTicket {
+// compactTail is what Past becomes when the whole tail is folded.
+func (h Head) compactTail() []CompactedTicket {
 	out := slices.Clone(h.Compacted)
 	for _, a := range h.Tail {
 		out = append(out, CompactedTicket{Number: a.Ticket.Number, Nonce: a.Nonce})
 	}
-	return out[max(0, len(out)-maxPast):]
+	return out[max(0, len(out)-maxCompacted):]
 }
 
-// fold writes the tail's objects into their shards. It goes only forward, so
+// compact writes the tail's objects into their shards. It goes only forward, so
 // that two folds at once, or one that stops half way, do no harm.
-func (l *Log) fold(ctx context.Context, h Head) error {
+func (l *Log) compact(ctx context.Context, h Head) error {
 	s := &State{}
 	for _, a := range h.Tail {
 		s = s.Apply(a.Ticket)
 	}
-	for i, part := range s.split() {
-		if part == nil {
+	for i, shard := range s.splitShards() {
+		if shard == nil {
 			continue
 		}
-		if err := l.foldShard(ctx, fmt.Sprintf("%s%02d", snapPrefix, i), part); err != nil {
+		if err := l.mergeShard(ctx, fmt.Sprintf("%s%02d", snapshotPrefix, i), shard); err != nil {
 			return errors.Trace(err)
 		}
 	}
 	return nil
 }
 
-func (l *Log) foldShard(ctx context.Context, key string, part *State) error {
+func (l *Log) mergeShard(ctx context.Context, key string, shard *State) error {
 	for {
 		e, err := l.store.Get(ctx, key)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		var old State
+		var current State
 		if e.Value != nil {
-			if err := json.Unmarshal(e.Value, &old); err != nil {
+			if err := json.Unmarshal(e.Value, &current); err != nil {
 				return errors.Annotatef(err, "shard %s", key)
 			}
 		}
-		v, err := json.Marshal(old.Merge(part))
+		v, err := json.Marshal(current.Merge(shard))
 		if err != nil {
 			return errors.Trace(err)
 		}
@@ -289,18 +289,18 @@
 		if err == nil {
 			return nil
 		}
-		again := errors.Is(err, bbstore.ErrConflict) || errors.Is(err, bbstore.ErrUnknown)
-		if !again || ctx.Err() != nil {
+		retryable := errors.Is(err, bbstore.ErrConflict) || errors.Is(err, bbstore.ErrUnknown)
+		if !retryable || ctx.Err() != nil {
 			return errors.Trace(err)
 		}
 	}
 }
 
-// split deals the objects out to the shards by their ids.
-func (s *State) split() []*State {
-	out := make([]*State, shards)
-	at := func(id string) *State {
-		i := xxhash.Sum64String(id) % shards
+// splitShards deals the objects out to the shards by their ids.
+func (s *State) splitShards() []*State {
+	out := make([]*State, snapshotShards)
+	shardOf := func(id string) *State {
+		i := xxhash.Sum64String(id) % snapshotShards
 		if out[i] == nil {
 			out[i] = &State{
 				Number:   s.Number,
@@ -312,17 +312,17 @@
 		return out[i]
 	}
 	for id, o := range s.Accounts {
-		at(string(id)).Accounts[id] = o
+		shardOf(string(id)).Accounts[id] = o
 	}
 	for id, o := range s.Budgets.All() {
-		part := at(string(id))
-		part.Budgets = part.Budgets.Set(id, o)
+		shard := shardOf(string(id))
+		shard.Budgets = shard.Budgets.Set(id, o)
 	}
 	for id, o := range s.Services {
-		at(string(id)).Services[id] = o
+		shardOf(string(id)).Services[id] = o
 	}
 	for id, o := range s.Targets {
-		at(string(id)).Targets[id] = o
+		shardOf(string(id)).Targets[id] = o
 	}
 	return out
 }
--- a/shared/bbticket/parse.go
+++ b/shared/bbticket/parse.go
@@ -27,8 +27,8 @@
 const MaxIDBytes = 128
 
 var (
-	idForm  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
-	keyForm = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
+	idPattern  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
+	keyPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
 )
 
 // Parse reads a ticket from YAML. Unknown and repeated fields are errors with
@@ -39,7 +39,7 @@
 	d := yaml.NewDecoder(bytes.NewReader(src), yaml.Strict(), yaml.DisallowUnknownField())
 	if err := d.Decode(&t); err != nil {
 		text := yaml.FormatError(err, false, true)
-		if at := badKind(src); at != "" {
+		if at := unknownKindError(src); at != "" {
 			text = at // the decoder gives no place for a name that is not in an enum
 		}
 		return Ticket{}, errors.WithType(errors.New(text), ErrInvalid)
@@ -47,9 +47,9 @@
 	return t, nil
 }
 
-// badKind tells where the first service stands whose kind is unknown, in the
+// unknownKindError tells where the first service stands whose kind is unknown, in the
 // decoder's form, or "" when there is none.
-func badKind(src []byte) string {
+func unknownKindError(src []byte) string {
 	for i := 0; ; i++ {
 		service, err := yaml.PathString(fmt.Sprintf("$.services[%d]", i))
 		if err != nil {
@@ -79,10 +79,10 @@
 	}
 }
 
-// faults collects what is wrong with a ticket.
-type faults []string
+// violations collects what is wrong with a ticket.
+type violations []string
 
-func (f *faults) addf(format string, args ...any) { *f = append(*f, fmt.Sprintf(format, args...)) }
+func (f *violations) addf(format string, args ...any) { *f = append(*f, fmt.Sprintf(format, args...)) }
 
 // Check tells whether the ticket may follow the state. The error is ErrInvalid
 // and names every fault, one a line.
@@ -90,7 +90,7 @@
 	if s == nil {
 		s = &State{}
 	}
-	var f faults
+	var f violations
 	if t.Number == 0 {
 		f.addf("number: must be above 0")
 	}
@@ -98,104 +98,104 @@
 		f.addf("ticket %d: touches nothing", t.Number)
 	}
 	next := s.Apply(t)
-	f.accounts(t.Accounts, next)
-	f.budgets(t.Budgets, next)
-	f.services(t.Services, next)
-	f.targets(t.Targets, next)
-	f.orphans(next)
+	f.checkAccounts(t.Accounts, next)
+	f.checkBudgets(t.Budgets, next)
+	f.checkServices(t.Services, next)
+	f.checkTargets(t.Targets, next)
+	f.checkOrphans(next)
 	if len(f) == 0 {
 		return nil
 	}
 	return errors.WithType(errors.New(strings.Join(f, "\n")), ErrInvalid)
 }
 
-func (f *faults) accounts(list []Account, next *State) {
+func (f *violations) checkAccounts(list []Account, next *State) {
 	seen := map[string]bool{}
-	owner := map[string]bbunit.AccountID{}
+	keyOwner := map[string]bbunit.AccountID{}
 	for id, a := range next.Accounts {
 		if a.Number < next.Number && !a.Object.Deleted {
 			for _, k := range a.Object.Keys {
-				owner[k] = id
+				keyOwner[k] = id
 			}
 		}
 	}
 	for i, a := range list {
-		at := fmt.Sprintf("accounts[%d] %q", i, a.ID)
-		f.id(at, string(a.ID), seen)
-		f.limit(at, a.Limit)
+		path := fmt.Sprintf("accounts[%d] %q", i, a.ID)
+		f.checkID(path, string(a.ID), seen)
+		f.checkLimit(path, a.Limit)
 		for _, k := range a.Keys {
-			if !keyForm.MatchString(k) {
-				f.addf("%s: key must be sha256: and 64 hex digits", at)
+			if !keyPattern.MatchString(k) {
+				f.addf("%s: key must be sha256: and 64 hex digits", path)
 			}
-			if other, ok := owner[k]; ok {
-				f.addf("%s: key is also that of account %q", at, other)
+			if other, ok := keyOwner[k]; ok {
+				f.addf("%s: key is also that of account %q", path, other)
 			}
-			owner[k] = a.ID
+			keyOwner[k] = a.ID
 		}
 		if len(a.Keys) == 0 && !a.Deleted {
-			f.addf("%s: has no keys", at)
+			f.addf("%s: has no keys", path)
 		}
 	}
 }
 
-func (f *faults) budgets(list []Budget, next *State) {
+func (f *violations) checkBudgets(list []Budget, next *State) {
 	seen := map[string]bool{}
 	for i, b := range list {
-		at := fmt.Sprintf("budgets[%d] %q", i, b.ID)
-		f.id(at, string(b.ID), seen)
-		f.amount(at+": paid", b.Paid, MaxPaid)
+		path := fmt.Sprintf("budgets[%d] %q", i, b.ID)
+		f.checkID(path, string(b.ID), seen)
+		f.checkAmount(path+": paid", b.Paid, MaxPaid)
 		if !b.Deleted {
-			found(f, at, "account", next.Accounts, b.Account)
+			checkExists(f, path, "account", next.Accounts, b.Account)
 		}
 	}
 }
 
-func (f *faults) services(list []Service, next *State) {
+func (f *violations) checkServices(list []Service, next *State) {
 	seen := map[string]bool{}
 	for i, v := range list {
-		at := fmt.Sprintf("services[%d] %q", i, v.ID)
-		f.id(at, string(v.ID), seen)
-		f.limit(at, v.Limit)
-		f.amount(at+": price.call", v.Price.Call, MaxPrice)
-		f.amount(at+": price.input", v.Price.Input, MaxPrice)
-		f.amount(at+": price.output", v.Price.Output, MaxPrice)
-		f.amount(at+": output", v.DefaultMaxOutput, MaxPrice)
+		path := fmt.Sprintf("services[%d] %q", i, v.ID)
+		f.checkID(path, string(v.ID), seen)
+		f.checkLimit(path, v.Limit)
+		f.checkAmount(path+": price.call", v.Price.Call, MaxPrice)
+		f.checkAmount(path+": price.input", v.Price.Input, MaxPrice)
+		f.checkAmount(path+": price.output", v.Price.Output, MaxPrice)
+		f.checkAmount(path+": output", v.DefaultMaxOutput, MaxPrice)
 		for _, m := range v.Idempotent {
 			if m == "" || strings.ToUpper(m) != m {
-				f.addf("%s: idempotent: not an HTTP method: %q", at, m)
+				f.addf("%s: idempotent: not an HTTP method: %q", path, m)
 			}
 		}
 		for _, a := range v.Accounts {
 			if !v.Deleted {
-				found(f, at, "account", next.Accounts, a)
+				checkExists(f, path, "account", next.Accounts, a)
 			}
 		}
 	}
 }
 
-func (f *faults) targets(list []Target, next *State) {
+func (f *violations) checkTargets(list []Target, next *State) {
 	seen := map[string]bool{}
 	for i, t := range list {
-		at := fmt.Sprintf("targets[%d] %q", i, t.ID)
-		f.id(at, string(t.ID), seen)
+		path := fmt.Sprintf("targets[%d] %q", i, t.ID)
+		f.checkID(path, string(t.ID), seen)
 		if t.Deleted {
 			continue
 		}
-		found(f, at, "service", next.Services, t.Service)
+		checkExists(f, path, "service", next.Services, t.Service)
 		if _, port, err := net.SplitHostPort(t.Address); err != nil || port == "" {
-			f.addf("%s: address: not host:port: %q", at, t.Address)
+			f.addf("%s: address: not host:port: %q", path, t.Address)
 		}
 		if t.Domain == "" {
-			f.addf("%s: domain: must not be empty", at)
+			f.addf("%s: domain: must not be empty", path)
 		}
 		if t.Slots < 0 {
-			f.addf("%s: slots: must not be negative, is %d", at, t.Slots)
+			f.addf("%s: slots: must not be negative, is %d", path, t.Slots)
 		}
 	}
 }
 
-// orphans finds objects in force whose owner the ticket takes away.
-func (f *faults) orphans(next *State) {
+// checkOrphans finds objects in force whose owner the ticket takes away.
+func (f *violations) checkOrphans(next *State) {
 	for id, b := range next.Budgets.All() {
 		if a, ok := next.Accounts[b.Object.Account]; ok && a.Object.Deleted && !b.Object.Deleted {
 			f.addf("account %q: gone, but budget %q is not", b.Object.Account, id)
@@ -208,33 +208,33 @@
 	}
 }
 
-func (f *faults) id(at, id string, seen map[string]bool) {
+func (f *violations) checkID(path, id string, seen map[string]bool) {
 	switch {
-	case !idForm.MatchString(id):
-		f.addf("%s: id: letters, digits, '.', '_' and '-' only", at)
+	case !idPattern.MatchString(id):
+		f.addf("%s: id: letters, digits, '.', '_' and '-' only", path)
 	case len(id) > MaxIDBytes:
-		f.addf("%s: id: longer than %d bytes", at, MaxIDBytes)
+		f.addf("%s: id: longer than %d bytes", path, MaxIDBytes)
 	case seen[id]:
-		f.addf("%s: id: stands twice", at)
+		f.addf("%s: id: stands twice", path)
 	}
 	seen[id] = true
 }
 
-func (f *faults) amount(at string, v, most bbunit.Tokens) {
-	if v < 0 || v > most {
-		f.addf("%s: must be from 0 to %d, is %d", at, most, v)
+func (f *violations) checkAmount(path string, v, limit bbunit.Tokens) {
+	if v < 0 || v > limit {
+		f.addf("%s: must be from 0 to %d, is %d", path, limit, v)
 	}
 }
 
-func (f *faults) limit(at string, l Limit) {
+func (f *violations) checkLimit(path string, l Limit) {
 	if l.Rate < 0 || l.Burst < 0 || l.MaxInFlight < 0 {
-		f.addf("%s: limit: must not be negative", at)
+		f.addf("%s: limit: must not be negative", path)
 	}
 }
 
-// found adds a fault when the object referred to is not in force.
-func found[K ~string, T any](f *faults, at, what string, in map[K]Numbered[T], id K) {
-	if _, ok := in[id]; !ok {
-		f.addf("%s: %s: unknown: %q", at, what, id)
+// checkExists adds a fault when the object referred to is not in force.
+func checkExists[K ~string, T any](f *violations, path, kind string, objects map[K]Numbered[T], id K) {
+	if _, ok := objects[id]; !ok {
+		f.addf("%s: %s: unknown: %q", path, kind, id)
 	}
 }
--- a/shared/bbticket/table.go
+++ b/shared/bbticket/table.go
@@ -10,33 +10,33 @@
 	"github.com/juju/errors"
 )
 
-// buckets is how many parts a Table has. A change copies one of them.
-const buckets = 1024
+// bucketCount is how many parts a Table has. A change copies one of them.
+const bucketCount = 1024
 
 // Table is an immutable map from ids to numbered objects. Set returns a changed
 // copy that shares all but one bucket, so that one object among 100,000 is
 // changed without copying the others. The zero value is empty.
 type Table[K ~string, T any] struct {
-	parts *[buckets]map[K]Numbered[T]
-	n     int
+	buckets *[bucketCount]map[K]Numbered[T]
+	size    int
 }
 
-func bucketOf[K ~string](id K) uint64 { return xxhash.Sum64String(string(id)) % buckets }
+func bucketOf[K ~string](id K) uint64 { return xxhash.Sum64String(string(id)) % bucketCount }
 
 // Len returns how many objects the table has.
-func (t Table[K, T]) Len() int { return t.n }
+func (t Table[K, T]) Len() int { return t.size }
 
 // Get returns the object, with number 0 when there is none.
 func (t Table[K, T]) Get(id K) Numbered[T] {
-	if t.parts == nil {
+	if t.buckets == nil {
 		return Numbered[T]{}
 	}
-	return t.parts[bucketOf(id)][id]
+	return t.buckets[bucketOf(id)][id]
 }
 
 // Set returns the table with the object written.
 func (t Table[K, T]) Set(id K, o Numbered[T]) Table[K, T] {
-	next := t.writer()
+	next := t.cloneBuckets()
 	next.put(id, o, map[uint64]bool{})
 	return next
 }
@@ -44,10 +44,10 @@
 // All returns the objects in no order.
 func (t Table[K, T]) All() iter.Seq2[K, Numbered[T]] {
 	return func(yield func(K, Numbered[T]) bool) {
-		if t.parts == nil {
+		if t.buckets == nil {
 			return
 		}
-		for _, m := range t.parts {
+		for _, m := range t.buckets {
 			for id, o := range m {
 				if !yield(id, o) {
 					return
@@ -59,7 +59,7 @@
 
 // Sorted returns all ids in order.
 func (t Table[K, T]) Sorted() []K {
-	out := make([]K, 0, t.n)
+	out := make([]K, 0, t.size)
 	for id := range t.All() {
 		out = append(out, id)
 	}
@@ -67,11 +67,11 @@
 	return out
 }
 
-// writer returns a copy whose list of buckets may be changed.
-func (t Table[K, T]) writer() Table[K, T] {
-	next := Table[K, T]{parts: new([buckets]map[K]Numbered[T]), n: t.n}
-	if t.parts != nil {
-		*next.parts = *t.parts
+// cloneBuckets returns a copy whose list of buckets may be changed.
+func (t Table[K, T]) cloneBuckets() Table[K, T] {
+	next := Table[K, T]{buckets: new([bucketCount]map[K]Numbered[T]), size: t.size}
+	if t.buckets != nil {
+		*next.buckets = *t.buckets
 	}
 	return next
 }
@@ -81,14 +81,14 @@
 func (t *Table[K, T]) put(id K, o Numbered[T], copied map[uint64]bool) {
 	b := bucketOf(id)
 	if !copied[b] {
-		m := make(map[K]Numbered[T], len(t.parts[b])+1)
-		maps.Copy(m, t.parts[b])
-		t.parts[b], copied[b] = m, true
+		m := make(map[K]Numbered[T], len(t.buckets[b])+1)
+		maps.Copy(m, t.buckets[b])
+		t.buckets[b], copied[b] = m, true
 	}
-	if _, ok := t.parts[b][id]; !ok {
-		t.n++
+	if _, ok := t.buckets[b][id]; !ok {
+		t.size++
 	}
-	t.parts[b][id] = o
+	t.buckets[b][id] = o
 }
 
 // merge writes the objects that are newer than what the table has.
@@ -99,7 +99,7 @@
 			continue
 		}
 		if !changed {
-			next, changed = t.writer(), true
+			next, changed = t.cloneBuckets(), true
 		}
 		next.put(id, o, copied)
 	}
