--- a/shared/bbmember/codec.go
+++ b/shared/bbmember/codec.go
@@ -5,8 +5,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Encode returns the reports as they go over the wire. A failure domain that is
-// the same as the first report's is left out.
+// Encode converts reports to protobuf messages. A report whose failure domain
+// equals that of the first report leaves the domain empty to save bytes.
 func Encode(reports []Report) []*bbwire.Member {
 	out := make([]*bbwire.Member, len(reports))
 	for i, r := range reports {
@@ -21,7 +21,8 @@
 	return out
 }
 
-// Decode returns the reports that came over the wire, unchecked.
+// Decode converts protobuf messages to reports and fills in the failure domains
+// that Encode left empty. It does not validate them; HandleGossip does.
 func Decode(in []*bbwire.Member) []Report {
 	out := make([]Report, len(in))
 	for i, m := range in {
--- a/shared/bbmember/fleet.go
+++ b/shared/bbmember/fleet.go
@@ -8,78 +8,81 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Report is what an instance says of a member. Only the member itself raises
-// Beat; it begins at the milliseconds of the epoch at its start, so that a
-// later life of the same id has the higher beats.
+// Report is what gossip carries about a member.
 type Report struct {
 	Member
+	// Heartbeat is a counter that only the member itself increments. It starts at
+	// the member's start time in milliseconds since the epoch, so that a later
+	// incarnation with the same id has higher values.
 	Heartbeat uint64
 }
 
-// ListEntry is one entry of the platform's list of instances, which lags.
+// ListEntry is one entry of the platform's list of instances. The list lags
+// behind the fleet.
 type ListEntry struct {
 	ID      bbunit.InstanceID
 	Domain  bbunit.DomainID
 	Address string
 	Leaving bool
-	// Since is when the entry took its state, in milliseconds since the epoch;
-	// 0 when the list doesn't tell.
+	// Since is when the entry entered its state, in milliseconds since the epoch;
+	// 0 if the list does not say.
 	Since int64
 }
 
-// Message is gossip for one member.
+// Message is a gossip message to one member.
 type Message struct {
 	To      bbunit.InstanceID
 	Reports []Report
 }
 
-// Actions are what the instance has to do after an event.
+// Actions lists what the caller has to do after an event.
 type Actions struct {
-	// View is the new view, nil when it is as before.
+	// View is the new view, or nil if it did not change.
 	View *View
-	// Send is gossip to send now.
+	// Send lists the gossip messages to send now.
 	Send []Message
-	// Probe are members to connect to afresh; the outcome comes back as
-	// Greeted or Unreachable.
+	// Probe lists members to open a new connection to. The caller reports the
+	// outcome with HandleHello or RecordFailure.
 	Probe []bbunit.InstanceID
-	// Dropped counts malformed reports.
+	// Dropped counts the malformed reports that were ignored.
 	Dropped int
-	// Superseded tells that a later life of this instance was seen.
+	// Superseded is set when a later incarnation of this instance was reported.
 	Superseded bool
 }
 
-// Fleet decides who is live. It has no clock, random source or goroutine of
-// its own, and is not safe for concurrent use.
+// Fleet is the membership state machine of one instance: it takes events, detects
+// failed members and maintains the view of live ones. The caller passes in the
+// time and the random source. It is not safe for concurrent use.
 type Fleet struct {
 	cfg            Config
 	self           Report
 	rng            *rand.Rand
 	peers          map[bbunit.InstanceID]*peer
-	peerIDs        []bbunit.InstanceID // keys of entries, sorted
+	peerIDs        []bbunit.InstanceID // keys of peers, sorted
 	tombstones     map[bbunit.InstanceID]tombstone
 	view           *View
-	remotePartners []bbunit.InstanceID // partners in other failure domains
+	remotePartners []bbunit.InstanceID // gossip partners in other failure domains
 	rounds         int
-	contactFailed  bool // a connection failed since the last probe
+	contactFailed  bool // a connection failed since the last probe of the stalest peer
 
-	lastEventAt      time.Time     // wall time of the last event
-	elapsed          time.Duration // time passed, which never jumps
-	lastStalestProbe time.Duration
+	lastEventAt      time.Time     // wall clock at the last event
+	elapsed          time.Duration // this fleet's own clock: never jumps, see advanceClock
+	lastStalestProbe time.Duration // last probe of the stalest peer
 }
 
-// peer is what is known of another instance.
+// peer is the state of another instance. Its times are readings of Fleet.elapsed.
 type peer struct {
 	Report
-	lastSeen    time.Duration // last rise of the beat, or contact
-	lastFailure time.Duration // last failed contact
+	lastSeen    time.Duration // last heartbeat increase or direct contact
+	lastFailure time.Duration // last failed connection
 	lastProbe   time.Duration // last probe
-	changedAt   time.Duration // joined or began to leave
-	inList      bool
-	confirmed   bool
+	changedAt   time.Duration // when it joined or began to leave
+	inList      bool          // present in the platform's list
+	confirmed   bool          // known from gossip or contact, not only from the list
 }
 
-// tombstone keeps a dropped member's last beat, so that stale reports don't bring
-// it back.
+// tombstone keeps the last heartbeat of a dropped member, so that stale reports
+// do not add it again.
 type tombstone struct {
 	inc       bbunit.Incarnation
 	heartbeat uint64
@@ -87,10 +90,10 @@
 	droppedAt time.Duration
 }
 
-// NewFleet returns the fleet as seen by self, which starts at now.
-func NewFleet(self Member, cfg Config, now time.Time, rnd *rand.Rand) *Fleet {
+// NewFleet returns the membership state of self, an instance that starts at now.
+func NewFleet(self Member, cfg Config, now time.Time, rng *rand.Rand) *Fleet {
 	f := &Fleet{
-		cfg: cfg, self: Report{Member: self, Heartbeat: uint64(max(now.UnixMilli(), 1))}, rng: rnd,
+		cfg: cfg, self: Report{Member: self, Heartbeat: uint64(max(now.UnixMilli(), 1))}, rng: rng,
 		peers: map[bbunit.InstanceID]*peer{}, tombstones: map[bbunit.InstanceID]tombstone{},
 		lastEventAt: now, elapsed: time.Second,
 	}
@@ -98,95 +101,97 @@
 	return f
 }
 
-// View returns the members that are live.
+// View returns the current view of the live members.
 func (f *Fleet) View() *View { return f.view }
 
-// Address returns where a member is reached, whether it is live or not.
+// Address returns the address of a member, live or not, and whether it is known.
 func (f *Fleet) Address(id bbunit.InstanceID) (string, bool) {
-	if e, ok := f.peers[id]; ok {
-		return e.Address, e.Address != ""
+	if p, ok := f.peers[id]; ok {
+		return p.Address, p.Address != ""
 	}
 	return "", false
 }
 
-// advanceClock moves the clock on. Steps are bounded, so that neither a jump of the
-// wall clock nor a pause of this instance makes the others look silent.
+// advanceClock adds the time since the last event to elapsed, at most two periods.
+// The limit keeps a jump of the wall clock or a pause of this instance from making
+// all other members look silent.
 func (f *Fleet) advanceClock(now time.Time) {
 	step := now.Sub(f.lastEventAt)
 	f.lastEventAt = now
 	f.elapsed += min(max(step, 0), 2*f.cfg.Period)
 }
 
-// UpdateList takes the platform's list.
+// UpdateList processes the platform's list of instances. The list adds members and
+// may mark them as leaving; gossip overrides its addresses and domains.
 func (f *Fleet) UpdateList(now time.Time, list []ListEntry) Actions {
 	f.advanceClock(now)
-	for _, e := range f.peers {
-		e.inList = false
+	for _, p := range f.peers {
+		p.inList = false
 	}
-	for _, l := range list {
-		if l.ID == f.self.ID || !validIDs(l.ID, l.Domain) {
+	for _, entry := range list {
+		if entry.ID == f.self.ID || !validIDs(entry.ID, entry.Domain) {
 			continue
 		}
-		e := f.peers[l.ID]
-		if e == nil {
-			e = f.addPeer(Report{Member: Member{ID: l.ID, Domain: l.Domain, Address: l.Address}})
+		p := f.peers[entry.ID]
+		if p == nil {
+			p = f.addPeer(Report{Member: Member{ID: entry.ID, Domain: entry.Domain, Address: entry.Address}})
 		}
-		e.inList = true
-		if !e.confirmed {
-			e.Address, e.Domain = l.Address, l.Domain
+		p.inList = true
+		if !p.confirmed {
+			p.Address, p.Domain = entry.Address, entry.Domain
 		}
-		if l.Leaving && (!e.confirmed || l.Since >= int64(e.Heartbeat)) {
-			e.markLeaving(f.elapsed)
+		if entry.Leaving && (!p.confirmed || entry.Since >= int64(p.Heartbeat)) {
+			p.markLeaving(f.elapsed)
 		}
 	}
 	return f.addView(Actions{})
 }
 
-// HandleHello takes what a member said of itself on a fresh connection.
+// HandleHello processes the Hello that a member sent on a new connection.
 func (f *Fleet) HandleHello(now time.Time, m Member) Actions {
 	f.advanceClock(now)
 	if m.ID == f.self.ID || !validIDs(m.ID, m.Domain) {
 		return Actions{Dropped: 1}
 	}
-	e := f.peers[m.ID]
-	g, dropped := f.tombstones[m.ID]
+	p := f.peers[m.ID]
+	tombstone, dropped := f.tombstones[m.ID]
 	switch {
-	case dropped && g.inc != m.Inc, e != nil && e.Inc != 0 && e.Inc != m.Inc:
-		return f.addView(Actions{}) // its reports tell which life is the later
-	case e == nil:
-		e = f.addPeer(Report{Member: m})
-	case e.Inc == 0:
-		leaving := e.Leaving || f.leftBefore(m)
-		e.Report = Report{Member: m}
-		e.Leaving = leaving
+	case dropped && tombstone.inc != m.Inc, p != nil && p.Inc != 0 && p.Inc != m.Inc:
+		return f.addView(Actions{}) // only heartbeats tell which incarnation is later
+	case p == nil:
+		p = f.addPeer(Report{Member: m})
+	case p.Inc == 0:
+		leaving := p.Leaving || f.leftBefore(m)
+		p.Report = Report{Member: m}
+		p.Leaving = leaving
 	}
-	e.markSeen(f.elapsed)
+	p.markSeen(f.elapsed)
 	return f.addView(Actions{})
 }
 
-// RecordContact notes that traffic came from members; only their ids and
-// incarnations are read.
+// RecordContact records that traffic arrived from the given members. It uses only
+// their ids and incarnations.
 func (f *Fleet) RecordContact(now time.Time, from []Member) Actions {
 	f.advanceClock(now)
 	for _, m := range from {
-		if e := f.peers[m.ID]; e != nil && e.Inc == m.Inc {
-			e.markSeen(f.elapsed)
+		if p := f.peers[m.ID]; p != nil && p.Inc == m.Inc {
+			p.markSeen(f.elapsed)
 		}
 	}
 	return f.addView(Actions{})
 }
 
-// RecordFailure notes that no connection to a member could be made.
+// RecordFailure records that a connection to a member failed.
 func (f *Fleet) RecordFailure(now time.Time, id bbunit.InstanceID) Actions {
 	f.advanceClock(now)
-	if e := f.peers[id]; e != nil {
-		e.lastFailure, f.contactFailed = f.elapsed, true
+	if p := f.peers[id]; p != nil {
+		p.lastFailure, f.contactFailed = f.elapsed, true
 	}
 	return f.addView(Actions{})
 }
 
-// HandleGossip takes the reports of a message. News that a member leaves goes on at
-// once.
+// HandleGossip merges the reports of a gossip message. A report that a member has
+// begun to leave is forwarded at once instead of in the next round.
 func (f *Fleet) HandleGossip(now time.Time, reports []Report) Actions {
 	f.advanceClock(now)
 	var a Actions
@@ -209,34 +214,34 @@
 	return f.addView(a)
 }
 
-// mergeReport merges one report; it returns whether the member just joined or began
-// to leave.
+// mergeReport merges one report and returns whether the member is new, has a new
+// incarnation or began to leave.
 func (f *Fleet) mergeReport(r Report) bool {
-	if g, ok := f.tombstones[r.ID]; ok && r.Heartbeat <= g.heartbeat {
+	if tombstone, ok := f.tombstones[r.ID]; ok && r.Heartbeat <= tombstone.heartbeat {
 		return false
 	}
-	e := f.peers[r.ID]
-	if e == nil {
+	p := f.peers[r.ID]
+	if p == nil {
 		f.addPeer(r).markSeen(f.elapsed)
 		return true
 	}
-	if r.Heartbeat <= e.Heartbeat {
+	if r.Heartbeat <= p.Heartbeat {
 		return false
 	}
-	newIncarnation, firstReport := e.Inc != r.Inc, e.Inc == 0
-	wasLeaving := e.Leaving && !newIncarnation
-	e.Report = r
-	e.Leaving = r.Leaving || wasLeaving || f.leftBefore(r.Member)
-	e.confirmed, e.lastSeen = true, f.elapsed
-	if e.Leaving != wasLeaving || (newIncarnation && !firstReport) {
-		e.changedAt = f.elapsed
+	newIncarnation, firstReport := p.Inc != r.Inc, p.Inc == 0
+	wasLeaving := p.Leaving && !newIncarnation
+	p.Report = r
+	p.Leaving = r.Leaving || wasLeaving || f.leftBefore(r.Member)
+	p.confirmed, p.lastSeen = true, f.elapsed
+	if p.Leaving != wasLeaving || (newIncarnation && !firstReport) {
+		p.changedAt = f.elapsed
 		return true
 	}
 	return false
 }
 
-// Leave tells the own failure domain, and some of the others, that this
-// instance leaves.
+// Leave announces to members of the own failure domain, and to some of the
+// others, that this instance is leaving.
 func (f *Fleet) Leave(now time.Time) Actions {
 	f.advanceClock(now)
 	f.self.Leaving = true
@@ -248,7 +253,7 @@
 	return f.addView(a)
 }
 
-// Tick runs one round; it is called each period.
+// Tick runs one gossip round. The caller calls it once per Config.Period.
 func (f *Fleet) Tick(now time.Time) Actions {
 	f.advanceClock(now)
 	f.self.Heartbeat++
@@ -261,63 +266,65 @@
 	return f.addView(a)
 }
 
-// dropSilent drops members that nobody vouches for any more. A listed one stays to be
-// reached, with its life forgotten.
+// dropSilent drops members that have been silent for ForgetTimeout, or for
+// SuspicionTimeout while leaving. A member that is still in the platform's list
+// stays, so that it can be probed, but its incarnation is forgotten. Its tombstone
+// has no heartbeat, so that a later incarnation whose clock is behind is accepted.
 func (f *Fleet) dropSilent() {
 	for _, id := range slices.Clone(f.peerIDs) {
-		e := f.peers[id]
-		timedOut := f.silence(e) > f.cfg.ForgetTimeout
-		departed := e.Leaving && f.isSilent(e)
+		p := f.peers[id]
+		timedOut := f.silence(p) > f.cfg.ForgetTimeout
+		departed := p.Leaving && f.isSilent(p)
 		switch {
-		case e.inList && timedOut && e.confirmed:
-			f.tombstones[id] = tombstone{inc: e.Inc, leaving: e.Leaving, droppedAt: f.elapsed}
-			e.Inc, e.Heartbeat, e.confirmed = 0, 0, false
-		case !e.inList && (timedOut || departed):
-			f.tombstones[id] = tombstone{inc: e.Inc, heartbeat: e.Heartbeat, leaving: e.Leaving, droppedAt: f.elapsed}
+		case p.inList && timedOut && p.confirmed:
+			f.tombstones[id] = tombstone{inc: p.Inc, leaving: p.Leaving, droppedAt: f.elapsed}
+			p.Inc, p.Heartbeat, p.confirmed = 0, 0, false
+		case !p.inList && (timedOut || departed):
+			f.tombstones[id] = tombstone{inc: p.Inc, heartbeat: p.Heartbeat, leaving: p.Leaving, droppedAt: f.elapsed}
 			delete(f.peers, id)
 			i, _ := slices.BinarySearch(f.peerIDs, id)
 			f.peerIDs = slices.Delete(f.peerIDs, i, i+1)
 		}
 	}
-	for id, g := range f.tombstones {
-		if f.elapsed-g.droppedAt > 4*f.cfg.ForgetTimeout {
+	for id, t := range f.tombstones {
+		if f.elapsed-t.droppedAt > 4*f.cfg.ForgetTimeout {
 			delete(f.tombstones, id)
 		}
 	}
 }
 
 func (f *Fleet) addPeer(r Report) *peer {
-	e := &peer{Report: r, lastSeen: f.elapsed, changedAt: f.elapsed}
-	e.Leaving = e.Leaving || f.leftBefore(r.Member)
-	f.peers[r.ID] = e
+	p := &peer{Report: r, lastSeen: f.elapsed, changedAt: f.elapsed}
+	p.Leaving = p.Leaving || f.leftBefore(r.Member)
+	f.peers[r.ID] = p
 	i, _ := slices.BinarySearch(f.peerIDs, r.ID)
 	f.peerIDs = slices.Insert(f.peerIDs, i, r.ID)
-	return e
+	return p
 }
 
-// leftBefore tells whether a life was dropped while it was leaving.
+// leftBefore tells whether this incarnation of m was dropped while leaving.
 func (f *Fleet) leftBefore(m Member) bool {
-	g, ok := f.tombstones[m.ID]
-	return ok && g.leaving && g.inc == m.Inc
+	tombstone, ok := f.tombstones[m.ID]
+	return ok && tombstone.leaving && tombstone.inc == m.Inc
 }
 
-func (e *peer) markSeen(elapsed time.Duration) { e.confirmed, e.lastSeen = true, elapsed }
+func (p *peer) markSeen(elapsed time.Duration) { p.confirmed, p.lastSeen = true, elapsed }
 
-func (e *peer) markLeaving(elapsed time.Duration) {
-	if !e.Leaving {
-		e.Leaving, e.changedAt = true, elapsed
+func (p *peer) markLeaving(elapsed time.Duration) {
+	if !p.Leaving {
+		p.Leaving, p.changedAt = true, elapsed
 	}
 }
 
-func (f *Fleet) silence(e *peer) time.Duration { return f.elapsed - e.lastSeen }
+func (f *Fleet) silence(p *peer) time.Duration { return f.elapsed - p.lastSeen }
 
-func (f *Fleet) isSilent(e *peer) bool { return f.silence(e) > f.cfg.SuspicionTimeout }
+func (f *Fleet) isSilent(p *peer) bool { return f.silence(p) > f.cfg.SuspicionTimeout }
 
-// isLive tells whether a member belongs into the view: a silent one does until a
-// fresh connection to it has failed as well.
-func (f *Fleet) isLive(e *peer) bool { return !f.isSilent(e) || e.lastFailure <= e.lastSeen }
+// isLive tells whether a member belongs in the view. A silent member stays in it
+// until a connection to it has failed as well.
+func (f *Fleet) isLive(p *peer) bool { return !f.isSilent(p) || p.lastFailure <= p.lastSeen }
 
-// addView adds the view to the actions when it changed.
+// addView rebuilds the view if it changed and adds it to the actions.
 func (f *Fleet) addView(a Actions) Actions {
 	if !f.viewIsCurrent() {
 		f.view = f.buildView()
@@ -326,7 +333,7 @@
 	return a
 }
 
-// viewIsCurrent tells whether the view is as it would be built now.
+// viewIsCurrent tells whether buildView would return a view equal to the current one.
 func (f *Fleet) viewIsCurrent() bool {
 	if f.view.Self != f.self.Member {
 		return false
@@ -336,8 +343,8 @@
 		if len(members) > 0 && members[0].ID == f.self.ID {
 			members = members[1:]
 		}
-		if e := f.peers[id]; f.isLive(e) {
-			if len(members) == 0 || members[0] != e.Member {
+		if p := f.peers[id]; f.isLive(p) {
+			if len(members) == 0 || members[0] != p.Member {
 				return false
 			}
 			members = members[1:]
@@ -353,8 +360,8 @@
 		if !selfPlaced && id > f.self.ID {
 			v.Members, selfPlaced = append(v.Members, f.self.Member), true
 		}
-		if e := f.peers[id]; f.isLive(e) {
-			v.Members = append(v.Members, e.Member)
+		if p := f.peers[id]; f.isLive(p) {
+			v.Members = append(v.Members, p.Member)
 		}
 	}
 	if !selfPlaced {
--- a/shared/bbmember/fleet_test.go
+++ b/shared/bbmember/fleet_test.go
@@ -14,13 +14,14 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// fleetCost is what a fleet of a size costs, and how soon it hears.
+// fleetCost holds the gossip traffic and detection times measured on a simulated
+// fleet.
 type fleetCost struct {
-	bytesPerSecond  float64 // bytes of gossip sent by an instance in a second
-	probesPerSecond float64 // probes by an instance in a second
-	missingPairs    int
-	leaveSeconds    int // seconds until every instance knows of one that leaves
-	crashSeconds    int // seconds until the failure domain knows of one that died
+	bytesPerSecond  float64 // gossip sent per instance
+	probesPerSecond float64 // per instance
+	missingPairs    int     // see sim.missingPairs
+	leaveSeconds    int     // until every instance knows that a member is leaving
+	crashSeconds    int     // until its failure domain has removed a crashed member
 }
 
 func measureFleet(n, domains int) fleetCost {
@@ -49,8 +50,7 @@
 	return c
 }
 
-// BenchmarkGossip prints what membership costs an instance against the number
-// of instances.
+// BenchmarkGossip reports gossip traffic and detection times by fleet size.
 func BenchmarkGossip(b *testing.B) {
 	for _, z := range []struct{ n, domains int }{{8, 4}, {32, 4}, {128, 8}, {512, 12}} {
 		b.Run(fmt.Sprintf("instances=%d", z.n), func(b *testing.B) {
@@ -95,15 +95,15 @@
 func TestMalformedReportsAreDropped(t *testing.T) {
 	good := testReport("a", 1, heartbeatAt(0))
 	cases := map[string]func(r *Report){
-		"no id":               func(r *Report) { r.ID = "" },
-		"long id":             func(r *Report) { r.ID = bbunit.InstanceID(strings.Repeat("x", 200)) },
-		"no failure domain":   func(r *Report) { r.Domain = "" },
-		"no incarnation":      func(r *Report) { r.Inc = 0 },
-		"no beat":             func(r *Report) { r.Heartbeat = 0 },
-		"beat of the future":  func(r *Report) { r.Heartbeat = math.MaxUint64 },
-		"address by name":     func(r *Report) { r.Address = "host:1" },
-		"unspecified address": func(r *Report) { r.Address = "0.0.0.0:1" },
-		"no port":             func(r *Report) { r.Address = "10.0.0.2:0" },
+		"no id":                           func(r *Report) { r.ID = "" },
+		"long id":                         func(r *Report) { r.ID = bbunit.InstanceID(strings.Repeat("x", 200)) },
+		"no failure domain":               func(r *Report) { r.Domain = "" },
+		"no incarnation":                  func(r *Report) { r.Inc = 0 },
+		"no heartbeat":                    func(r *Report) { r.Heartbeat = 0 },
+		"heartbeat too far in the future": func(r *Report) { r.Heartbeat = math.MaxUint64 },
+		"address by name":                 func(r *Report) { r.Address = "host:1" },
+		"unspecified address":             func(r *Report) { r.Address = "0.0.0.0:1" },
+		"no port":                         func(r *Report) { r.Address = "10.0.0.2:0" },
 	}
 	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 			corrupt(&bad)
 			a := f.HandleGossip(simStart, []Report{bad, testReport("b", 1, heartbeatAt(0))})
 			is.Equal(a.Dropped, 1)
-			is.Equal(len(f.View().Members), 2) // self and b: the rest of the message counts
+			is.Equal(len(f.View().Members), 2) // self and b: the valid report of the message is used
 		})
 	}
 }
@@ -124,16 +124,16 @@
 		run  func(f *Fleet)
 		want bbunit.Incarnation
 	}{
-		"a later life replaces the earlier": {func(f *Fleet) {
+		"a later incarnation replaces the earlier": {func(f *Fleet) {
 			f.HandleGossip(simStart, []Report{testReport("a", earlier, heartbeatAt(0))})
 			f.HandleGossip(simStart, []Report{testReport("a", later, heartbeatAt(time.Minute))})
 		}, later},
-		"an earlier life that resumes does not come back": {func(f *Fleet) {
+		"an earlier incarnation that resumes is ignored": {func(f *Fleet) {
 			f.HandleGossip(simStart, []Report{testReport("a", later, heartbeatAt(time.Minute))})
 			f.HandleGossip(simStart, []Report{testReport("a", earlier, heartbeatAt(30*time.Second))})
 			f.HandleHello(simStart, testReport("a", earlier, 0).Member)
 		}, later},
-		"a later life with a clock behind is taken once the earlier is forgotten": {func(f *Fleet) {
+		"a later incarnation whose clock is behind is accepted once the earlier is forgotten": {func(f *Fleet) {
 			f.HandleGossip(simStart, []Report{testReport("a", earlier, heartbeatAt(time.Minute))})
 			f.UpdateList(simStart, []ListEntry{{ID: "a", Domain: "d1", Address: "10.0.0.2:1"}})
 			for i := range 70 {
@@ -152,7 +152,7 @@
 			is.Equal(m.Inc, c.want)
 		})
 	}
-	t.Run("an earlier life's greeting does not keep the later one in the view", func(t *testing.T) {
+	t.Run("a Hello of an earlier incarnation does not keep the later one in the view", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet()
 		f.HandleGossip(simStart, []Report{testReport("a", later, heartbeatAt(0))})
@@ -166,7 +166,7 @@
 		_, ok := f.View().Find("a")
 		is.True(!ok)
 	})
-	t.Run("an instance hears that it was replaced", func(t *testing.T) {
+	t.Run("an instance detects that it was superseded", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet()
 		is.True(f.HandleGossip(simStart, []Report{testReport("self", 10, heartbeatAt(time.Minute))}).Superseded)
@@ -184,7 +184,7 @@
 	r := testReport("a", 1, heartbeatAt(0)+1)
 	r.Leaving = true
 	f.HandleGossip(simStart, []Report{r})
-	f.UpdateList(simStart, live) // the list still has it live
+	f.UpdateList(simStart, live) // the list still says live
 	_, ok := f.View().Home("k", "d1")
 	is.True(ok)
 	m, _ := f.View().Find("a")
@@ -192,12 +192,12 @@
 	r.Leaving, r.Heartbeat = false, r.Heartbeat+1
 	f.HandleGossip(simStart, []Report{r})
 	m, _ = f.View().Find("a")
-	is.True(m.Leaving) // a life that leaves doesn't come back
+	is.True(m.Leaving) // an incarnation that is leaving stays so
 
 	f.HandleGossip(simStart, []Report{testReport("a", 2, heartbeatAt(time.Minute))})
 	f.UpdateList(simStart, []ListEntry{{ID: "a", Domain: "d1", Address: "10.0.0.2:1", Leaving: true, Since: simStart.UnixMilli()}})
 	m, _ = f.View().Find("a")
-	is.True(!m.Leaving) // the mark was for the earlier life
+	is.True(!m.Leaving) // the entry is older than this incarnation
 }
 
 func TestClockJumpsKeepTheView(t *testing.T) {
@@ -216,7 +216,7 @@
 				f.Tick(simStart.Add(jump + time.Duration(i)*time.Second))
 			}
 			_, ok = f.View().Find("a")
-			is.True(!ok) // real silence still counts after the jump
+			is.True(!ok) // silence after the jump is still detected
 		})
 	}
 }
@@ -234,7 +234,7 @@
 	}
 	is.True(probed)
 	_, ok := f.View().Find("a")
-	is.True(ok) // silent, but nobody tried a fresh connection in vain
+	is.True(ok) // silent, but no connection has failed yet
 	f.RecordFailure(at, "a")
 	_, ok = f.View().Find("a")
 	is.True(!ok)
@@ -260,12 +260,12 @@
 	s.run(120)
 	s.partitioned = func(_, _ *simNode) bool { return false }
 	healed := s.runUntil(60, func(node *simNode) bool { return len(node.View().Members) == len(s.nodes) })
-	t.Logf("cut seen whole after %d s, healed after %d s", split, healed)
+	t.Logf("partition detected by all after %d s, healed after %d s", split, healed)
 	is.True(split >= 0)
 	is.True(healed >= 0 && healed <= 30)
 }
 
-// TestViewInvariants checks what holds after any events at all.
+// TestViewInvariants checks the view after random sequences of events.
 func TestViewInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTestFleet()
@@ -276,7 +276,7 @@
 			id := fmt.Sprintf("m%d", rapid.IntRange(0, 3).Draw(t, "id"))
 			inc, beat := rapid.Uint64Range(1, 3).Draw(t, "inc"), rapid.Uint64Range(0, 9).Draw(t, "beat")
 			r := testReport(id, inc, heartbeatAt(time.Duration(inc)*time.Minute)+beat)
-			r.Leaving = beat >= 5 // each life begins to leave at its fifth beat
+			r.Leaving = beat >= 5 // each incarnation begins to leave at its fifth heartbeat
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				f.HandleGossip(at, []Report{r})
@@ -284,7 +284,7 @@
 				f.UpdateList(at, []ListEntry{{ID: r.ID, Domain: r.Domain, Address: r.Address}})
 			case 2:
 				hello := r.Member
-				hello.Leaving = false // a Hello does not tell
+				hello.Leaving = false // a Hello does not carry it
 				f.HandleHello(at, hello)
 			case 3:
 				f.RecordFailure(at, r.ID)
@@ -298,31 +298,31 @@
 	})
 }
 
-// checkView holds for every view: sorted, this instance once, and no life that
-// leaves comes back.
-func checkView(t *rapid.T, f *Fleet, leaving map[string]bool) {
+// checkView fails unless the view is sorted, contains this instance once, and no
+// incarnation that was leaving is live again.
+func checkView(t *rapid.T, f *Fleet, leavingIncarnations map[string]bool) {
 	v := f.View()
 	self := 0
 	for i, m := range v.Members {
 		if i > 0 && v.Members[i-1].ID >= m.ID {
-			t.Fatalf("not sorted: %v", v.Members)
+			t.Fatalf("view is not sorted: %v", v.Members)
 		}
 		if m.ID == "self" {
 			self++
 		}
 		incarnation := fmt.Sprint(m.ID, m.Inc)
-		if m.Inc != 0 && leaving[incarnation] && !m.Leaving {
-			t.Fatalf("%s came back", incarnation)
+		if m.Inc != 0 && leavingIncarnations[incarnation] && !m.Leaving {
+			t.Fatalf("%s was leaving and is live again", incarnation)
 		}
-		leaving[incarnation] = leaving[incarnation] || m.Leaving
+		leavingIncarnations[incarnation] = leavingIncarnations[incarnation] || m.Leaving
 	}
 	if self != 1 {
-		t.Fatalf("this instance is %d times in its view", self)
+		t.Fatalf("this instance is in its view %d times, want once", self)
 	}
 }
 
-// A member that has greeted but whose heartbeat is not known is not reported:
-// the others would drop the report as malformed.
+// A member that sent a Hello but whose heartbeat is unknown is not reported:
+// receivers would drop the report as malformed.
 func TestMembersWithoutHeartbeatAreNotReported(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/shared/bbmember/list.go
+++ b/shared/bbmember/list.go
@@ -9,11 +9,11 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ErrInvalidList marks an answer of the platform's list, or an entry, that can't be
-// read.
+// ErrInvalidList means that the platform's list of instances, or one entry of it,
+// is malformed.
 const ErrInvalidList = errors.ConstError("bad list of instances")
 
-// listEntryJSON is one entry as the platform sends it.
+// listEntryJSON is the wire form of a ListEntry.
 type listEntryJSON struct {
 	ID      bbunit.InstanceID `json:"id"`
 	Domain  bbunit.DomainID   `json:"domain"`
@@ -22,21 +22,23 @@
 	Since   json.RawMessage   `json:"since"`
 }
 
-// ParseList reads the platform's list. Unknown fields are ignored. A bad entry
-// is left out and named in bad; the error means that nothing could be read.
+// ParseList parses the platform's list of instances, a JSON array. It ignores
+// unknown fields. It skips invalid entries and returns an error for each in bad;
+// err is set only if the list as a whole could not be parsed. All errors are
+// ErrInvalidList.
 func ParseList(body []byte) (list []ListEntry, bad []error, err error) {
 	var raw []json.RawMessage
 	if err := json.Unmarshal(body, &raw); err != nil {
 		return nil, nil, errors.WithType(err, ErrInvalidList)
 	}
 	if raw == nil {
-		return nil, nil, errors.WithType(errors.New("not a list"), ErrInvalidList)
+		return nil, nil, errors.WithType(errors.New("list of instances is null, not an array"), ErrInvalidList)
 	}
 	seen := make(map[bbunit.InstanceID]bool, len(raw))
 	for i, r := range raw {
 		l, err := parseListEntry(r)
 		if err == nil && seen[l.ID] {
-			err = errors.Errorf("%q comes twice", l.ID)
+			err = errors.Errorf("duplicate id %q", l.ID)
 		}
 		if err != nil {
 			bad = append(bad, errors.WithType(errors.Annotatef(err, "entry %d", i), ErrInvalidList))
@@ -49,26 +51,26 @@
 }
 
 func parseListEntry(r json.RawMessage) (ListEntry, error) {
-	var j listEntryJSON
-	if err := json.Unmarshal(r, &j); err != nil {
+	var entry listEntryJSON
+	if err := json.Unmarshal(r, &entry); err != nil {
 		return ListEntry{}, err
 	}
-	since, err := parseSince(j.Since)
+	since, err := parseSince(entry.Since)
 	switch {
 	case err != nil:
 		return ListEntry{}, err
-	case !validIDs(j.ID, j.Domain):
-		return ListEntry{}, errors.Errorf("id %.40q, domain %.40q", j.ID, j.Domain)
-	case !ValidAddress(j.Address):
-		return ListEntry{}, errors.Errorf("address %.40q is not an IP number and port", j.Address)
-	case j.State != "live" && j.State != "leaving":
-		return ListEntry{}, errors.Errorf("state %.40q", j.State)
+	case !validIDs(entry.ID, entry.Domain):
+		return ListEntry{}, errors.Errorf("id %.40q or domain %.40q is empty or too long", entry.ID, entry.Domain)
+	case !ValidAddress(entry.Address):
+		return ListEntry{}, errors.Errorf("address %.40q is not an IP address and port", entry.Address)
+	case entry.State != "live" && entry.State != "leaving":
+		return ListEntry{}, errors.Errorf("state %.40q is neither live nor leaving", entry.State)
 	}
-	return ListEntry{ID: j.ID, Domain: j.Domain, Address: j.Address, Leaving: j.State == "leaving", Since: since}, nil
+	return ListEntry{ID: entry.ID, Domain: entry.Domain, Address: entry.Address, Leaving: entry.State == "leaving", Since: since}, nil
 }
 
-// parseSince reads a time of RFC 3339 or a number of milliseconds since the
-// epoch; 0 when absent.
+// parseSince parses an RFC 3339 time or a number of milliseconds since the epoch
+// and returns milliseconds since the epoch, or 0 if r is absent or null.
 func parseSince(r json.RawMessage) (int64, error) {
 	if len(r) == 0 || string(r) == "null" {
 		return 0, nil
@@ -79,7 +81,7 @@
 	}
 	var at time.Time
 	if err := json.Unmarshal(r, &at); err != nil {
-		return 0, errors.Errorf("since %.40s", r)
+		return 0, errors.Errorf("since %.40s is neither an RFC 3339 time nor milliseconds", r)
 	}
 	return at.UnixMilli(), nil
 }
--- a/shared/bbmember/partners.go
+++ b/shared/bbmember/partners.go
@@ -7,24 +7,26 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// pickProbes picks the members to connect to afresh: those of the own failure
-// domain that went silent, and the one longest unheard of all: seldom, but each
-// round while connections fail.
+// pickProbes picks the members to open a new connection to: up to Fanout members of
+// the own failure domain that have been silent for half the suspicion timeout, and,
+// of the other suspected members, the one seen or probed longest ago. The latter is
+// probed once per half suspicion timeout, and every round while connections fail.
+// No member is probed twice within half the suspicion timeout.
 func (f *Fleet) pickProbes() []bbunit.InstanceID {
 	var out []bbunit.InstanceID
 	var stalest *peer
 	for _, id := range f.peerIDs {
-		e := f.peers[id]
-		if f.elapsed-e.lastProbe < f.cfg.SuspicionTimeout/2 {
+		p := f.peers[id]
+		if f.elapsed-p.lastProbe < f.cfg.SuspicionTimeout/2 {
 			continue
 		}
-		if e.Domain == f.self.Domain && len(out) < f.cfg.Fanout && f.silence(e) > f.cfg.SuspicionTimeout/2 {
-			e.lastProbe = f.elapsed
+		if p.Domain == f.self.Domain && len(out) < f.cfg.Fanout && f.silence(p) > f.cfg.SuspicionTimeout/2 {
+			p.lastProbe = f.elapsed
 			out = append(out, id)
 			continue
 		}
-		if f.isSilent(e) && (stalest == nil || max(e.lastProbe, e.lastSeen) < max(stalest.lastProbe, stalest.lastSeen)) {
-			stalest = e
+		if f.isSilent(p) && (stalest == nil || max(p.lastProbe, p.lastSeen) < max(stalest.lastProbe, stalest.lastSeen)) {
+			stalest = p
 		}
 	}
 	if stalest != nil && (f.contactFailed || f.elapsed-f.lastStalestProbe >= f.cfg.SuspicionTimeout/2) {
@@ -34,15 +36,15 @@
 	return out
 }
 
-// sampleLive picks live members at random, of the own failure domain and of the
-// others.
+// sampleLive returns up to nSame random live members of the own failure domain and
+// up to nOther of the others.
 func (f *Fleet) sampleLive(nSame, nOther int) []bbunit.InstanceID {
 	var sameDomain, otherDomains []bbunit.InstanceID
 	for _, id := range f.peerIDs {
-		e := f.peers[id]
+		p := f.peers[id]
 		switch {
-		case !f.isLive(e):
-		case e.Domain == f.self.Domain:
+		case !f.isLive(p):
+		case p.Domain == f.self.Domain:
 			sameDomain = append(sameDomain, id)
 		default:
 			otherDomains = append(otherDomains, id)
@@ -51,15 +53,16 @@
 	return append(f.sample(sameDomain, nSame), f.sample(otherDomains, nOther)...)
 }
 
-// pickRoundPartners picks the partners of one round.
+// pickRoundPartners picks the members that receive gossip in this round.
 func (f *Fleet) pickRoundPartners() []bbunit.InstanceID {
 	f.rounds++
 	f.updateRemotePartners(f.sampleLive(0, len(f.peerIDs)))
 	return append(f.sampleLive(f.cfg.Fanout, 0), f.sample(slices.Clone(f.remotePartners), 1)...)
 }
 
-// updateRemotePartners keeps the far partners that can be reached, drops one at random each
-// Redraw rounds, and fills up from the live ones, which come in random order.
+// updateRemotePartners removes partners that are not live or whose last connection
+// failed, drops a random one of a full set every RotationRounds rounds, and refills
+// the set from live, which is in random order.
 func (f *Fleet) updateRemotePartners(live []bbunit.InstanceID) {
 	f.remotePartners = slices.DeleteFunc(f.remotePartners, func(id bbunit.InstanceID) bool {
 		return !slices.Contains(live, id) || f.peers[id].lastFailure > f.peers[id].lastSeen
@@ -75,7 +78,7 @@
 	}
 }
 
-// sample returns n of ids, chosen at random; it reorders ids.
+// sample returns up to n random elements of ids. It reorders ids.
 func (f *Fleet) sample(ids []bbunit.InstanceID, n int) []bbunit.InstanceID {
 	n = min(n, len(ids))
 	for i := range n {
@@ -85,23 +88,24 @@
 	return ids[:n]
 }
 
-// buildReports returns what a member is told: this instance first, then what
-// changed lately, then the failure domain and a sample of the others.
+// buildReports returns the reports to send to a member: this instance first, then
+// members that recently began to leave or joined, then the own failure domain and a
+// sample of the others.
 func (f *Fleet) buildReports(to bbunit.InstanceID) []Report {
 	maxSame := f.cfg.MaxDomainReports
-	if e := f.peers[to]; e == nil || e.Domain != f.self.Domain {
+	if p := f.peers[to]; p == nil || p.Domain != f.self.Domain {
 		maxSame = f.cfg.MaxSampleReports
 	}
 	var leaving, joined, sameDomain, otherDomains []bbunit.InstanceID
 	for _, id := range f.peerIDs {
-		e := f.peers[id]
+		p := f.peers[id]
 		switch {
-		case id == to || !e.confirmed || !f.isLive(e) || e.Inc == 0 || e.Heartbeat == 0:
-		case e.Leaving && f.elapsed-e.changedAt < f.cfg.SuspicionTimeout:
+		case id == to || !p.confirmed || !f.isLive(p) || p.Inc == 0 || p.Heartbeat == 0:
+		case p.Leaving && f.elapsed-p.changedAt < f.cfg.SuspicionTimeout:
 			leaving = append(leaving, id)
-		case f.elapsed-e.changedAt < f.cfg.SuspicionTimeout:
+		case f.elapsed-p.changedAt < f.cfg.SuspicionTimeout:
 			joined = append(joined, id)
-		case e.Domain == f.self.Domain:
+		case p.Domain == f.self.Domain:
 			sameDomain = append(sameDomain, id)
 		default:
 			otherDomains = append(otherDomains, id)
@@ -117,7 +121,8 @@
 	return reports
 }
 
-// mostRecentlySeen returns n of ids, those whose beats rose last; it reorders ids.
+// mostRecentlySeen returns up to n of ids, the most recently seen first, ties in
+// random order. It reorders ids.
 func (f *Fleet) mostRecentlySeen(ids []bbunit.InstanceID, n int) []bbunit.InstanceID {
 	ids = f.sample(ids, len(ids))
 	slices.SortStableFunc(ids, func(a, b bbunit.InstanceID) int {
--- a/shared/bbmember/sim_test.go
+++ b/shared/bbmember/sim_test.go
@@ -13,7 +13,8 @@
 
 var simStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// sim runs many fleets' cores against each other in one goroutine.
+// sim simulates a fleet: it runs the membership state machines of many instances in
+// one goroutine, with a simulated clock.
 type sim struct {
 	cfg         Config
 	rng         *rand.Rand
@@ -59,7 +60,7 @@
 	return node
 }
 
-// perform carries out what a core asks for; messages arrive at once.
+// perform executes the actions of a node. Messages arrive immediately.
 func (s *sim) perform(node *simNode, a Actions) {
 	for _, msg := range a.Send {
 		to := s.byID[msg.To]
@@ -85,7 +86,7 @@
 
 func (s *sim) reachable(a, b *simNode) bool { return b != nil && !b.down && !s.partitioned(a, b) }
 
-// run passes whole periods, with the ticks of the nodes in random order.
+// run simulates whole periods. In each, the nodes tick in random order.
 func (s *sim) run(periods int) {
 	for range periods {
 		s.now = s.now.Add(s.cfg.Period)
@@ -97,12 +98,13 @@
 	}
 }
 
-// runUntil runs until every node that is up passes ok, and returns the periods.
-func (s *sim) runUntil(maxPeriods int, ok func(node *simNode) bool) int {
+// runUntil runs until the condition holds for every node that is up. It returns the
+// number of periods that took, or -1 after maxPeriods.
+func (s *sim) runUntil(maxPeriods int, condition func(node *simNode) bool) int {
 	for i := range maxPeriods {
 		all := true
 		for _, node := range s.nodes {
-			all = all && (node.down || ok(node))
+			all = all && (node.down || condition(node))
 		}
 		if all {
 			return i
@@ -112,7 +114,8 @@
 	return -1
 }
 
-// missingPairs counts the pairs in which one that is up lacks another that is up.
+// missingPairs counts the pairs of running nodes of which the first does not have
+// the second in its view.
 func (s *sim) missingPairs() int {
 	n := 0
 	for _, node := range s.nodes {
--- a/shared/bbmember/view.go
+++ b/shared/bbmember/view.go
@@ -1,5 +1,5 @@
-// Package bbmember decides who is in the fleet, from the platform's lagging
-// list and from what instances hear of each other, and who is home to what.
+// Package bbmember maintains the membership of the fleet by gossip, seeded from the
+// platform's list of instances, and assigns keys to members by rendezvous hashing.
 package bbmember
 
 import (
@@ -10,7 +10,7 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Member is one instance of the fleet.
+// Member describes one instance of the fleet.
 type Member struct {
 	ID      bbunit.InstanceID
 	Inc     bbunit.Incarnation
@@ -19,19 +19,20 @@
 	Leaving bool
 }
 
-// View is an immutable picture of the fleet, sorted by id. The zero value is an
-// empty fleet.
+// View is an immutable snapshot of the fleet's live members, sorted by id. The zero
+// value is an empty fleet.
 type View struct {
 	Self    Member
-	Members []Member // live ones, Self included unless it is leaving
+	Members []Member // live members, including Self unless it is leaving
 }
 
-// Rank returns up to n members of the failure domain d ("" for any) for key, by
-// rendezvous hashing: the first is home to the key, the next ones follow it.
+// Rank returns up to n members of failure domain d ("" for any) in the order of
+// their rendezvous hash for key. The first is the home of the key; the next ones
+// replace it when it is gone. Leaving members are left out.
 func (v *View) Rank(key string, d bbunit.DomainID, n int) []Member {
 	type scored struct {
-		m Member
-		s uint64
+		m     Member
+		score uint64
 	}
 	var candidates []scored
 	for _, m := range v.Members {
@@ -40,7 +41,7 @@
 		}
 		candidates = append(candidates, scored{m, xxhash.Sum64String(key + "\x00" + string(m.ID))})
 	}
-	sort.Slice(candidates, func(i, j int) bool { return candidates[i].s > candidates[j].s })
+	sort.Slice(candidates, func(i, j int) bool { return candidates[i].score > candidates[j].score })
 	if len(candidates) > n {
 		candidates = candidates[:n]
 	}
@@ -51,8 +52,8 @@
 	return out
 }
 
-// Home returns the member of failure domain d that is home to key, and false
-// when the domain has none.
+// Home returns the member of failure domain d ("" for any) that is the home of key,
+// and false if there is none.
 func (v *View) Home(key string, d bbunit.DomainID) (Member, bool) {
 	r := v.Rank(key, d, 1)
 	if len(r) == 0 {
@@ -61,7 +62,7 @@
 	return r[0], true
 }
 
-// Find returns the live member of that id.
+// Find returns the live member with the given id.
 func (v *View) Find(id bbunit.InstanceID) (Member, bool) {
 	for _, m := range v.Members {
 		if m.ID == id {
--- a/shared/bbmember/view_test.go
+++ b/shared/bbmember/view_test.go
@@ -25,7 +25,7 @@
 		is.True(ok)
 		now, _ := smaller.Home(key, "")
 		if was.ID != "i0" {
-			is.Equal(was.ID, now.ID) // only the keys of the lost member move
+			is.Equal(was.ID, now.ID) // only keys of the removed member move
 		}
 		in, ok := v.Home(key, "d1")
 		is.True(ok)
