--- a/shared/bbjournal/chain.go
+++ b/shared/bbjournal/chain.go
@@ -14,60 +14,67 @@
 )
 
 const (
-	// sealLeafBytes is the size at which a leaf is sealed, in bytes.
+	// sealLeafBytes is the size above which a leaf is sealed.
 	sealLeafBytes = 64 << 10
-	// maxLeafBytes is the largest leaf that a plan writes, in bytes; records that
-	// would pass it have to come again.
+	// maxLeafBytes is the size of the largest leaf that a plan writes. Records that
+	// would exceed it get the verdict RETRY.
 	maxLeafBytes = 512 << 10
-	// minLeavesPerRetention is into how many leaves the retention is cut at least.
+	// minLeavesPerRetention is the least number of leaves per retention: the head is
+	// sealed once it is older than the retention divided by this number.
 	minLeavesPerRetention = 8
-	// maxClockSkew is the largest difference of clocks that the retention allows for.
+	// maxClockSkew is the largest clock difference between instances that the
+	// retention allows for.
 	maxClockSkew = 10 * time.Minute
 )
 
-// leaf is what is known of one leaf.
+// leaf is the cached content of one leaf.
 type leaf struct {
 	number LeafNumber
 	rev    bbstore.Revision
 	value  *bbwire.Leaf
-	index  map[string]*bbwire.Record
-	// fresh tells that the leaf was read or written since Begin.
+	index  map[string]*bbwire.Record // records by key
+	// fresh means that the leaf was read or written since Begin.
 	fresh bool
-	// stale tells that the leaf is known to have changed.
+	// stale means that the leaf has to be read before it is used: it has changed, or
+	// may have.
 	stale bool
-	// unknownWrite tells that a write based on rev may still take effect.
+	// unknownWrite means that the outcome of a write based on rev is unknown: it may
+	// still take effect.
 	unknownWrite bool
 }
 
-// ChainCache is what one committer knows of a partition. It keeps the head whole and
-// of sealed leaves only which requests they hold. It is not safe for concurrent
-// use, and it does no I/O: the committer reads what Plan needs, writes what Plan
-// says and reports how that went.
+// ChainCache is one committer's cache of a partition's chain of leaves. It keeps the
+// whole head, and for each sealed leaf only the hashes of the record keys in it. It
+// does no I/O: the committer makes the reads and writes that Plan returns and reports
+// their results. It is not safe for concurrent use.
 type ChainCache struct {
 	Partition Partition
-	// Retention is how long a request id is remembered at least.
+	// Retention is the minimum time that a request id is remembered.
 	Retention time.Duration
-	// Seed keeps callers from choosing ids whose hashes collide.
+	// Seed seeds the hash of record keys, so that callers cannot choose ids whose
+	// hashes collide.
 	Seed uint64
 
-	loaded          bool
+	loaded          bool // the partition has been listed
 	commitStartedAt time.Time
-	headConfirmedAt time.Time // the head is known to have been the head then
+	headConfirmedAt time.Time // last time that head was known to be the head
 	head            leaf
-	// contended tells that others write to the head, so that it is read before
-	// a write rather than after the write has failed.
+	// contended means that other committers write to the head too. It is then read
+	// before the first write of a commit instead of after a write has failed.
 	contended     bool
-	sealedRecords map[uint64]LeafNumber
+	sealedRecords map[uint64]LeafNumber // sealed leaf by hash of the record key
 	sealedLeaves  map[LeafNumber]*sealedLeaf
-	readLeaves    map[LeafNumber]*leaf
+	readLeaves    map[LeafNumber]*leaf // sealed leaves read or written in this commit
 }
 
+// sealedLeaf is what is cached of a sealed leaf besides its record keys.
 type sealedLeaf struct {
 	rev      bbstore.Revision
 	sealedAt int64 // milliseconds since the epoch
 }
 
-// Write is one compare-and-swap that a plan asks for. A nil Value deletes.
+// Write is one compare-and-swap of a plan. It replaces the value at revision Prev
+// (0: no value) with Value, or deletes it if Value is nil.
 type Write struct {
 	Number LeafNumber
 	Key    string
@@ -76,8 +83,10 @@
 	leaf   *bbwire.Leaf
 }
 
-// Begin starts a commit: what was read before it may have changed since. After
-// a long rest the partition is listed anew, lest a deleted number is used again.
+// Begin starts a commit. Cached leaves may have changed since the last one. If the
+// head has not been confirmed for half the retention, the partition is listed again;
+// otherwise a write could reuse the number of a leaf that others have created, sealed
+// and deleted meanwhile.
 func (c *ChainCache) Begin(now time.Time) {
 	if now.Sub(c.headConfirmedAt) > c.Retention/2 {
 		c.loaded = false
@@ -88,10 +97,11 @@
 	c.readLeaves = map[LeafNumber]*leaf{}
 }
 
-// Loaded tells whether the partition was listed.
+// Loaded tells whether the partition has been listed.
 func (c *ChainCache) Loaded() bool { return c.loaded }
 
-// Load takes a listing of the partition.
+// Load replaces the cache with a listing of the partition. The error means that a
+// key or value is malformed.
 func (c *ChainCache) Load(entries []bbstore.Entry) error {
 	leaves, err := decodeLeaves(entries)
 	if err != nil {
@@ -103,14 +113,14 @@
 		if l.value.Sealed {
 			c.addSealed(l)
 		} else {
-			c.setHead(l) // the last one is the head, whatever came before
+			c.setHead(l) // the last unsealed leaf is the head
 		}
 	}
 	c.loaded, c.headConfirmedAt = true, c.commitStartedAt
 	return nil
 }
 
-// decodeLeaves returns the leaves of a listing in the order of their numbers.
+// decodeLeaves returns the leaves of a listing, sorted by number.
 func decodeLeaves(entries []bbstore.Entry) ([]*leaf, error) {
 	var out []*leaf
 	for _, e := range entries {
@@ -128,7 +138,8 @@
 	return out, nil
 }
 
-// addSealed remembers which requests a sealed leaf holds and opens the next number.
+// addSealed indexes the records of a sealed leaf. If it was the head, the next number
+// becomes the head.
 func (c *ChainCache) addSealed(l *leaf) {
 	c.sealedLeaves[l.number] = &sealedLeaf{rev: l.rev, sealedAt: l.value.Sealedat}
 	for _, r := range l.value.Records {
@@ -159,10 +170,11 @@
 	return d.Sum64()
 }
 
-// Key returns the key of a leaf.
+// Key returns the store key of leaf n.
 func (c *ChainCache) Key(n LeafNumber) string { return c.Partition.leafKey(n) }
 
-// OnLeafRead takes what was read of leaf n.
+// OnLeafRead updates the cache with leaf n as read from the store. Rev is 0 if the
+// leaf does not exist. The error means that the value is malformed.
 func (c *ChainCache) OnLeafRead(n LeafNumber, e bbstore.Entry) error {
 	l := &leaf{number: n, rev: e.Rev, value: &bbwire.Leaf{}, fresh: true}
 	if err := proto.Unmarshal(e.Value, l.value); err != nil {
@@ -176,7 +188,7 @@
 	c.contended = e.Rev != c.head.rev
 	switch {
 	case e.Rev == 0 && c.head.rev != 0:
-		c.loaded = false // sealed by others and deleted since
+		c.loaded = false // sealed by another committer and deleted since
 	case l.value.Sealed:
 		c.addSealed(l)
 		c.head.stale = true
@@ -187,6 +199,8 @@
 	return nil
 }
 
+// updateSealed updates the cache of a sealed leaf, or removes it if the leaf was
+// deleted (revision 0).
 func (c *ChainCache) updateSealed(l *leaf) {
 	if l.rev != 0 {
 		l.index = indexRecords(l.value)
@@ -222,8 +236,8 @@
 	}
 }
 
-// OnWriteFailed reports that w met a conflict (unsure false) or that its outcome is not
-// known (unsure true): the leaf has to be read again.
+// OnWriteFailed reports that w met a conflict or, if unknown is set, that its outcome
+// is unknown. The leaf has to be read again.
 func (c *ChainCache) OnWriteFailed(w Write, unknown bool) {
 	if w.Number != c.head.number {
 		delete(c.readLeaves, w.Number)
@@ -233,8 +247,8 @@
 	c.head.unknownWrite = c.head.unknownWrite || unknown
 }
 
-// Expired returns the deletions of leaves that are past the retention, at most
-// n.
+// Expired returns deletions of sealed leaves that are past the retention, at most n,
+// sorted by number.
 func (c *ChainCache) Expired(now time.Time, n int) []Write {
 	var out []Write
 	cutoff := now.Add(-c.Retention - maxClockSkew).UnixMilli()
--- a/shared/bbjournal/chain_test.go
+++ b/shared/bbjournal/chain_test.go
@@ -15,13 +15,14 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// cell is one key of the service in a test.
+// cell is the value of one key in fakeStore.
 type cell struct {
 	value []byte
 	rev   bbstore.Revision
 }
 
-// fakeStore is the key-value service with the writes that are still under way.
+// fakeStore is a key-value store in memory. inFlight holds delayed writes, which may
+// still take effect.
 type fakeStore struct {
 	cells    map[string]cell
 	rev      bbstore.Revision
@@ -51,7 +52,7 @@
 	return out
 }
 
-// committer is one instance that commits for the partition.
+// committer simulates an instance that commits the records of the partition.
 type committer struct {
 	chain     *ChainCache
 	queue     []*queuedRecord
@@ -69,7 +70,7 @@
 	return &committer{chain: &ChainCache{Partition: 1, Retention: time.Hour, Seed: 5}}
 }
 
-// writeOutcome is what becomes of a write.
+// writeOutcome is the simulated outcome of a write.
 type writeOutcome int
 
 const (
@@ -79,8 +80,8 @@
 	outcomeDelayed                 // may take effect later, the answer is lost
 )
 
-// advance does the next single call of the committer, so that others may act
-// between any two.
+// advance makes the next call of the committer to the store, only one, so that other
+// committers may act between any two calls.
 func (c *committer) advance(store *fakeStore, now time.Time, outcome writeOutcome) error {
 	if c.plan == nil {
 		c.chain.Begin(now)
@@ -157,19 +158,20 @@
 // attempt is one attempt at a request.
 type attempt struct {
 	rec   *bbwire.Record
-	state string // pending, granted, dead, sent
+	state string // pending, granted, abandoned or sent
 }
 
-// model plays attempts at a few requests against several committers.
+// model runs attempts at a few requests against several committers, with random
+// faults and interleavings.
 type model struct {
 	t            *rapid.T
 	store        *fakeStore
 	committers   []*committer
 	now          time.Time
-	attempts     map[string]*attempt
-	owners       []string
-	runs         map[string]int
-	billedBy     map[string]map[string]bool // request to owners whose bill was taken
+	attempts     map[string]*attempt        // by owner
+	owners       []string                   // of all attempts, in order of creation
+	runs         map[string]int             // times that each claimed request was sent
+	billedBy     map[string]map[string]bool // by request, the owners whose bill was TAKEN
 	pendingBills int
 }
 
@@ -210,9 +212,10 @@
 	c.queue = append(c.queue, &queuedRecord{t.rec, func(v *bbwire.Verdict) { m.onVerdict(c, t, v) }})
 }
 
-// onVerdict is the owner's rule: see Recorder.
+// onVerdict does what the owner of a claim does with a verdict, like
+// bluebellport's Recorder.
 func (m *model) onVerdict(c *committer, t *attempt, v *bbwire.Verdict) {
-	if t.state == "dead" && v.Kind == bbwire.Verdict_TAKEN {
+	if t.state == "abandoned" && v.Kind == bbwire.Verdict_TAKEN {
 		m.withdraw(c, t.rec)
 	}
 	if t.state != "pending" {
@@ -222,12 +225,12 @@
 		t.state = "granted"
 		return
 	}
-	if o := m.attempts[v.Record.GetOwner()]; v.Record.GetKind() == bbwire.Record_CLAIM && o.state == "dead" {
+	if o := m.attempts[v.Record.GetOwner()]; v.Record.GetKind() == bbwire.Record_CLAIM && o.state == "abandoned" {
 		m.withdraw(c, v.Record)
 		m.submit(c, t)
 		return
 	}
-	t.state = "dead"
+	t.state = "abandoned"
 	m.withdraw(c, t.rec)
 }
 
@@ -265,22 +268,23 @@
 	}
 	for id, n := range granted {
 		if n > 1 && id[0] == 'c' {
-			m.t.Fatalf("%s: %d attempts granted", id, n)
+			m.t.Fatalf("request %s: %d attempts hold a granted claim, at most 1 may", id, n)
 		}
 	}
 	for id, n := range m.runs {
 		if n > 1 {
-			m.t.Fatalf("%s ran %d times", id, n)
+			m.t.Fatalf("request %s ran %d times", id, n)
 		}
 	}
 	for id, owners := range m.billedBy {
 		if len(owners) > 1 {
-			m.t.Fatalf("%s billed by %v", id, owners)
+			m.t.Fatalf("request %s billed by several owners: %v", id, owners)
 		}
 	}
 }
 
-// settle lets every write land and every queue empty.
+// settle applies all delayed writes and runs the committers until all queues are
+// empty.
 func (m *model) settle() {
 	for _, w := range m.store.inFlight {
 		m.store.cas(w)
@@ -300,10 +304,10 @@
 			return
 		}
 	}
-	m.t.Fatal("queues do not empty")
+	m.t.Fatal("queues are not empty after 10000 rounds")
 }
 
-// records returns the records in the chain by request.
+// records returns the stored records by request.
 func (m *model) records() map[string][]*bbwire.Record {
 	leaves, err := decodeLeaves(m.store.list())
 	if err != nil {
@@ -320,14 +324,14 @@
 
 func (m *model) checkFinal() {
 	if m.pendingBills != 0 {
-		m.t.Fatalf("%d bills without a verdict", m.pendingBills)
+		m.t.Fatalf("%d bills have no verdict", m.pendingBills)
 	}
 	for id, rs := range m.records() {
 		if len(rs) > 1 {
-			m.t.Fatalf("%s stands %d times: %v", id, len(rs), rs)
+			m.t.Fatalf("request %s has %d records, want 1: %v", id, len(rs), rs)
 		}
 		if owners := m.billedBy[id]; len(owners) > 0 && (rs[0].Kind != bbwire.Record_BILL || !owners[rs[0].Owner]) {
-			m.t.Fatalf("%s: taken from %v, stands %v", id, owners, rs[0])
+			m.t.Fatalf("request %s: bill of %v was TAKEN, but the record is %v", id, owners, rs[0])
 		}
 	}
 	for _, id := range []string{"c0", "c1"} {
@@ -335,7 +339,7 @@
 	}
 }
 
-// checkClaimable has the caller come once more with a request that never ran.
+// checkClaimable checks that a request that never ran can still be claimed.
 func (m *model) checkClaimable(id string) {
 	for _, t := range m.attempts {
 		if t.rec.Request == id && (t.state == "sent" || t.state == "granted") {
@@ -346,13 +350,13 @@
 	m.submit(m.committers[0], t)
 	m.settle()
 	if t.state != "granted" {
-		m.t.Fatalf("%s never ran and is refused: %v", id, m.records()[id])
+		m.t.Fatalf("request %s never ran, but its claim is refused: %v", id, m.records()[id])
 	}
 }
 
-// TestChainGrantsAndBillsOnce checks that no fault of the service and no pause between
-// any two calls makes a claim granted twice, a request billed twice, a bill
-// lost, or a request refused for ever that never ran.
+// TestChainGrantsAndBillsOnce checks that, whatever the faults of the store and the
+// interleaving of calls, no claim is granted twice, no request is billed twice, no
+// bill is lost, and no request that never ran is refused for ever.
 func TestChainGrantsAndBillsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
@@ -366,7 +370,7 @@
 			if c.idle() {
 				t.Skip("idle")
 			}
-			outcome := writeOutcome(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(t, "fate"))
+			outcome := writeOutcome(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(t, "outcome"))
 			if err := c.advance(m.store, m.now, outcome); err != nil {
 				t.Fatal(err)
 			}
@@ -377,9 +381,9 @@
 			"advance2": advance,
 			"advance3": advance,
 			"advance4": advance,
-			"land": func(t *rapid.T) {
+			"apply-delayed": func(t *rapid.T) {
 				if len(m.store.inFlight) == 0 {
-					t.Skip("none under way")
+					t.Skip("no delayed writes")
 				}
 				i := rapid.IntRange(0, len(m.store.inFlight)-1).Draw(t, "write")
 				m.store.cas(m.store.inFlight[i])
@@ -387,14 +391,14 @@
 			},
 			"claim":  func(t *rapid.T) { m.submit(m.anyCommitter("at"), m.newAttempt(request.Draw(t, "request"))) },
 			"resend": func(*rapid.T) { m.submit(m.anyCommitter("at"), m.anyAttempt("pending")) },
-			"giveup": func(*rapid.T) {
+			"abandon": func(*rapid.T) {
 				t := m.anyAttempt("pending")
-				t.state = "dead"
+				t.state = "abandoned"
 				m.withdraw(m.anyCommitter("at"), t.rec)
 			},
 			"withdraw": func(*rapid.T) {
 				t := m.anyAttempt("granted")
-				t.state = "dead"
+				t.state = "abandoned"
 				m.withdraw(m.anyCommitter("at"), t.rec)
 			},
 			"send": func(*rapid.T) {
@@ -404,12 +408,12 @@
 			},
 			"bill":    func(*rapid.T) { m.bill(m.anyAttempt("sent")) },
 			"unknown": func(*rapid.T) { m.unknown(m.anyAttempt("sent")) },
-			"read": func(*rapid.T) {
-				a := m.newAttempt("i0") // idempotent: not claimed
+			"run-idempotent": func(*rapid.T) {
+				a := m.newAttempt("i0") // idempotent requests are not claimed
 				a.state = "sent"
 				m.bill(a)
 			},
-			"time": func(*rapid.T) { m.now = m.now.Add(time.Minute) },
+			"advance-clock": func(*rapid.T) { m.now = m.now.Add(time.Minute) },
 		})
 		m.settle()
 		m.check()
@@ -417,7 +421,7 @@
 	})
 }
 
-// commitAll commits records at once and returns their verdicts.
+// commitAll commits records in one batch, without faults, and returns their verdicts.
 func commitAll(c *committer, store *fakeStore, now time.Time, records ...*bbwire.Record) []bbwire.Verdict_Kind {
 	var out []bbwire.Verdict_Kind
 	for _, r := range records {
@@ -478,7 +482,7 @@
 	is.True(len(p.Writes[0].Value) <= maxLeafBytes)
 	is.Equal(p.Verdicts[0].Kind, bbwire.Verdict_TAKEN)
 	is.Equal(p.Verdicts[5999].Kind, bbwire.Verdict_RETRY)
-	is.Equal(len(commitAll(c, store, now, rs...)), 6000) // the rest comes again
+	is.Equal(len(commitAll(c, store, now, rs...)), 6000) // records with RETRY are committed again
 }
 
 func TestChainExpiresAfterRetention(t *testing.T) {
@@ -508,8 +512,8 @@
 	is.Equal(commitAll(c, store, now.Add(2*time.Hour), bill)[0], bbwire.Verdict_LATE)
 }
 
-// TestChainSeesConcurrentChanges has one committer change what another has cached, in
-// the head and in a sealed leaf.
+// TestChainSeesConcurrentChanges checks that a committer notices changes by another
+// committer to records that it has cached, in the head and in a sealed leaf.
 func TestChainSeesConcurrentChanges(t *testing.T) {
 	for _, sealed := range []bool{false, true} {
 		is := is.New(t)
@@ -529,8 +533,8 @@
 	}
 }
 
-// TestWithdrawalBlocksDelayedClaim gives up a claim whose write is under way: it
-// must not land once the withdrawal is through.
+// TestWithdrawalBlocksDelayedClaim withdraws a claim whose write is delayed. The write
+// must not take effect after the withdrawal.
 func TestWithdrawalBlocksDelayedClaim(t *testing.T) {
 	is := is.New(t)
 	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
@@ -539,7 +543,7 @@
 	for len(store.inFlight) == 0 {
 		is.NoErr(c.advance(store, now, outcomeDelayed))
 	}
-	c.queue, c.plan = nil, nil // dropped
+	c.queue, c.plan = nil, nil // the claim is given up
 	commitAll(c, store, now, newWithdrawal(claim))
 	_, landed := store.cas(store.inFlight[0])
 	is.True(!landed)
@@ -552,15 +556,15 @@
 	return w
 }
 
-// TestChainIgnoresDelayedCreation lands the creation of a leaf whose number was
-// used, sealed and deleted meanwhile.
+// TestChainIgnoresDelayedCreation delays the write that creates a leaf until the leaf
+// has been created by another committer, sealed and deleted.
 func TestChainIgnoresDelayedCreation(t *testing.T) {
 	is := is.New(t)
 	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
 	delayed := newCommitter()
 	delayed.chain.Begin(now)
 	is.NoErr(delayed.chain.Load(nil))
-	w := delayed.chain.Plan([]*bbwire.Record{newClaim("ghost", "i#1/9", now)}, now).Writes[0]
+	w := delayed.chain.Plan([]*bbwire.Record{newClaim("delayed", "i#1/9", now)}, now).Writes[0]
 	commitAll(c, store, now, newClaim("r", "i#1/1", now))
 	now = now.Add(10 * time.Minute)
 	commitAll(c, store, now, newClaim("r2", "i#1/2", now))
@@ -568,18 +572,18 @@
 	delete(store.cells, w.Key)
 	_, ok := store.cas(w)
 	is.True(ok)
-	is.Equal(commitAll(newCommitter(), store, now, newClaim("ghost", "i#1/4", now))[0], bbwire.Verdict_TAKEN)
+	is.Equal(commitAll(newCommitter(), store, now, newClaim("delayed", "i#1/4", now))[0], bbwire.Verdict_TAKEN)
 	is.Equal(commitAll(newCommitter(), store, now, newClaim("r3", "i#1/5", now))[0], bbwire.Verdict_CONFLICT)
 }
 
-// TestChainRelistsAfterIdleTime has a committer rest, with sweeps, while the
-// leaf that it would create comes and goes.
+// TestChainRelistsAfterIdleTime keeps a committer idle, except for sweeps, while
+// another one creates, seals and deletes the leaf that the first would create next.
 func TestChainRelistsAfterIdleTime(t *testing.T) {
 	is := is.New(t)
 	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
 	commitAll(c, store, now, newClaim("r1", "i#1/1", now))
 	now = now.Add(10 * time.Minute)
-	commitAll(c, store, now, newClaim("r2", "i#1/2", now)) // seals 1, 2 would be next
+	commitAll(c, store, now, newClaim("r2", "i#1/2", now)) // seals leaf 1; leaf 2 would be next
 	other := newCommitter()
 	for i := range 20 {
 		now = now.Add(10 * time.Minute)
@@ -589,7 +593,7 @@
 			is.True(ok)
 			other.chain.OnWritten(w, rev)
 		}
-		c.chain.Begin(now) // a sweep
+		c.chain.Begin(now) // a sweep begins a commit too
 	}
 	_, kept := store.cells[c.chain.Key(2)]
 	is.True(!kept)
--- a/shared/bbjournal/plan.go
+++ b/shared/bbjournal/plan.go
@@ -9,31 +9,34 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Plan is what a committer does next.
+// Plan lists the next steps of a committer.
 type Plan struct {
-	// NeedsListing asks for a listing of the partition first.
+	// NeedsListing means that the partition has to be listed before planning again.
 	NeedsListing bool
-	// Reads lists leaves that have to be read first.
+	// Reads lists the leaves that have to be read before planning again.
 	Reads []LeafNumber
-	// Writes are made in their order; the verdicts hold once all took effect.
+	// Writes have to be made in this order. The verdicts are valid once all of them
+	// have taken effect.
 	Writes []Write
-	// Verdicts has one verdict for each record, in their order.
+	// Verdicts has one verdict per record, in the order of the records.
 	Verdicts []*bbwire.Verdict
 }
 
-// planner is a plan in the making: changes on top of what the book knows.
+// planner holds the state of one call of Plan: the changes that the records make to
+// the cached leaves.
 type planner struct {
 	*ChainCache
 	now       time.Time
-	changes   map[LeafNumber]map[string]*bbwire.Record // nil: removed
-	leafOf    map[string]LeafNumber
-	newKeys   []string // new requests of the head, as they came
-	reads     map[LeafNumber]bool
-	headBytes int
+	changes   map[LeafNumber]map[string]*bbwire.Record // by leaf and record key; nil removes the record
+	leafOf    map[string]LeafNumber                    // leaf of each changed record
+	newKeys   []string                                 // records to append to the head, in order of arrival
+	reads     map[LeafNumber]bool                      // leaves that have to be read first
+	headBytes int                                      // size of the head with the new records
 }
 
-// Plan decides what becomes of the records. The verdicts are final only when
-// nothing is left to load, to read or to write.
+// Plan decides on the records. It has to be called again after the listing or the
+// reads that it asks for, and after a write that failed. The verdicts are final once
+// the plan needs no listing and no reads and its writes have taken effect.
 func (c *ChainCache) Plan(records []*bbwire.Record, now time.Time) *Plan {
 	plan := &Plan{}
 	if !c.loaded {
@@ -64,13 +67,13 @@
 func (p *planner) planRecord(r *bbwire.Record) *bbwire.Verdict {
 	key := keyOf(r)
 	existing, number := p.lookup(key)
-	if existing == nil && p.expired(r) {
+	if existing == nil && p.pastRetention(r) {
 		return &bbwire.Verdict{Kind: bbwire.Verdict_LATE}
 	}
 	kind, next := decide(existing, r)
 	if next == existing {
 		if kind != bbwire.Verdict_TAKEN || r.Kind == bbwire.Record_WITHDRAWN {
-			p.requireFreshHead() // a refusal never rests on what was read earlier
+			p.requireFreshHead() // a refusal must not be based on a head read in an earlier commit
 		}
 		return &bbwire.Verdict{Kind: kind, Record: existing}
 	}
@@ -85,14 +88,16 @@
 	return &bbwire.Verdict{Kind: kind}
 }
 
-// requireFreshHead has the head read, unless it was read in this commit.
+// requireFreshHead schedules a read of the head unless it was read or written in this
+// commit.
 func (p *planner) requireFreshHead() {
 	if !p.head.fresh {
 		p.reads[p.head.number] = true
 	}
 }
 
-// lookup returns the record that stands for the key and its leaf.
+// lookup returns the current record of the key and its leaf. If that leaf is sealed
+// and not yet read, it schedules the read and returns nil with the leaf's number.
 func (p *planner) lookup(key string) (*bbwire.Record, LeafNumber) {
 	if n, ok := p.leafOf[key]; ok {
 		return p.changes[n][key], n
@@ -123,8 +128,9 @@
 	p.leafOf[key] = n
 }
 
-// expired tells whether the request may have stood in a leaf that is deleted.
-func (p *planner) expired(r *bbwire.Record) bool {
+// pastRetention tells whether r is older than the retention, so that an earlier record
+// of its request may have been deleted with its leaf.
+func (p *planner) pastRetention(r *bbwire.Record) bool {
 	cutoff := p.now.Add(-p.Retention)
 	switch r.Kind {
 	case bbwire.Record_CLAIM:
@@ -136,8 +142,10 @@
 	return false
 }
 
-// buildWrites turns the changes into writes, the head last: what goes from a sealed
-// leaf has gone before the head takes it in again.
+// buildWrites returns the writes that make the changes. The head comes last, so that
+// a record removed from a sealed leaf is gone before the head accepts its request
+// again. A head with a write of unknown outcome is written even without changes, so
+// that the earlier write can no longer take effect.
 func (p *planner) buildWrites() []Write {
 	var out []Write
 	for n := range p.changes {
@@ -168,11 +176,11 @@
 		}
 	}
 	p.sealIfDue(v)
-	value, _ := proto.Marshal(v) // fails only for text that is not UTF-8, which Check refuses
+	value, _ := proto.Marshal(v) // fails only on invalid UTF-8, which Check refuses
 	return Write{Number: l.number, Key: p.Key(l.number), Value: value, Prev: l.rev, leaf: v}
 }
 
-// sealIfDue seals a leaf that is full or old.
+// sealIfDue seals v if it is full or old. It also sets the creation time of a new leaf.
 func (p *planner) sealIfDue(v *bbwire.Leaf) {
 	now := p.now.UnixMilli()
 	if v.Made == 0 {
--- a/shared/bbjournal/query.go
+++ b/shared/bbjournal/query.go
@@ -9,13 +9,13 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Filter chooses records. Empty fields choose all.
+// Filter selects records. An empty field matches every record.
 type Filter struct {
 	Account bbunit.AccountID
 	Request bbunit.RequestID
 	Budget  bbunit.BudgetID
-	// Unknown chooses only requests whose outcome is not known: UNKNOWN, and
-	// claims, which are either running or were left by an instance that died.
+	// Unknown selects only requests whose outcome is not known: UNKNOWN records,
+	// and claims, whose request is still running or whose instance crashed.
 	Unknown bool
 }
 
@@ -37,9 +37,9 @@
 	return out
 }
 
-// ListRecords returns the chosen records in order of their time, account and request
-// id, from one listing for each partition; a filter with account and request id
-// needs only one. It waits for the service, up to the context's deadline.
+// ListRecords returns the records that match f, sorted by time, account and request
+// id. It lists each partition in the store once, or only one partition if f has both
+// account and request id. It blocks up to the context's deadline.
 func ListRecords(ctx context.Context, s bbstore.Store, f Filter) ([]*bbwire.Record, error) {
 	var out []*bbwire.Record
 	for _, p := range f.partitions() {
@@ -53,7 +53,7 @@
 		}
 		for i, l := range leaves {
 			if !l.value.Sealed && i < len(leaves)-1 {
-				continue // a late write to a deleted number
+				continue // a delayed write created a deleted leaf again
 			}
 			for _, r := range l.value.Records {
 				if f.match(r) {
@@ -76,21 +76,21 @@
 	return a.Request < b.Request
 }
 
-// Total sums up the records of one client account.
+// Total summarizes the records of one client account.
 type Total struct {
 	Account bbunit.AccountID `json:"account"`
 	Bills   int              `json:"bills"`
 	Amount  bbunit.Tokens    `json:"amount"`
-	// Unknown is how many requests were sent and have no known end, and Held is
-	// what they may cost at most.
+	// Unknown is the number of requests that were sent and whose outcome is not
+	// known. Held is the most that they may cost.
 	Unknown int           `json:"unknown"`
 	Held    bbunit.Tokens `json:"held"`
-	// Claims is how many claims have no bill: running, or left by an instance
-	// that died before it noted what it sent.
+	// Claims is the number of claims without a bill: the request is still running,
+	// or its instance crashed before it recorded that the request was sent.
 	Claims int `json:"claims"`
 }
 
-// Totals sums records up for each account, in the order of their names.
+// Totals summarizes records by account, sorted by account id.
 func Totals(records []*bbwire.Record) []Total {
 	totals := map[string]*Total{}
 	for _, r := range records {
--- a/shared/bbjournal/query_test.go
+++ b/shared/bbjournal/query_test.go
@@ -13,7 +13,7 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// commitRecord commits a record to a store, in its partition.
+// commitRecord writes a record to its partition in the store.
 func commitRecord(t *testing.T, store *bbstore.Mem, r *bbwire.Record, now time.Time) {
 	t.Helper()
 	chain := &ChainCache{Partition: PartitionOf(r.Account, r.Request), Retention: time.Hour}
--- a/shared/bbjournal/record.go
+++ b/shared/bbjournal/record.go
@@ -15,35 +15,37 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// ErrInvalidRecord means that a record is malformed; nothing was recorded.
-const ErrInvalidRecord = errors.ConstError("bad record")
+// ErrInvalidRecord means that a record, or the text form of an Owner, is malformed.
+// Nothing was recorded.
+const ErrInvalidRecord = errors.ConstError("invalid record")
 
 const (
-	// Partitions is how many chains of leaves there are. It is the same in the
-	// whole fleet for ever.
+	// Partitions is the number of partitions. It must be the same on all instances
+	// and can never change, because it decides where a request is looked up.
 	Partitions = 16
-	// Prefix is what the keys of all leaves begin with.
+	// Prefix is the common prefix of the keys of all leaves.
 	Prefix = "/bb/leaf/"
-	// MaxIDBytes is the longest account, request, budget, holder, service, target or
-	// owner name, in bytes.
+	// MaxIDBytes is the maximum length of an account, request, budget, holder,
+	// service, target or owner id.
 	MaxIDBytes = 256
 )
 
-// Partition is the number of a chain of leaves.
+// Partition is the number of a partition, from 0 to Partitions-1.
 type Partition uint32
 
-// PartitionOf returns the partition of a request.
+// PartitionOf returns the partition that a request belongs to.
 func PartitionOf(account, request string) Partition {
 	return Partition(xxhash.Sum64String(recordKey(account, request)) % Partitions)
 }
 
-// Prefix returns what the keys of the partition's leaves begin with.
+// Prefix returns the common prefix of the keys of the partition's leaves.
 func (p Partition) Prefix() string { return fmt.Sprintf("%s%04d/", Prefix, p) }
 
-// HomeKey returns the key by which the partition's home is chosen.
+// HomeKey returns the key by which the partition's home instance is chosen; see
+// bbmember.View.Home.
 func (p Partition) HomeKey() string { return fmt.Sprintf("leaf/%04d", p) }
 
-// LeafNumber is the place of a leaf in its chain; the first is 1.
+// LeafNumber is the position of a leaf in its chain, from 1.
 type LeafNumber uint32
 
 func (p Partition) leafKey(n LeafNumber) string { return fmt.Sprintf("%s%d", p.Prefix(), n) }
@@ -52,56 +54,57 @@
 
 func keyOf(r *bbwire.Record) string { return recordKey(r.Account, r.Request) }
 
-// Owner names one attempt at a request: no two attempts have the same.
+// Owner identifies one attempt at a request. It is unique to the attempt.
 type Owner struct {
 	Instance bbunit.InstanceID
 	Inc      bbunit.Incarnation
 	Seq      uint64
 }
 
-// String returns the form that records carry.
+// String returns the text form that is stored in records: INSTANCE#INC/SEQ, with INC
+// and SEQ in base 36.
 func (o Owner) String() string {
 	return string(o.Instance) + "#" + strconv.FormatUint(uint64(o.Inc), 36) + "/" + strconv.FormatUint(o.Seq, 36)
 }
 
-// ParseOwner reads the form that String returns, or ErrRecord.
+// ParseOwner parses the text form of an Owner. The error is ErrInvalidRecord.
 func ParseOwner(s string) (Owner, error) {
 	hashAt, slashAt := strings.LastIndexByte(s, '#'), strings.LastIndexByte(s, '/')
 	if hashAt <= 0 || slashAt < hashAt {
-		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrInvalidRecord)
+		return Owner{}, errors.WithType(errors.Errorf("owner %q is not INSTANCE#INC/SEQ", s), ErrInvalidRecord)
 	}
 	inc, err := strconv.ParseUint(s[hashAt+1:slashAt], 36, 64)
 	if err != nil {
-		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrInvalidRecord)
+		return Owner{}, errors.WithType(errors.Errorf("owner %q: incarnation is not a base 36 number", s), ErrInvalidRecord)
 	}
 	seq, err := strconv.ParseUint(s[slashAt+1:], 36, 64)
 	if err != nil {
-		return Owner{}, errors.WithType(errors.Errorf("owner %q", s), ErrInvalidRecord)
+		return Owner{}, errors.WithType(errors.Errorf("owner %q: sequence number is not a base 36 number", s), ErrInvalidRecord)
 	}
 	return Owner{Instance: bbunit.InstanceID(s[:hashAt]), Inc: bbunit.Incarnation(inc), Seq: seq}, nil
 }
 
-// Check returns ErrRecord when r is malformed: a name missing or too long, or a
-// negative amount.
+// Check returns ErrInvalidRecord if the account or request id of r is missing, an id
+// is longer than MaxIDBytes or not UTF-8, or the amount is negative.
 func Check(r *bbwire.Record) error {
 	if r.Account == "" || r.Request == "" {
 		return errors.WithType(errors.New("account or request id missing"), ErrInvalidRecord)
 	}
 	if r.Amount < 0 {
-		return errors.WithType(errors.Errorf("amount %d below 0", r.Amount), ErrInvalidRecord)
+		return errors.WithType(errors.Errorf("amount %d is negative", r.Amount), ErrInvalidRecord)
 	}
 	for _, s := range []string{r.Account, r.Request, r.Owner, r.Budget, r.Holder, r.Service, r.Target} {
 		if len(s) > MaxIDBytes {
-			return errors.WithType(errors.Errorf("name of %d bytes, at most %d", len(s), MaxIDBytes), ErrInvalidRecord)
+			return errors.WithType(errors.Errorf("id is %d bytes long, at most %d are allowed", len(s), MaxIDBytes), ErrInvalidRecord)
 		}
 		if !utf8.ValidString(s) {
-			return errors.WithType(errors.Errorf("name %q is not UTF-8", s), ErrInvalidRecord)
+			return errors.WithType(errors.Errorf("id %q is not valid UTF-8", s), ErrInvalidRecord)
 		}
 	}
 	return nil
 }
 
-// Copy returns a record that shares nothing mutable with r.
+// Copy returns a deep copy of r.
 func Copy(r *bbwire.Record) *bbwire.Record {
 	return &bbwire.Record{
 		Kind: r.Kind, Account: r.Account, Request: r.Request, Print: r.Print, Owner: r.Owner,
@@ -110,13 +113,13 @@
 	}
 }
 
-// NewRequestID returns a request id that carries its time.
+// NewRequestID returns a new request id, a UUIDv7, which contains its creation time.
 func NewRequestID() bbunit.RequestID {
 	return bbunit.RequestID(uuid.Must(uuid.NewV7()).String())
 }
 
-// RequestIDTime returns when a request id was made, and false when the id does not
-// carry its time.
+// RequestIDTime returns the creation time contained in a request id, and false if
+// the id is not a UUIDv7.
 func RequestIDTime(request string) (time.Time, bool) {
 	id, err := uuid.Parse(request)
 	if err != nil || id.Version() != 7 {
--- a/shared/bbjournal/rule_test.go
+++ b/shared/bbjournal/rule_test.go
@@ -10,8 +10,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// TestDecide writes the whole table of rules: what stands, what comes, what
-// becomes of it and what stands then.
+// TestDecide compares decide with a golden table. Each line has the existing record,
+// the new record, the verdict and the record that is kept.
 func TestDecide(t *testing.T) {
 	kinds := []bbwire.Record_Kind{
 		bbwire.Record_CLAIM, bbwire.Record_BILL, bbwire.Record_UNKNOWN, bbwire.Record_WITHDRAWN,
