--- a/shared/bbticket/apply.go
+++ b/shared/bbticket/apply.go
@@ -7,9 +7,10 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Apply returns the state with the ticket in force. It goes object by object
-// and only forward: an object that a ticket of the same or a higher number
-// wrote stays as it is. s itself is not changed; nil stands for an empty state.
+// Apply returns the state after applying the ticket. Each object of the ticket
+// replaces the one in the state only if that one was written by a ticket with a lower
+// number, so tickets may be applied repeatedly and in any order. s is not changed; a
+// nil s is an empty state.
 func (s *State) Apply(t Ticket) *State {
 	if s == nil {
 		s = &State{}
@@ -33,8 +34,8 @@
 	return next
 }
 
-// Merge returns the newer of two states for each object, whatever order they
-// come in.
+// Merge returns a state with the newer version of each object of s and other. It is
+// commutative. A nil state is an empty one.
 func (s *State) Merge(other *State) *State {
 	if s == nil {
 		s = &State{}
@@ -51,7 +52,8 @@
 	return merged
 }
 
-// Reindex rebuilds the derived indexes; needed after a state was decoded.
+// Reindex rebuilds the indexes and LastRoutingChange, which are not encoded. Call it
+// after decoding a state.
 func (s *State) Reindex() {
 	s.indexKeys()
 	s.indexBudgets()
@@ -59,7 +61,7 @@
 	s.LastRoutingChange = max(highestNumber(s.Accounts), highestNumber(s.Services), highestNumber(s.Targets))
 }
 
-// highestNumber is the highest ticket among the objects.
+// highestNumber returns the highest ticket number of the objects.
 func highestNumber[K comparable, T any](m map[K]Numbered[T]) bbunit.TicketNumber {
 	var n bbunit.TicketNumber
 	for _, o := range m {
@@ -68,7 +70,8 @@
 	return n
 }
 
-// updateIndexes changes the indexes only where the ticket touches them.
+// updateIndexes sets the indexes of s, the state that results from applying t to prev.
+// It reuses those of prev that the ticket does not affect.
 func (s *State) updateIndexes(prev *State, t Ticket) {
 	s.ByKey, s.ByAccount, s.ByService = prev.ByKey, prev.ByAccount, prev.ByService
 	if len(t.Accounts) > 0 || s.ByKey == nil {
@@ -85,7 +88,7 @@
 	}
 }
 
-// moveBudgets moves the ticket's budgets between the accounts' lists.
+// moveBudgets updates ByAccount for the ticket's budgets, without rebuilding it.
 func (s *State) moveBudgets(prev *State, t Ticket) {
 	s.ByAccount = maps.Clone(s.ByAccount)
 	for _, b := range t.Budgets {
@@ -102,7 +105,8 @@
 	}
 }
 
-// removeBudget takes a budget off an account's list, which may be shared.
+// removeBudget removes a budget from an account's list. It copies the list, which may
+// be shared with other states.
 func (s *State) removeBudget(a bbunit.AccountID, b bbunit.BudgetID) {
 	list := s.ByAccount[a]
 	i, ok := slices.BinarySearch(list, b)
@@ -146,7 +150,8 @@
 	}
 }
 
-// mergeTicket copies the map and writes the objects that are newer.
+// mergeTicket returns a copy of old with the objects of ticket n, except where old has
+// an object with the same or a higher number.
 func mergeTicket[K comparable, T any](old map[K]Numbered[T], objects []T, n bbunit.TicketNumber, id func(T) K) map[K]Numbered[T] {
 	if len(objects) == 0 && old != nil {
 		return old
@@ -161,6 +166,7 @@
 	return out
 }
 
+// mergeNewer returns the object with the higher number for each id.
 func mergeNewer[K comparable, T any](a, b map[K]Numbered[T]) map[K]Numbered[T] {
 	out := make(map[K]Numbered[T], max(len(a), len(b)))
 	maps.Copy(out, a)
--- a/shared/bbticket/apply_test.go
+++ b/shared/bbticket/apply_test.go
@@ -9,8 +9,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// TestApplyAnyOrder gives one set of tickets in two orders, some twice: the
-// state is the same and no object goes back.
+// TestApplyAnyOrder applies the same tickets in order and in random order with one
+// repeated. The states must be equal, and no object may get a lower number.
 func TestApplyAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tickets []Ticket
@@ -34,14 +34,14 @@
 			shuffled = shuffled.Apply(ticket)
 			for id, o := range before.Budgets.All() {
 				if after := shuffled.Budgets.Get(id).Number; after < o.Number {
-					t.Fatalf("budget %s went back from %d to %d", id, o.Number, after)
+					t.Fatalf("budget %s was reverted from ticket %d to ticket %d", id, o.Number, after)
 				}
 			}
 		}
 		rebuilt := &State{Number: shuffled.Number, Budgets: shuffled.Budgets}
 		rebuilt.Reindex()
 		if !reflect.DeepEqual(rebuilt.ByAccount, shuffled.ByAccount) {
-			t.Fatalf("index kept step by step differs from a rebuilt one:\n%+v\n%+v", shuffled.ByAccount, rebuilt.ByAccount)
+			t.Fatalf("incrementally updated index differs from a rebuilt one:\n%+v\n%+v", shuffled.ByAccount, rebuilt.ByAccount)
 		}
 		if !reflect.DeepEqual(ordered, shuffled) {
 			t.Fatalf("states differ:\n%+v\n%+v", ordered, shuffled)
--- a/shared/bbticket/capacity_test.go
+++ b/shared/bbticket/capacity_test.go
@@ -9,8 +9,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// fullState is a state of n budgets, n/10 targets and the accounts and services
-// that go with them.
+// fullState returns a state with n budgets, n/10 targets and the accounts and services
+// that they belong to.
 func fullState(n int) *State {
 	t := Ticket{Number: 1}
 	for i := range 820 {
@@ -28,8 +28,8 @@
 	return (&State{}).Apply(t)
 }
 
-// BenchmarkCapacityApply is the time and memory of putting one ticket in force,
-// for a top-up, a target that changes, and states of growing size.
+// BenchmarkCapacityApply measures the time and memory of applying one ticket, with one
+// budget or one target, to states of different sizes.
 func BenchmarkCapacityApply(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		s := fullState(n)
@@ -50,15 +50,15 @@
 	}
 }
 
-// BenchmarkCapacityState is the size of the whole state, in memory and as what
-// a joining instance is sent.
+// BenchmarkCapacityState measures the size of a state in memory and as the JSON that a
+// joining instance receives.
 func BenchmarkCapacityState(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("budgets=%d", n), func(b *testing.B) {
 			for range b.N {
 				var before, after runtime.MemStats
 				runtime.GC()
-				runtime.GC() // the second one ends the first one's sweep
+				runtime.GC() // completes the sweep of the first
 				runtime.ReadMemStats(&before)
 				s := fullState(n)
 				runtime.GC()
--- a/shared/bbticket/diff.go
+++ b/shared/bbticket/diff.go
@@ -9,17 +9,18 @@
 	"strings"
 )
 
-// Change is one field in which a ticket differs from what is in force.
+// Change is one difference between a ticket and the state: an object that is added or
+// removed, or a field that is changed.
 type Change struct {
 	Action string `json:"change"` // add, change or remove
-	Object string `json:"object"`
+	Object string `json:"object"` // type and id, such as "budget b1"
 	Field  string `json:"field,omitempty"`
 	Old    string `json:"was,omitempty"`
 	New    string `json:"becomes,omitempty"`
 }
 
-// Diff lists how the ticket's objects differ from the state, in the ticket's
-// order.
+// Diff returns the differences between the ticket's objects and the state, in the
+// order of the ticket. A nil s is an empty state.
 func (s *State) Diff(t Ticket) []Change {
 	if s == nil {
 		s = &State{}
@@ -57,8 +58,8 @@
 	return out
 }
 
-// Ticket returns all that is in force as one ticket, sorted by id, without what
-// is gone.
+// Ticket returns the whole state as one ticket, sorted by id and without deleted
+// objects.
 func (s *State) Ticket() Ticket {
 	return Ticket{
 		Number:   s.Number,
--- a/shared/bbticket/log.go
+++ b/shared/bbticket/log.go
@@ -16,79 +16,84 @@
 
 // Keys of the log in the key-value service.
 const (
-	// HeadKey holds the head: the last number, with the tail of the log.
+	// HeadKey holds the Head of the log.
 	HeadKey = "/bb/ticket/head"
-	// snapshotPrefix holds the state that the tail stands on, in shards.
+	// snapshotPrefix is the common prefix of the keys of the snapshot shards.
 	snapshotPrefix = "/bb/ticket/snap/"
 )
 
 const (
-	// snapshotShards is how many parts the folded state has.
+	// snapshotShards is the number of keys over which the snapshot is spread.
 	snapshotShards = 64
-	// maxHeadBytes is the size of the head, in bytes, above which it is folded.
+	// maxHeadBytes is the size of the head above which its tail is compacted.
 	maxHeadBytes = 256 << 10
-	// maxCompacted is how many nonces of folded tickets the head keeps.
+	// maxCompacted is the number of compacted tickets whose nonces the head keeps.
 	maxCompacted = 1024
-	// MaxTicketBytes is the largest ticket, in bytes of JSON.
+	// MaxTicketBytes is the maximum size of a ticket, encoded as JSON.
 	MaxTicketBytes = 512 << 10
 )
 
-// ErrNumberTaken marks a ticket whose number is not the next one; it comes as a
-// *NumberError.
+// ErrNumberTaken means that the ticket's number is not the next one of the log. The
+// error is a *NumberError.
 const ErrNumberTaken = errors.ConstError("ticket number taken")
 
-// NumberError tells which number the log's head has.
+// NumberError reports a ticket number that is not the next one, and the number of the
+// last accepted ticket.
 type NumberError struct {
 	Requested, Head bbunit.TicketNumber
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *NumberError) Error() string {
 	return fmt.Sprintf("ticket %d refused: ticket %d is in force, the next number is %d", e.Requested, e.Head, e.Head+1)
 }
 
-// Is makes errors.Is(err, ErrNumber) true.
+// Is makes errors.Is(err, ErrNumberTaken) true.
 func (e *NumberError) Is(target error) bool { return target == ErrNumberTaken }
 
-// LogEntry is one ticket of the tail.
+// LogEntry is one accepted ticket in the tail of the log.
 type LogEntry struct {
 	Ticket Ticket `json:"ticket"`
-	// Nonce tells two operators' tickets of one number apart.
+	// Nonce distinguishes tickets with the same number from different operators.
 	Nonce string    `json:"nonce"`
 	At    time.Time `json:"at"`
 }
 
-// Head is the value at HeadKey. The tail holds the tickets above Folded, in
-// order and without gaps; what lies below stands in the shards.
+// Head is the value at HeadKey. The log consists of a snapshot, which holds the state
+// up to SnapshotNumber, and the tail, which holds the tickets after it.
 type Head struct {
+	// Number is the number of the last accepted ticket.
 	Number         bbunit.TicketNumber `json:"number"`
 	SnapshotNumber bbunit.TicketNumber `json:"folded"`
-	Tail           []LogEntry          `json:"tail,omitempty"`
-	// Compacted keeps the nonces of tickets that left the tail lately, so that an
-	// operator whose answer was lost still learns what became of its ticket.
+	// Tail holds the tickets above SnapshotNumber in order and without gaps.
+	Tail []LogEntry `json:"tail,omitempty"`
+	// Compacted lists the tickets that were compacted last, so that an operator
+	// whose answer was lost can still learn whether its ticket was accepted.
 	Compacted []CompactedTicket `json:"past,omitempty"`
 }
 
-// CompactedTicket is the number and nonce of a ticket that left the tail.
+// CompactedTicket is the number and nonce of a ticket that was moved from the tail to
+// the snapshot.
 type CompactedTicket struct {
 	Number bbunit.TicketNumber `json:"number"`
 	Nonce  string              `json:"nonce"`
 }
 
-// DecodeHead reads a value of HeadKey; a nil value is an empty log.
+// DecodeHead decodes a value of HeadKey. A nil value is an empty log.
 func DecodeHead(v []byte) (Head, error) {
 	var h Head
 	if v == nil {
 		return h, nil
 	}
 	if err := json.Unmarshal(v, &h); err != nil {
-		return Head{}, errors.Annotate(err, "head of the ticket log")
+		return Head{}, errors.Annotate(err, "decoding the head of the ticket log")
 	}
 	return h, nil
 }
 
-// ApplyTail returns the state with the tail in force, and false when the state is
-// too old for the tail and has to be loaded whole.
+// ApplyTail returns the state after applying the tail of h. It returns s and false if s
+// is older than the snapshot, so that tickets are missing between s and the tail; the
+// state then has to be loaded with Log.Load. A nil s is an empty state.
 func (s *State) ApplyTail(h Head) (*State, bool) {
 	if s == nil {
 		s = &State{}
@@ -96,24 +101,24 @@
 	if s.Number < h.SnapshotNumber {
 		return s, false
 	}
-	for _, a := range h.Tail {
-		if a.Ticket.Number > s.Number {
-			s = s.Apply(a.Ticket)
+	for _, entry := range h.Tail {
+		if entry.Ticket.Number > s.Number {
+			s = s.Apply(entry.Ticket)
 		}
 	}
 	return s, true
 }
 
-// Log is the log of change tickets in the key-value service. Its calls block
-// up to the context's deadline.
+// Log is the log of change tickets in the key-value service. Its methods block up to
+// the context's deadline.
 type Log struct {
 	store bbstore.Store
 }
 
-// NewLog returns the log kept in the store.
+// NewLog returns the log in the given store.
 func NewLog(store bbstore.Store) *Log { return &Log{store: store} }
 
-// Head returns the head and the revision that wrote it.
+// Head reads the head and its revision.
 func (l *Log) Head(ctx context.Context) (Head, bbstore.Revision, error) {
 	e, err := l.store.Get(ctx, HeadKey)
 	if err != nil {
@@ -123,7 +128,7 @@
 	return h, e.Rev, err
 }
 
-// Load returns the whole state in force.
+// Load reads the snapshot and the tail and returns the state in force.
 func (l *Log) Load(ctx context.Context) (*State, error) {
 	for {
 		h, _, err := l.Head(ctx)
@@ -143,6 +148,7 @@
 	}
 }
 
+// loadSnapshot reads all shards of the snapshot. The Number of the result is 0.
 func (l *Log) loadSnapshot(ctx context.Context) (*State, error) {
 	entries, _, err := l.store.List(ctx, snapshotPrefix)
 	if err != nil {
@@ -152,23 +158,23 @@
 	for _, e := range entries {
 		var shard State
 		if err := json.Unmarshal(e.Value, &shard); err != nil {
-			return nil, errors.Annotatef(err, "shard %s", e.Key)
+			return nil, errors.Annotatef(err, "decoding snapshot shard %s", e.Key)
 		}
 		s = s.Merge(&shard)
 	}
-	// The shards may be ahead of the head while a fold is under way; the tail
-	// still has what is missing between.
+	// While a compaction runs, some shards may be newer than the head's
+	// SnapshotNumber and others not. The tail still holds what the latter lack.
 	s.Number = 0
 	return s, nil
 }
 
-// Accept puts the ticket in force by one compare-and-swap on the head. It
-// returns ErrInvalid, a *NumberError when another ticket has the number, or the
-// store's error: after bbstore.ErrUnknown the same call with the same nonce
-// tells what became of it.
+// Accept validates the ticket and appends it to the log by one compare-and-swap on the
+// head, which puts it in force. It returns ErrInvalid, a *NumberError if the number is
+// not the next one, or the store's error. After bbstore.ErrUnknown, calling it again
+// with the same nonce tells whether the ticket was accepted.
 func (l *Log) Accept(ctx context.Context, t Ticket, nonce string, now time.Time) error {
 	if b, err := json.Marshal(t); err != nil || len(b) > MaxTicketBytes {
-		return errors.WithType(errors.Errorf("ticket %d: %d bytes, at most %d", t.Number, len(b), MaxTicketBytes), ErrInvalid)
+		return errors.WithType(errors.Errorf("ticket %d is %d bytes of JSON, at most %d are allowed", t.Number, len(b), MaxTicketBytes), ErrInvalid)
 	}
 	for {
 		h, rev, err := l.Head(ctx)
@@ -193,7 +199,8 @@
 		case err == nil:
 			return nil
 		case errors.Is(err, bbstore.ErrConflict), errors.Is(err, bbstore.ErrUnknown):
-			// The head tells on the next turn: there, lost to another, or free.
+			// Read the head again: it tells whether the ticket was accepted, its
+			// number was taken by another one, or the number is still free.
 			if ctx.Err() != nil {
 				return errors.Trace(err)
 			}
@@ -203,37 +210,39 @@
 	}
 }
 
-// outcome tells whether the number's fate is known from the head.
+// outcome tells whether the head decides on ticket n: (true, nil) if the ticket with
+// this nonce was accepted, (true, *NumberError) if its number is taken or not the next
+// one, and (false, nil) if n is the next number.
 func (h Head) outcome(n bbunit.TicketNumber, nonce string) (bool, error) {
 	if n == h.Number+1 {
 		return false, nil
 	}
-	for _, a := range h.Tail {
-		if a.Ticket.Number == n && a.Nonce == nonce {
+	for _, entry := range h.Tail {
+		if entry.Ticket.Number == n && entry.Nonce == nonce {
 			return true, nil
 		}
 	}
-	for _, p := range h.Compacted {
-		if p.Number == n && p.Nonce == nonce {
+	for _, compacted := range h.Compacted {
+		if compacted.Number == n && compacted.Nonce == nonce {
 			return true, nil
 		}
 	}
 	return true, &NumberError{Requested: n, Head: h.Number}
 }
 
-// appendEntry writes the head with one more ticket, folding the tail first when it
-// has grown large.
-func (l *Log) appendEntry(ctx context.Context, h Head, rev bbstore.Revision, a LogEntry) error {
-	next := Head{Number: a.Ticket.Number, SnapshotNumber: h.SnapshotNumber, Compacted: h.Compacted, Tail: append(h.Tail[:len(h.Tail):len(h.Tail)], a)}
+// appendEntry writes the head with one more entry. If the head would become larger than
+// maxHeadBytes, it compacts the tail first.
+func (l *Log) appendEntry(ctx context.Context, h Head, rev bbstore.Revision, entry LogEntry) error {
+	next := Head{Number: entry.Ticket.Number, SnapshotNumber: h.SnapshotNumber, Compacted: h.Compacted, Tail: append(h.Tail[:len(h.Tail):len(h.Tail)], entry)}
 	v, err := json.Marshal(next)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	if len(v) > maxHeadBytes && len(h.Tail) > 0 {
 		if err := l.compact(ctx, h); err != nil {
-			return errors.Annotate(err, "folding the ticket log")
+			return errors.Annotate(err, "compacting the ticket log")
 		}
-		next.SnapshotNumber, next.Tail, next.Compacted = h.Number, []LogEntry{a}, h.compactTail()
+		next.SnapshotNumber, next.Tail, next.Compacted = h.Number, []LogEntry{entry}, h.compactTail()
 		if v, err = json.Marshal(next); err != nil {
 			return errors.Trace(err)
 		}
@@ -242,21 +251,21 @@
 	return errors.Trace(err)
 }
 
-// compactTail is what Past becomes when the whole tail is folded.
+// compactTail returns the value of Compacted after the whole tail is compacted.
 func (h Head) compactTail() []CompactedTicket {
 	out := slices.Clone(h.Compacted)
-	for _, a := range h.Tail {
-		out = append(out, CompactedTicket{Number: a.Ticket.Number, Nonce: a.Nonce})
+	for _, entry := range h.Tail {
+		out = append(out, CompactedTicket{Number: entry.Ticket.Number, Nonce: entry.Nonce})
 	}
 	return out[max(0, len(out)-maxCompacted):]
 }
 
-// compact writes the tail's objects into their shards. It goes only forward, so
-// that two folds at once, or one that stops half way, do no harm.
+// compact merges the objects of the tail into the snapshot. It never replaces an object
+// by an older version, so concurrent or interrupted compactions do no harm.
 func (l *Log) compact(ctx context.Context, h Head) error {
 	s := &State{}
-	for _, a := range h.Tail {
-		s = s.Apply(a.Ticket)
+	for _, entry := range h.Tail {
+		s = s.Apply(entry.Ticket)
 	}
 	for i, shard := range s.splitShards() {
 		if shard == nil {
@@ -269,6 +278,7 @@
 	return nil
 }
 
+// mergeShard merges a shard into the one stored at key, by compare-and-swap.
 func (l *Log) mergeShard(ctx context.Context, key string, shard *State) error {
 	for {
 		e, err := l.store.Get(ctx, key)
@@ -278,7 +288,7 @@
 		var current State
 		if e.Value != nil {
 			if err := json.Unmarshal(e.Value, &current); err != nil {
-				return errors.Annotatef(err, "shard %s", key)
+				return errors.Annotatef(err, "decoding snapshot shard %s", key)
 			}
 		}
 		v, err := json.Marshal(current.Merge(shard))
@@ -296,7 +306,8 @@
 	}
 }
 
-// splitShards deals the objects out to the shards by their ids.
+// splitShards distributes the objects over the snapshot shards by a hash of their ids.
+// Shards without objects are nil.
 func (s *State) splitShards() []*State {
 	out := make([]*State, snapshotShards)
 	shardOf := func(id string) *State {
--- a/shared/bbticket/parse.go
+++ b/shared/bbticket/parse.go
@@ -13,17 +13,17 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ErrInvalid marks a ticket that cannot be put in force; the error names every
-// fault that was found.
+// ErrInvalid means that a ticket is malformed or not valid against the state. The error
+// lists every violation that was found.
 const ErrInvalid = errors.ConstError("invalid ticket")
 
-// MaxPaid is the most tokens that a budget may hold.
+// MaxPaid is the maximum of Budget.Paid.
 const MaxPaid bbunit.Tokens = 1 << 53
 
-// MaxPrice is the most tokens that a call or a token may cost.
+// MaxPrice is the maximum of each field of Price and of Service.DefaultMaxOutput.
 const MaxPrice bbunit.Tokens = 1 << 32
 
-// MaxIDBytes is the longest id, in bytes.
+// MaxIDBytes is the maximum length of an id.
 const MaxIDBytes = 128
 
 var (
@@ -31,24 +31,24 @@
 	keyPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
 )
 
-// Parse reads a ticket from YAML. Unknown and repeated fields are errors with
-// line and column; the error is ErrInvalid. References to other objects are
-// checked by Check.
+// Parse decodes a ticket from YAML. Unknown and duplicate fields are errors. The error
+// is ErrInvalid and contains line and column. Parse checks only the syntax; values and
+// references to other objects are checked by State.Check.
 func Parse(src []byte) (Ticket, error) {
 	var t Ticket
 	d := yaml.NewDecoder(bytes.NewReader(src), yaml.Strict(), yaml.DisallowUnknownField())
 	if err := d.Decode(&t); err != nil {
 		text := yaml.FormatError(err, false, true)
-		if at := unknownKindError(src); at != "" {
-			text = at // the decoder gives no place for a name that is not in an enum
+		if located := unknownKindError(src); located != "" {
+			text = located // the decoder's error for an unknown enum name has no position
 		}
 		return Ticket{}, errors.WithType(errors.New(text), ErrInvalid)
 	}
 	return t, nil
 }
 
-// unknownKindError tells where the first service stands whose kind is unknown, in the
-// decoder's form, or "" when there is none.
+// unknownKindError returns an error text for the first service with an unknown kind, in
+// the format of the decoder's errors, or "" if there is none.
 func unknownKindError(src []byte) string {
 	for i := 0; ; i++ {
 		service, err := yaml.PathString(fmt.Sprintf("$.services[%d]", i))
@@ -64,7 +64,7 @@
 		}
 		node, err := path.ReadNode(bytes.NewReader(src))
 		if err != nil {
-			continue // it names none
+			continue // no kind given
 		}
 		name := strings.Trim(node.String(), `"'`)
 		if _, err := KindString(name); err == nil {
@@ -74,42 +74,44 @@
 		if err != nil {
 			return ""
 		}
-		at := node.GetToken().Position
-		return fmt.Sprintf("[%d:%d] kind: %s or %s, is %q\n%s", at.Line, at.Column, KindEngine, KindPlain, name, excerpt)
+		pos := node.GetToken().Position
+		return fmt.Sprintf("[%d:%d] kind: %s or %s, is %q\n%s", pos.Line, pos.Column, KindEngine, KindPlain, name, excerpt)
 	}
 }
 
-// violations collects what is wrong with a ticket.
+// violations collects the errors in a ticket, one text each.
 type violations []string
 
-func (f *violations) addf(format string, args ...any) { *f = append(*f, fmt.Sprintf(format, args...)) }
+func (vs *violations) addf(format string, args ...any) {
+	*vs = append(*vs, fmt.Sprintf(format, args...))
+}
 
-// Check tells whether the ticket may follow the state. The error is ErrInvalid
-// and names every fault, one a line.
+// Check validates the ticket against the state that it would be applied to. The error
+// is ErrInvalid and lists every violation, one per line. A nil s is an empty state.
 func (s *State) Check(t Ticket) error {
 	if s == nil {
 		s = &State{}
 	}
-	var f violations
+	var vs violations
 	if t.Number == 0 {
-		f.addf("number: must be above 0")
+		vs.addf("number: must be above 0")
 	}
 	if len(t.Accounts)+len(t.Budgets)+len(t.Services)+len(t.Targets) == 0 {
-		f.addf("ticket %d: touches nothing", t.Number)
+		vs.addf("ticket %d: contains no accounts, budgets, services or targets", t.Number)
 	}
 	next := s.Apply(t)
-	f.checkAccounts(t.Accounts, next)
-	f.checkBudgets(t.Budgets, next)
-	f.checkServices(t.Services, next)
-	f.checkTargets(t.Targets, next)
-	f.checkOrphans(next)
-	if len(f) == 0 {
+	vs.checkAccounts(t.Accounts, next)
+	vs.checkBudgets(t.Budgets, next)
+	vs.checkServices(t.Services, next)
+	vs.checkTargets(t.Targets, next)
+	vs.checkOrphans(next)
+	if len(vs) == 0 {
 		return nil
 	}
-	return errors.WithType(errors.New(strings.Join(f, "\n")), ErrInvalid)
+	return errors.WithType(errors.New(strings.Join(vs, "\n")), ErrInvalid)
 }
 
-func (f *violations) checkAccounts(list []Account, next *State) {
+func (vs *violations) checkAccounts(list []Account, next *State) {
 	seen := map[string]bool{}
 	keyOwner := map[string]bbunit.AccountID{}
 	for id, a := range next.Accounts {
@@ -121,120 +123,122 @@
 	}
 	for i, a := range list {
 		path := fmt.Sprintf("accounts[%d] %q", i, a.ID)
-		f.checkID(path, string(a.ID), seen)
-		f.checkLimit(path, a.Limit)
+		vs.checkID(path, string(a.ID), seen)
+		vs.checkLimit(path, a.Limit)
 		for _, k := range a.Keys {
 			if !keyPattern.MatchString(k) {
-				f.addf("%s: key must be sha256: and 64 hex digits", path)
+				vs.addf("%s: keys: must be sha256: and 64 lowercase hex digits", path)
 			}
 			if other, ok := keyOwner[k]; ok {
-				f.addf("%s: key is also that of account %q", path, other)
+				vs.addf("%s: keys: one is already a key of account %q", path, other)
 			}
 			keyOwner[k] = a.ID
 		}
 		if len(a.Keys) == 0 && !a.Deleted {
-			f.addf("%s: has no keys", path)
+			vs.addf("%s: keys: must not be empty", path)
 		}
 	}
 }
 
-func (f *violations) checkBudgets(list []Budget, next *State) {
+func (vs *violations) checkBudgets(list []Budget, next *State) {
 	seen := map[string]bool{}
 	for i, b := range list {
 		path := fmt.Sprintf("budgets[%d] %q", i, b.ID)
-		f.checkID(path, string(b.ID), seen)
-		f.checkAmount(path+": paid", b.Paid, MaxPaid)
+		vs.checkID(path, string(b.ID), seen)
+		vs.checkAmount(path+": paid", b.Paid, MaxPaid)
 		if !b.Deleted {
-			checkExists(f, path, "account", next.Accounts, b.Account)
+			checkExists(vs, path, "account", next.Accounts, b.Account)
 		}
 	}
 }
 
-func (f *violations) checkServices(list []Service, next *State) {
+func (vs *violations) checkServices(list []Service, next *State) {
 	seen := map[string]bool{}
 	for i, v := range list {
 		path := fmt.Sprintf("services[%d] %q", i, v.ID)
-		f.checkID(path, string(v.ID), seen)
-		f.checkLimit(path, v.Limit)
-		f.checkAmount(path+": price.call", v.Price.Call, MaxPrice)
-		f.checkAmount(path+": price.input", v.Price.Input, MaxPrice)
-		f.checkAmount(path+": price.output", v.Price.Output, MaxPrice)
-		f.checkAmount(path+": output", v.DefaultMaxOutput, MaxPrice)
+		vs.checkID(path, string(v.ID), seen)
+		vs.checkLimit(path, v.Limit)
+		vs.checkAmount(path+": price.call", v.Price.Call, MaxPrice)
+		vs.checkAmount(path+": price.input", v.Price.Input, MaxPrice)
+		vs.checkAmount(path+": price.output", v.Price.Output, MaxPrice)
+		vs.checkAmount(path+": output", v.DefaultMaxOutput, MaxPrice)
 		for _, m := range v.Idempotent {
 			if m == "" || strings.ToUpper(m) != m {
-				f.addf("%s: idempotent: not an HTTP method: %q", path, m)
+				vs.addf("%s: idempotent: not an HTTP method in upper case: %q", path, m)
 			}
 		}
 		for _, a := range v.Accounts {
 			if !v.Deleted {
-				checkExists(f, path, "account", next.Accounts, a)
+				checkExists(vs, path, "account", next.Accounts, a)
 			}
 		}
 	}
 }
 
-func (f *violations) checkTargets(list []Target, next *State) {
+func (vs *violations) checkTargets(list []Target, next *State) {
 	seen := map[string]bool{}
 	for i, t := range list {
 		path := fmt.Sprintf("targets[%d] %q", i, t.ID)
-		f.checkID(path, string(t.ID), seen)
+		vs.checkID(path, string(t.ID), seen)
 		if t.Deleted {
 			continue
 		}
-		checkExists(f, path, "service", next.Services, t.Service)
+		checkExists(vs, path, "service", next.Services, t.Service)
 		if _, port, err := net.SplitHostPort(t.Address); err != nil || port == "" {
-			f.addf("%s: address: not host:port: %q", path, t.Address)
+			vs.addf("%s: address: not host:port: %q", path, t.Address)
 		}
 		if t.Domain == "" {
-			f.addf("%s: domain: must not be empty", path)
+			vs.addf("%s: domain: must not be empty", path)
 		}
 		if t.Slots < 0 {
-			f.addf("%s: slots: must not be negative, is %d", path, t.Slots)
+			vs.addf("%s: slots: must not be negative, is %d", path, t.Slots)
 		}
 	}
 }
 
-// checkOrphans finds objects in force whose owner the ticket takes away.
-func (f *violations) checkOrphans(next *State) {
+// checkOrphans reports budgets and targets in force whose account or service the ticket
+// deletes.
+func (vs *violations) checkOrphans(next *State) {
 	for id, b := range next.Budgets.All() {
 		if a, ok := next.Accounts[b.Object.Account]; ok && a.Object.Deleted && !b.Object.Deleted {
-			f.addf("account %q: gone, but budget %q is not", b.Object.Account, id)
+			vs.addf("account %q: gone, but its budget %q is not", b.Object.Account, id)
 		}
 	}
 	for id, t := range next.Targets {
 		if v, ok := next.Services[t.Object.Service]; ok && v.Object.Deleted && !t.Object.Deleted {
-			f.addf("service %q: gone, but target %q is not", t.Object.Service, id)
+			vs.addf("service %q: gone, but its target %q is not", t.Object.Service, id)
 		}
 	}
 }
 
-func (f *violations) checkID(path, id string, seen map[string]bool) {
+func (vs *violations) checkID(path, id string, seen map[string]bool) {
 	switch {
 	case !idPattern.MatchString(id):
-		f.addf("%s: id: letters, digits, '.', '_' and '-' only", path)
+		vs.addf("%s: id: only letters, digits, '.', '_' and '-' allowed, the first a letter or digit", path)
 	case len(id) > MaxIDBytes:
-		f.addf("%s: id: longer than %d bytes", path, MaxIDBytes)
+		vs.addf("%s: id: longer than %d bytes", path, MaxIDBytes)
 	case seen[id]:
-		f.addf("%s: id: stands twice", path)
+		vs.addf("%s: id: duplicate", path)
 	}
 	seen[id] = true
 }
 
-func (f *violations) checkAmount(path string, v, limit bbunit.Tokens) {
+func (vs *violations) checkAmount(path string, v, limit bbunit.Tokens) {
 	if v < 0 || v > limit {
-		f.addf("%s: must be from 0 to %d, is %d", path, limit, v)
+		vs.addf("%s: must be from 0 to %d, is %d", path, limit, v)
 	}
 }
 
-func (f *violations) checkLimit(path string, l Limit) {
+func (vs *violations) checkLimit(path string, l Limit) {
 	if l.Rate < 0 || l.Burst < 0 || l.MaxInFlight < 0 {
-		f.addf("%s: limit: must not be negative", path)
+		vs.addf("%s: limit: rate, burst and open must not be negative", path)
 	}
 }
 
-// checkExists adds a fault when the object referred to is not in force.
-func checkExists[K ~string, T any](f *violations, path, kind string, objects map[K]Numbered[T], id K) {
+// checkExists reports a reference to an object that is not in the state. Deleted
+// objects count as present; for budgets and targets, checkOrphans reports those.
+func checkExists[K ~string, T any](vs *violations, path, kind string, objects map[K]Numbered[T], id K) {
 	if _, ok := objects[id]; !ok {
-		f.addf("%s: %s: unknown: %q", path, kind, id)
+		vs.addf("%s: %s: unknown: %q", path, kind, id)
 	}
 }
--- a/shared/bbticket/parse_test.go
+++ b/shared/bbticket/parse_test.go
@@ -21,7 +21,7 @@
 	is.Equal(s.Services["closure-desk"].Object.Kind, KindPlain)
 }
 
-// TestBadTickets holds the message for each bad ticket in a golden file.
+// TestBadTickets compares the error for each invalid ticket with a golden file.
 func TestBadTickets(t *testing.T) {
 	ticket := func(body string) string { return "number: 1\n" + body }
 	for name, src := range map[string]string{
--- a/shared/bbticket/table.go
+++ b/shared/bbticket/table.go
@@ -10,12 +10,12 @@
 	"github.com/juju/errors"
 )
 
-// bucketCount is how many parts a Table has. A change copies one of them.
+// bucketCount is the number of buckets of a Table. A change copies one of them.
 const bucketCount = 1024
 
-// Table is an immutable map from ids to numbered objects. Set returns a changed
-// copy that shares all but one bucket, so that one object among 100,000 is
-// changed without copying the others. The zero value is empty.
+// Table is an immutable map from ids to numbered objects. Set returns a copy that
+// shares all buckets but the changed one, so that one of 100,000 objects can be
+// changed without copying all the others. The zero value is empty.
 type Table[K ~string, T any] struct {
 	buckets *[bucketCount]map[K]Numbered[T]
 	size    int
@@ -23,10 +23,10 @@
 
 func bucketOf[K ~string](id K) uint64 { return xxhash.Sum64String(string(id)) % bucketCount }
 
-// Len returns how many objects the table has.
+// Len returns the number of objects.
 func (t Table[K, T]) Len() int { return t.size }
 
-// Get returns the object, with number 0 when there is none.
+// Get returns the object with the given id. Its Number is 0 if there is none.
 func (t Table[K, T]) Get(id K) Numbered[T] {
 	if t.buckets == nil {
 		return Numbered[T]{}
@@ -34,14 +34,14 @@
 	return t.buckets[bucketOf(id)][id]
 }
 
-// Set returns the table with the object written.
+// Set returns a copy of the table in which id has object o.
 func (t Table[K, T]) Set(id K, o Numbered[T]) Table[K, T] {
 	next := t.cloneBuckets()
 	next.put(id, o, map[uint64]bool{})
 	return next
 }
 
-// All returns the objects in no order.
+// All iterates over the objects in no particular order.
 func (t Table[K, T]) All() iter.Seq2[K, Numbered[T]] {
 	return func(yield func(K, Numbered[T]) bool) {
 		if t.buckets == nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Sorted returns all ids in order.
+// Sorted returns all ids, sorted.
 func (t Table[K, T]) Sorted() []K {
 	out := make([]K, 0, t.size)
 	for id := range t.All() {
@@ -67,7 +67,8 @@
 	return out
 }
 
-// cloneBuckets returns a copy whose list of buckets may be changed.
+// cloneBuckets returns a copy with a bucket array of its own. The buckets themselves
+// are shared; put copies them before it writes.
 func (t Table[K, T]) cloneBuckets() Table[K, T] {
 	next := Table[K, T]{buckets: new([bucketCount]map[K]Numbered[T]), size: t.size}
 	if t.buckets != nil {
@@ -76,8 +77,8 @@
 	return next
 }
 
-// put writes into a table made by writer; copied names the buckets that are its
-// own already.
+// put stores an object in a table made by cloneBuckets. copied is the set of buckets
+// that are no longer shared with the original.
 func (t *Table[K, T]) put(id K, o Numbered[T], copied map[uint64]bool) {
 	b := bucketOf(id)
 	if !copied[b] {
@@ -91,7 +92,8 @@
 	t.buckets[b][id] = o
 }
 
-// merge writes the objects that are newer than what the table has.
+// merge returns a copy of the table with those objects that have a higher number than
+// the table's own. It returns t itself if there are none.
 func (t Table[K, T]) merge(objects iter.Seq2[K, Numbered[T]]) Table[K, T] {
 	next, copied, changed := t, map[uint64]bool{}, false
 	for id, o := range objects {
@@ -106,12 +108,12 @@
 	return next
 }
 
-// MarshalJSON writes the table as an object.
+// MarshalJSON encodes the table as a JSON object keyed by id.
 func (t Table[K, T]) MarshalJSON() ([]byte, error) {
 	return json.Marshal(maps.Collect(t.All()))
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes the form that MarshalJSON writes.
 func (t *Table[K, T]) UnmarshalJSON(b []byte) error {
 	var m map[K]Numbered[T]
 	if err := json.Unmarshal(b, &m); err != nil {
