--- a/shared/bbjournal/chain.go
+++ b/shared/bbjournal/chain.go
@@ -16,11 +16,12 @@
 const (
 	// sealLeafBytes is the size above which a leaf is sealed.
 	sealLeafBytes = 64 << 10
-	// maxLeafBytes is the size of the largest leaf that a plan writes. Records that
-	// would exceed it get the verdict RETRY.
+	// maxLeafBytes is the size of the largest leaf that a plan writes. Records
+	// that would exceed it get the verdict RETRY.
 	maxLeafBytes = 512 << 10
-	// minLeavesPerRetention is the least number of leaves per retention: the head is
-	// sealed once it is older than the retention divided by this number.
+	// minLeavesPerRetention is the least number of leaves per retention: the
+	// head is sealed once it is older than the retention divided by this
+	// number.
 	minLeavesPerRetention = 8
 	// maxClockSkew is the largest clock difference between instances that the
 	// retention allows for.
@@ -35,32 +36,33 @@
 	index  map[string]*bbwire.Record // records by key
 	// fresh means that the leaf was read or written since Begin.
 	fresh bool
-	// stale means that the leaf has to be read before it is used: it has changed, or
-	// may have.
+	// stale means that the leaf has to be read before it is used: it has
+	// changed, or may have.
 	stale bool
-	// unknownWrite means that the outcome of a write based on rev is unknown: it may
-	// still take effect.
+	// unknownWrite means that the outcome of a write based on rev is unknown:
+	// it may still take effect.
 	unknownWrite bool
 }
 
-// ChainCache is one committer's cache of a partition's chain of leaves. It keeps the
-// whole head, and for each sealed leaf only the hashes of the record keys in it. It
-// does no I/O: the committer makes the reads and writes that Plan returns and reports
-// their results. It is not safe for concurrent use.
+// ChainCache is one committer's cache of a partition's chain of leaves. It
+// keeps the whole head, and for each sealed leaf only the hashes of the record
+// keys in it. It does no I/O: the committer makes the reads and writes that
+// Plan returns and reports their results. It is not safe for concurrent use.
 type ChainCache struct {
 	Partition Partition
 	// Retention is the minimum time that a request id is remembered.
 	Retention time.Duration
-	// Seed seeds the hash of record keys, so that callers cannot choose ids whose
-	// hashes collide.
+	// Seed seeds the hash of record keys, so that callers cannot choose ids
+	// whose hashes collide.
 	Seed uint64
 
 	loaded          bool // the partition has been listed
 	commitStartedAt time.Time
 	headConfirmedAt time.Time // last time that head was known to be the head
 	head            leaf
-	// contended means that other committers write to the head too. It is then read
-	// before the first write of a commit instead of after a write has failed.
+	// contended means that other committers write to the head too. It is then
+	// read before the first write of a commit instead of after a write has
+	// failed.
 	contended     bool
 	sealedRecords map[uint64]LeafNumber // sealed leaf by hash of the record key
 	sealedLeaves  map[LeafNumber]*sealedLeaf
@@ -73,8 +75,8 @@
 	sealedAt int64 // milliseconds since the epoch
 }
 
-// Write is one compare-and-swap of a plan. It replaces the value at revision Prev
-// (0: no value) with Value, or deletes it if Value is nil.
+// Write is one compare-and-swap of a plan. It replaces the value at revision
+// Prev (0: no value) with Value, or deletes it if Value is nil.
 type Write struct {
 	Number LeafNumber
 	Key    string
@@ -83,10 +85,10 @@
 	leaf   *bbwire.Leaf
 }
 
-// Begin starts a commit. Cached leaves may have changed since the last one. If the
-// head has not been confirmed for half the retention, the partition is listed again;
-// otherwise a write could reuse the number of a leaf that others have created, sealed
-// and deleted meanwhile.
+// Begin starts a commit. Cached leaves may have changed since the last one. If
+// the head has not been confirmed for half the retention, the partition is
+// listed again; otherwise a write could reuse the number of a leaf that others
+// have created, sealed and deleted meanwhile.
 func (c *ChainCache) Begin(now time.Time) {
 	if now.Sub(c.headConfirmedAt) > c.Retention/2 {
 		c.loaded = false
@@ -100,8 +102,8 @@
 // Loaded tells whether the partition has been listed.
 func (c *ChainCache) Loaded() bool { return c.loaded }
 
-// Load replaces the cache with a listing of the partition. The error means that a
-// key or value is malformed.
+// Load replaces the cache with a listing of the partition. The error means that
+// a key or value is malformed.
 func (c *ChainCache) Load(entries []bbstore.Entry) error {
 	leaves, err := decodeLeaves(entries)
 	if err != nil {
@@ -138,8 +140,8 @@
 	return out, nil
 }
 
-// addSealed indexes the records of a sealed leaf. If it was the head, the next number
-// becomes the head.
+// addSealed indexes the records of a sealed leaf. If it was the head, the next
+// number becomes the head.
 func (c *ChainCache) addSealed(l *leaf) {
 	c.sealedLeaves[l.number] = &sealedLeaf{rev: l.rev, sealedAt: l.value.Sealedat}
 	for _, r := range l.value.Records {
@@ -173,8 +175,8 @@
 // Key returns the store key of leaf n.
 func (c *ChainCache) Key(n LeafNumber) string { return c.Partition.leafKey(n) }
 
-// OnLeafRead updates the cache with leaf n as read from the store. Rev is 0 if the
-// leaf does not exist. The error means that the value is malformed.
+// OnLeafRead updates the cache with leaf n as read from the store. Rev is 0 if
+// the leaf does not exist. The error means that the value is malformed.
 func (c *ChainCache) OnLeafRead(n LeafNumber, e bbstore.Entry) error {
 	l := &leaf{number: n, rev: e.Rev, value: &bbwire.Leaf{}, fresh: true}
 	if err := proto.Unmarshal(e.Value, l.value); err != nil {
@@ -199,8 +201,8 @@
 	return nil
 }
 
-// updateSealed updates the cache of a sealed leaf, or removes it if the leaf was
-// deleted (revision 0).
+// updateSealed updates the cache of a sealed leaf, or removes it if the leaf
+// was deleted (revision 0).
 func (c *ChainCache) updateSealed(l *leaf) {
 	if l.rev != 0 {
 		l.index = indexRecords(l.value)
@@ -236,8 +238,8 @@
 	}
 }
 
-// OnWriteFailed reports that w met a conflict or, if unknown is set, that its outcome
-// is unknown. The leaf has to be read again.
+// OnWriteFailed reports that w met a conflict or, if unknown is set, that its
+// outcome is unknown. The leaf has to be read again.
 func (c *ChainCache) OnWriteFailed(w Write, unknown bool) {
 	if w.Number != c.head.number {
 		delete(c.readLeaves, w.Number)
@@ -247,8 +249,8 @@
 	c.head.unknownWrite = c.head.unknownWrite || unknown
 }
 
-// Expired returns deletions of sealed leaves that are past the retention, at most n,
-// sorted by number.
+// Expired returns deletions of sealed leaves that are past the retention, at
+// most n, sorted by number.
 func (c *ChainCache) Expired(now time.Time, n int) []Write {
 	var out []Write
 	cutoff := now.Add(-c.Retention - maxClockSkew).UnixMilli()
--- a/shared/bbjournal/chain_test.go
+++ b/shared/bbjournal/chain_test.go
@@ -21,8 +21,8 @@
 	rev   bbstore.Revision
 }
 
-// fakeStore is a key-value store in memory. inFlight holds delayed writes, which may
-// still take effect.
+// fakeStore is a key-value store in memory. inFlight holds delayed writes,
+// which may still take effect.
 type fakeStore struct {
 	cells    map[string]cell
 	rev      bbstore.Revision
@@ -80,8 +80,8 @@
 	outcomeDelayed                 // may take effect later, the answer is lost
 )
 
-// advance makes the next call of the committer to the store, only one, so that other
-// committers may act between any two calls.
+// advance makes the next call of the committer to the store, only one, so that
+// other committers may act between any two calls.
 func (c *committer) advance(store *fakeStore, now time.Time, outcome writeOutcome) error {
 	if c.plan == nil {
 		c.chain.Begin(now)
@@ -134,8 +134,8 @@
 func (c *committer) replan(now time.Time) {
 	c.planned = append([]*queuedRecord{}, c.queue...)
 	var records []*bbwire.Record
-	for _, e := range c.planned {
-		records = append(records, e.rec)
+	for _, q := range c.planned {
+		records = append(records, q.rec)
 	}
 	c.plan, c.stepIndex = c.chain.Plan(records, now), 0
 }
@@ -144,12 +144,12 @@
 	c.queue = c.queue[len(c.planned):]
 	verdicts, planned := c.plan.Verdicts, c.planned
 	c.plan = nil
-	for i, e := range planned {
+	for i, q := range planned {
 		if verdicts[i].Kind == bbwire.Verdict_RETRY {
-			c.queue = append(c.queue, e)
+			c.queue = append(c.queue, q)
 			continue
 		}
-		e.done(verdicts[i])
+		q.done(verdicts[i])
 	}
 }
 
@@ -181,9 +181,9 @@
 
 func (m *model) anyAttempt(state string) *attempt {
 	var matching []*attempt
-	for _, o := range m.owners {
-		if m.attempts[o].state == state {
-			matching = append(matching, m.attempts[o])
+	for _, owner := range m.owners {
+		if m.attempts[owner].state == state {
+			matching = append(matching, m.attempts[owner])
 		}
 	}
 	if len(matching) == 0 {
@@ -193,13 +193,13 @@
 }
 
 func (m *model) newAttempt(request string) *attempt {
-	o := fmt.Sprintf("i#1/%d", len(m.owners))
-	t := &attempt{state: "pending", rec: &bbwire.Record{
-		Kind: bbwire.Record_CLAIM, Account: "a", Request: request, Owner: o, Made: m.now.UnixMilli(),
+	owner := fmt.Sprintf("i#1/%d", len(m.owners))
+	a := &attempt{state: "pending", rec: &bbwire.Record{
+		Kind: bbwire.Record_CLAIM, Account: "a", Request: request, Owner: owner, Made: m.now.UnixMilli(),
 	}}
-	m.attempts[o] = t
-	m.owners = append(m.owners, o)
-	return t
+	m.attempts[owner] = a
+	m.owners = append(m.owners, owner)
+	return a
 }
 
 func (m *model) withdraw(c *committer, rec *bbwire.Record) {
@@ -208,34 +208,34 @@
 	c.queue = append(c.queue, &queuedRecord{r, func(*bbwire.Verdict) {}})
 }
 
-func (m *model) submit(c *committer, t *attempt) {
-	c.queue = append(c.queue, &queuedRecord{t.rec, func(v *bbwire.Verdict) { m.onVerdict(c, t, v) }})
+func (m *model) submit(c *committer, a *attempt) {
+	c.queue = append(c.queue, &queuedRecord{a.rec, func(v *bbwire.Verdict) { m.onVerdict(c, a, v) }})
 }
 
 // onVerdict does what the owner of a claim does with a verdict, like
 // bluebellport's Recorder.
-func (m *model) onVerdict(c *committer, t *attempt, v *bbwire.Verdict) {
-	if t.state == "abandoned" && v.Kind == bbwire.Verdict_TAKEN {
-		m.withdraw(c, t.rec)
+func (m *model) onVerdict(c *committer, a *attempt, v *bbwire.Verdict) {
+	if a.state == "abandoned" && v.Kind == bbwire.Verdict_TAKEN {
+		m.withdraw(c, a.rec)
 	}
-	if t.state != "pending" {
+	if a.state != "pending" {
 		return
 	}
 	if v.Kind == bbwire.Verdict_TAKEN {
-		t.state = "granted"
+		a.state = "granted"
 		return
 	}
-	if o := m.attempts[v.Record.GetOwner()]; v.Record.GetKind() == bbwire.Record_CLAIM && o.state == "abandoned" {
+	if other := m.attempts[v.Record.GetOwner()]; v.Record.GetKind() == bbwire.Record_CLAIM && other.state == "abandoned" {
 		m.withdraw(c, v.Record)
-		m.submit(c, t)
+		m.submit(c, a)
 		return
 	}
-	t.state = "abandoned"
-	m.withdraw(c, t.rec)
+	a.state = "abandoned"
+	m.withdraw(c, a.rec)
 }
 
-func (m *model) bill(t *attempt) {
-	r := Copy(t.rec)
+func (m *model) bill(a *attempt) {
+	r := Copy(a.rec)
 	r.Kind, r.Amount = bbwire.Record_BILL, 5
 	for _, c := range []*committer{m.anyCommitter("bill"), m.anyCommitter("copy")} {
 		m.pendingBills++
@@ -252,8 +252,8 @@
 	}
 }
 
-func (m *model) unknown(t *attempt) {
-	r := Copy(t.rec)
+func (m *model) unknown(a *attempt) {
+	r := Copy(a.rec)
 	r.Kind = bbwire.Record_UNKNOWN
 	c := m.anyCommitter("unknown")
 	c.queue = append(c.queue, &queuedRecord{r, func(*bbwire.Verdict) {}})
@@ -261,9 +261,9 @@
 
 func (m *model) check() {
 	granted := map[string]int{}
-	for _, t := range m.attempts {
-		if t.state == "granted" || t.state == "sent" {
-			granted[t.rec.Request]++
+	for _, a := range m.attempts {
+		if a.state == "granted" || a.state == "sent" {
+			granted[a.rec.Request]++
 		}
 	}
 	for id, n := range granted {
@@ -283,8 +283,8 @@
 	}
 }
 
-// settle applies all delayed writes and runs the committers until all queues are
-// empty.
+// settle applies all delayed writes and runs the committers until all queues
+// are empty.
 func (m *model) settle() {
 	for _, w := range m.store.inFlight {
 		m.store.cas(w)
@@ -341,22 +341,22 @@
 
 // checkClaimable checks that a request that never ran can still be claimed.
 func (m *model) checkClaimable(id string) {
-	for _, t := range m.attempts {
-		if t.rec.Request == id && (t.state == "sent" || t.state == "granted") {
+	for _, a := range m.attempts {
+		if a.rec.Request == id && (a.state == "sent" || a.state == "granted") {
 			return
 		}
 	}
-	t := m.newAttempt(id)
-	m.submit(m.committers[0], t)
+	a := m.newAttempt(id)
+	m.submit(m.committers[0], a)
 	m.settle()
-	if t.state != "granted" {
+	if a.state != "granted" {
 		m.t.Fatalf("request %s never ran, but its claim is refused: %v", id, m.records()[id])
 	}
 }
 
-// TestChainGrantsAndBillsOnce checks that, whatever the faults of the store and the
-// interleaving of calls, no claim is granted twice, no request is billed twice, no
-// bill is lost, and no request that never ran is refused for ever.
+// TestChainGrantsAndBillsOnce checks that, whatever the faults of the store and
+// the interleaving of calls, no claim is granted twice, no request is billed
+// twice, no bill is lost, and no request that never ran is refused for ever.
 func TestChainGrantsAndBillsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
@@ -421,7 +421,8 @@
 	})
 }
 
-// commitAll commits records in one batch, without faults, and returns their verdicts.
+// commitAll commits records in one batch, without faults, and returns their
+// verdicts.
 func commitAll(c *committer, store *fakeStore, now time.Time, records ...*bbwire.Record) []bbwire.Verdict_Kind {
 	var out []bbwire.Verdict_Kind
 	for _, r := range records {
@@ -512,8 +513,9 @@
 	is.Equal(commitAll(c, store, now.Add(2*time.Hour), bill)[0], bbwire.Verdict_LATE)
 }
 
-// TestChainSeesConcurrentChanges checks that a committer notices changes by another
-// committer to records that it has cached, in the head and in a sealed leaf.
+// TestChainSeesConcurrentChanges checks that a committer notices changes by
+// another committer to records that it has cached, in the head and in a sealed
+// leaf.
 func TestChainSeesConcurrentChanges(t *testing.T) {
 	for _, sealed := range []bool{false, true} {
 		is := is.New(t)
@@ -533,8 +535,8 @@
 	}
 }
 
-// TestWithdrawalBlocksDelayedClaim withdraws a claim whose write is delayed. The write
-// must not take effect after the withdrawal.
+// TestWithdrawalBlocksDelayedClaim withdraws a claim whose write is delayed.
+// The write must not take effect after the withdrawal.
 func TestWithdrawalBlocksDelayedClaim(t *testing.T) {
 	is := is.New(t)
 	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
@@ -545,8 +547,8 @@
 	}
 	c.queue, c.plan = nil, nil // the claim is given up
 	commitAll(c, store, now, newWithdrawal(claim))
-	_, landed := store.cas(store.inFlight[0])
-	is.True(!landed)
+	_, applied := store.cas(store.inFlight[0])
+	is.True(!applied)
 	is.Equal(commitAll(newCommitter(), store, now, newClaim("r", "i#1/2", now))[0], bbwire.Verdict_TAKEN)
 }
 
@@ -556,8 +558,8 @@
 	return w
 }
 
-// TestChainIgnoresDelayedCreation delays the write that creates a leaf until the leaf
-// has been created by another committer, sealed and deleted.
+// TestChainIgnoresDelayedCreation delays the write that creates a leaf until
+// the leaf has been created by another committer, sealed and deleted.
 func TestChainIgnoresDelayedCreation(t *testing.T) {
 	is := is.New(t)
 	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
@@ -576,8 +578,9 @@
 	is.Equal(commitAll(newCommitter(), store, now, newClaim("r3", "i#1/5", now))[0], bbwire.Verdict_CONFLICT)
 }
 
-// TestChainRelistsAfterIdleTime keeps a committer idle, except for sweeps, while
-// another one creates, seals and deletes the leaf that the first would create next.
+// TestChainRelistsAfterIdleTime keeps a committer idle, except for sweeps,
+// while another one creates, seals and deletes the leaf that the first would
+// create next.
 func TestChainRelistsAfterIdleTime(t *testing.T) {
 	is := is.New(t)
 	store, c, now := newFakeStore(), newCommitter(), time.Unix(1e9, 0)
--- a/shared/bbjournal/plan.go
+++ b/shared/bbjournal/plan.go
@@ -11,19 +11,20 @@
 
 // Plan lists the next steps of a committer.
 type Plan struct {
-	// NeedsListing means that the partition has to be listed before planning again.
+	// NeedsListing means that the partition has to be listed before planning
+	// again.
 	NeedsListing bool
 	// Reads lists the leaves that have to be read before planning again.
 	Reads []LeafNumber
-	// Writes have to be made in this order. The verdicts are valid once all of them
-	// have taken effect.
+	// Writes have to be made in this order. The verdicts are valid once all of
+	// them have taken effect.
 	Writes []Write
 	// Verdicts has one verdict per record, in the order of the records.
 	Verdicts []*bbwire.Verdict
 }
 
-// planner holds the state of one call of Plan: the changes that the records make to
-// the cached leaves.
+// planner holds the state of one call of Plan: the changes that the records
+// make to the cached leaves.
 type planner struct {
 	*ChainCache
 	now       time.Time
@@ -34,9 +35,10 @@
 	headBytes int                                      // size of the head with the new records
 }
 
-// Plan decides on the records. It has to be called again after the listing or the
-// reads that it asks for, and after a write that failed. The verdicts are final once
-// the plan needs no listing and no reads and its writes have taken effect.
+// Plan decides on the records. It has to be called again after the listing or
+// the reads that it asks for, and after a write that failed. The verdicts are
+// final once the plan needs no listing and no reads and its writes have taken
+// effect.
 func (c *ChainCache) Plan(records []*bbwire.Record, now time.Time) *Plan {
 	plan := &Plan{}
 	if !c.loaded {
@@ -88,16 +90,17 @@
 	return &bbwire.Verdict{Kind: kind}
 }
 
-// requireFreshHead schedules a read of the head unless it was read or written in this
-// commit.
+// requireFreshHead schedules a read of the head unless it was read or written
+// in this commit.
 func (p *planner) requireFreshHead() {
 	if !p.head.fresh {
 		p.reads[p.head.number] = true
 	}
 }
 
-// lookup returns the current record of the key and its leaf. If that leaf is sealed
-// and not yet read, it schedules the read and returns nil with the leaf's number.
+// lookup returns the current record of the key and its leaf. If that leaf is
+// sealed and not yet read, it schedules the read and returns nil with the
+// leaf's number.
 func (p *planner) lookup(key string) (*bbwire.Record, LeafNumber) {
 	if n, ok := p.leafOf[key]; ok {
 		return p.changes[n][key], n
@@ -128,8 +131,8 @@
 	p.leafOf[key] = n
 }
 
-// pastRetention tells whether r is older than the retention, so that an earlier record
-// of its request may have been deleted with its leaf.
+// pastRetention tells whether r is older than the retention, so that an earlier
+// record of its request may have been deleted with its leaf.
 func (p *planner) pastRetention(r *bbwire.Record) bool {
 	cutoff := p.now.Add(-p.Retention)
 	switch r.Kind {
@@ -142,10 +145,10 @@
 	return false
 }
 
-// buildWrites returns the writes that make the changes. The head comes last, so that
-// a record removed from a sealed leaf is gone before the head accepts its request
-// again. A head with a write of unknown outcome is written even without changes, so
-// that the earlier write can no longer take effect.
+// buildWrites returns the writes that make the changes. The head comes last, so
+// that a record removed from a sealed leaf is gone before the head accepts its
+// request again. A head with a write of unknown outcome is written even without
+// changes, so that the earlier write can no longer take effect.
 func (p *planner) buildWrites() []Write {
 	var out []Write
 	for n := range p.changes {
@@ -180,7 +183,8 @@
 	return Write{Number: l.number, Key: p.Key(l.number), Value: value, Prev: l.rev, leaf: v}
 }
 
-// sealIfDue seals v if it is full or old. It also sets the creation time of a new leaf.
+// sealIfDue seals v if it is full or old. It also sets the creation time of a
+// new leaf.
 func (p *planner) sealIfDue(v *bbwire.Leaf) {
 	now := p.now.UnixMilli()
 	if v.Made == 0 {
--- a/shared/bbjournal/query.go
+++ b/shared/bbjournal/query.go
@@ -14,8 +14,9 @@
 	Account bbunit.AccountID
 	Request bbunit.RequestID
 	Budget  bbunit.BudgetID
-	// Unknown selects only requests whose outcome is not known: UNKNOWN records,
-	// and claims, whose request is still running or whose instance crashed.
+	// Unknown selects only requests whose outcome is not known: UNKNOWN
+	// records, and claims, whose request is still running or whose instance
+	// crashed.
 	Unknown bool
 }
 
@@ -37,9 +38,9 @@
 	return out
 }
 
-// ListRecords returns the records that match f, sorted by time, account and request
-// id. It lists each partition in the store once, or only one partition if f has both
-// account and request id. It blocks up to the context's deadline.
+// ListRecords returns the records that match f, sorted by time, account and
+// request id. It lists each partition in the store once, or only one partition
+// if f has both account and request id. It blocks up to the context's deadline.
 func ListRecords(ctx context.Context, s bbstore.Store, f Filter) ([]*bbwire.Record, error) {
 	var out []*bbwire.Record
 	for _, p := range f.partitions() {
@@ -85,8 +86,9 @@
 	// known. Held is the most that they may cost.
 	Unknown int           `json:"unknown"`
 	Held    bbunit.Tokens `json:"held"`
-	// Claims is the number of claims without a bill: the request is still running,
-	// or its instance crashed before it recorded that the request was sent.
+	// Claims is the number of claims without a bill: the request is still
+	// running, or its instance crashed before it recorded that the request was
+	// sent.
 	Claims int `json:"claims"`
 }
 
--- a/shared/bbjournal/query_test.go
+++ b/shared/bbjournal/query_test.go
@@ -18,9 +18,9 @@
 	t.Helper()
 	chain := &ChainCache{Partition: PartitionOf(r.Account, r.Request), Retention: time.Hour}
 	chain.Begin(now)
-	es, _, err := store.List(context.Background(), chain.Partition.Prefix())
+	entries, _, err := store.List(context.Background(), chain.Partition.Prefix())
 	if err == nil {
-		err = chain.Load(es)
+		err = chain.Load(entries)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/shared/bbjournal/record.go
+++ b/shared/bbjournal/record.go
@@ -15,13 +15,14 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// ErrInvalidRecord means that a record, or the text form of an Owner, is malformed.
-// Nothing was recorded.
+// ErrInvalidRecord means that a record, or the text form of an Owner, is
+// malformed. Nothing was recorded.
 const ErrInvalidRecord = errors.ConstError("invalid record")
 
 const (
-	// Partitions is the number of partitions. It must be the same on all instances
-	// and can never change, because it decides where a request is looked up.
+	// Partitions is the number of partitions. It must be the same on all
+	// instances and can never change, because it decides where a request is
+	// looked up.
 	Partitions = 16
 	// Prefix is the common prefix of the keys of all leaves.
 	Prefix = "/bb/leaf/"
@@ -61,8 +62,8 @@
 	Seq      uint64
 }
 
-// String returns the text form that is stored in records: INSTANCE#INC/SEQ, with INC
-// and SEQ in base 36.
+// String returns the text form that is stored in records: INSTANCE#INC/SEQ,
+// with INC and SEQ in base 36.
 func (o Owner) String() string {
 	return string(o.Instance) + "#" + strconv.FormatUint(uint64(o.Inc), 36) + "/" + strconv.FormatUint(o.Seq, 36)
 }
@@ -84,8 +85,8 @@
 	return Owner{Instance: bbunit.InstanceID(s[:hashAt]), Inc: bbunit.Incarnation(inc), Seq: seq}, nil
 }
 
-// Check returns ErrInvalidRecord if the account or request id of r is missing, an id
-// is longer than MaxIDBytes or not UTF-8, or the amount is negative.
+// Check returns ErrInvalidRecord if the account or request id of r is missing,
+// an id is longer than MaxIDBytes or not UTF-8, or the amount is negative.
 func Check(r *bbwire.Record) error {
 	if r.Account == "" || r.Request == "" {
 		return errors.WithType(errors.New("account or request id missing"), ErrInvalidRecord)
@@ -113,13 +114,14 @@
 	}
 }
 
-// NewRequestID returns a new request id, a UUIDv7, which contains its creation time.
+// NewRequestID returns a new request id, a UUIDv7, which contains its creation
+// time.
 func NewRequestID() bbunit.RequestID {
 	return bbunit.RequestID(uuid.Must(uuid.NewV7()).String())
 }
 
-// RequestIDTime returns the creation time contained in a request id, and false if
-// the id is not a UUIDv7.
+// RequestIDTime returns the creation time contained in a request id, and false
+// if the id is not a UUIDv7.
 func RequestIDTime(request string) (time.Time, bool) {
 	id, err := uuid.Parse(request)
 	if err != nil || id.Version() != 7 {
--- a/shared/bbjournal/rule.go
+++ b/shared/bbjournal/rule.go
@@ -2,10 +2,10 @@
 
 import "bluebellport.example/shared/bbwire"
 
-// decide returns the verdict on r, given the existing record of its request (nil if
-// there is none), and the record to keep from then on. A record that its owner
-// repeats gets TAKEN again and changes nothing, so that the owner can resend it when
-// an answer was lost.
+// decide returns the verdict on r, given the existing record of its request
+// (nil if there is none), and the record to keep from then on. A record that
+// its owner repeats gets TAKEN again and changes nothing, so that the owner can
+// resend it when an answer was lost.
 func decide(existing, r *bbwire.Record) (bbwire.Verdict_Kind, *bbwire.Record) {
 	if existing == nil {
 		return decideNew(r)
@@ -55,8 +55,8 @@
 	return bbwire.Verdict_REPEATED, existing
 }
 
-// decideUnknown accepts UNKNOWN only from the owner of the existing record. If that
-// owner has already sent a bill, the bill stays and the verdict is TAKEN.
+// decideUnknown accepts UNKNOWN only from the owner of the existing record. If
+// that owner has already sent a bill, the bill stays and the verdict is TAKEN.
 func decideUnknown(existing, r *bbwire.Record) (bbwire.Verdict_Kind, *bbwire.Record) {
 	switch {
 	case existing.Owner != r.Owner:
--- a/shared/bbjournal/rule_test.go
+++ b/shared/bbjournal/rule_test.go
@@ -10,8 +10,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// TestDecide compares decide with a golden table. Each line has the existing record,
-// the new record, the verdict and the record that is kept.
+// TestDecide compares decide with a golden table. Each line has the existing
+// record, the new record, the verdict and the record that is kept.
 func TestDecide(t *testing.T) {
 	kinds := []bbwire.Record_Kind{
 		bbwire.Record_CLAIM, bbwire.Record_BILL, bbwire.Record_UNKNOWN, bbwire.Record_WITHDRAWN,
@@ -21,7 +21,7 @@
 		existing = append(existing, &bbwire.Record{Kind: k, Owner: "o1", Print: 1, Amount: 5})
 	}
 	var sb strings.Builder
-	for _, s := range existing {
+	for _, old := range existing {
 		for _, k := range kinds {
 			for _, r := range []*bbwire.Record{
 				{Kind: k, Owner: "o1", Print: 1, Amount: 5},
@@ -29,8 +29,8 @@
 				{Kind: k, Owner: "o2", Print: 1, Amount: 5},
 				{Kind: k, Owner: "o2", Print: 2, Amount: 5},
 			} {
-				kind, next := decide(s, r)
-				fmt.Fprintf(&sb, "%-22s + %-22s = %-9s %s\n", show(s), show(r), kind, show(next))
+				kind, next := decide(old, r)
+				fmt.Fprintf(&sb, "%-22s + %-22s = %-9s %s\n", show(old), show(r), kind, show(next))
 			}
 		}
 	}
--- a/shared/bbmember/config.go
+++ b/shared/bbmember/config.go
@@ -9,8 +9,9 @@
 	// SuspicionTimeout is how long a member may be silent before a failed
 	// connection removes it from the view.
 	SuspicionTimeout time.Duration
-	// ForgetTimeout is how long a member may be silent before it is dropped, or,
-	// while it is in the instance list, before its incarnation is forgotten.
+	// ForgetTimeout is how long a member may be silent before it is dropped,
+	// or, while it is in the instance list, before its incarnation is
+	// forgotten.
 	ForgetTimeout time.Duration
 	// Fanout is how many members of the instance's own failure domain receive
 	// gossip each round. One member of another failure domain receives it too.
@@ -20,9 +21,9 @@
 	// cross-domain sessions low. One partner is replaced every RotationRounds
 	// rounds.
 	RemotePartners, RotationRounds int
-	// MaxDomainReports and MaxSampleReports limit how many reports of one message
-	// are about the own failure domain and about a sample of all others. Leave
-	// notifies at most that many members of each kind.
+	// MaxDomainReports and MaxSampleReports limit how many reports of one
+	// message are about the own failure domain and about a sample of all
+	// others. Leave notifies at most that many members of each kind.
 	MaxDomainReports, MaxSampleReports int
 }
 
--- a/shared/bbmember/fleet.go
+++ b/shared/bbmember/fleet.go
@@ -11,9 +11,9 @@
 // Report is what gossip carries about a member.
 type Report struct {
 	Member
-	// Heartbeat is a counter that only the member itself increments. It starts at
-	// the member's start time in milliseconds since the epoch, so that a later
-	// incarnation with the same id has higher values.
+	// Heartbeat is a counter that only the member itself increments. It starts
+	// at the member's start time in milliseconds since the epoch, so that a
+	// later incarnation with the same id has higher values.
 	Heartbeat uint64
 }
 
@@ -24,8 +24,8 @@
 	Domain  bbunit.DomainID
 	Address string
 	Leaving bool
-	// Since is when the entry entered its state, in milliseconds since the epoch;
-	// 0 if the list does not say.
+	// Since is when the entry entered its state, in milliseconds since the
+	// epoch; 0 if the list does not say.
 	Since int64
 }
 
@@ -50,9 +50,9 @@
 	Superseded bool
 }
 
-// Fleet is the membership state machine of one instance: it takes events, detects
-// failed members and maintains the view of live ones. The caller passes in the
-// time and the random source. It is not safe for concurrent use.
+// Fleet is the membership state machine of one instance: it takes events,
+// detects failed members and maintains the view of live ones. The caller passes
+// in the time and the random source. It is not safe for concurrent use.
 type Fleet struct {
 	cfg            Config
 	self           Report
@@ -70,7 +70,8 @@
 	lastStalestProbe time.Duration // last probe of the stalest peer
 }
 
-// peer is the state of another instance. Its times are readings of Fleet.elapsed.
+// peer is the state of another instance. Its times are readings of
+// Fleet.elapsed.
 type peer struct {
 	Report
 	lastSeen    time.Duration // last heartbeat increase or direct contact
@@ -90,7 +91,8 @@
 	droppedAt time.Duration
 }
 
-// NewFleet returns the membership state of self, an instance that starts at now.
+// NewFleet returns the membership state of self, an instance that starts at
+// now.
 func NewFleet(self Member, cfg Config, now time.Time, rng *rand.Rand) *Fleet {
 	f := &Fleet{
 		cfg: cfg, self: Report{Member: self, Heartbeat: uint64(max(now.UnixMilli(), 1))}, rng: rng,
@@ -104,7 +106,8 @@
 // View returns the current view of the live members.
 func (f *Fleet) View() *View { return f.view }
 
-// Address returns the address of a member, live or not, and whether it is known.
+// Address returns the address of a member, live or not, and whether it is
+// known.
 func (f *Fleet) Address(id bbunit.InstanceID) (string, bool) {
 	if p, ok := f.peers[id]; ok {
 		return p.Address, p.Address != ""
@@ -112,17 +115,17 @@
 	return "", false
 }
 
-// advanceClock adds the time since the last event to elapsed, at most two periods.
-// The limit keeps a jump of the wall clock or a pause of this instance from making
-// all other members look silent.
+// advanceClock adds the time since the last event to elapsed, at most two
+// periods. The limit keeps a jump of the wall clock or a pause of this instance
+// from making all other members look silent.
 func (f *Fleet) advanceClock(now time.Time) {
 	step := now.Sub(f.lastEventAt)
 	f.lastEventAt = now
 	f.elapsed += min(max(step, 0), 2*f.cfg.Period)
 }
 
-// UpdateList processes the platform's list of instances. The list adds members and
-// may mark them as leaving; gossip overrides its addresses and domains.
+// UpdateList processes the platform's list of instances. The list adds members
+// and may mark them as leaving; gossip overrides its addresses and domains.
 func (f *Fleet) UpdateList(now time.Time, list []ListEntry) Actions {
 	f.advanceClock(now)
 	for _, p := range f.peers {
@@ -169,8 +172,8 @@
 	return f.addView(Actions{})
 }
 
-// RecordContact records that traffic arrived from the given members. It uses only
-// their ids and incarnations.
+// RecordContact records that traffic arrived from the given members. It uses
+// only their ids and incarnations.
 func (f *Fleet) RecordContact(now time.Time, from []Member) Actions {
 	f.advanceClock(now)
 	for _, m := range from {
@@ -190,8 +193,8 @@
 	return f.addView(Actions{})
 }
 
-// HandleGossip merges the reports of a gossip message. A report that a member has
-// begun to leave is forwarded at once instead of in the next round.
+// HandleGossip merges the reports of a gossip message. A report that a member
+// has begun to leave is forwarded at once instead of in the next round.
 func (f *Fleet) HandleGossip(now time.Time, reports []Report) Actions {
 	f.advanceClock(now)
 	var a Actions
@@ -214,8 +217,8 @@
 	return f.addView(a)
 }
 
-// mergeReport merges one report and returns whether the member is new, has a new
-// incarnation or began to leave.
+// mergeReport merges one report and returns whether the member is new, has a
+// new incarnation or began to leave.
 func (f *Fleet) mergeReport(r Report) bool {
 	if tombstone, ok := f.tombstones[r.ID]; ok && r.Heartbeat <= tombstone.heartbeat {
 		return false
@@ -268,8 +271,9 @@
 
 // dropSilent drops members that have been silent for ForgetTimeout, or for
 // SuspicionTimeout while leaving. A member that is still in the platform's list
-// stays, so that it can be probed, but its incarnation is forgotten. Its tombstone
-// has no heartbeat, so that a later incarnation whose clock is behind is accepted.
+// stays, so that it can be probed, but its incarnation is forgotten. Its
+// tombstone has no heartbeat, so that a later incarnation whose clock is behind
+// is accepted.
 func (f *Fleet) dropSilent() {
 	for _, id := range slices.Clone(f.peerIDs) {
 		p := f.peers[id]
@@ -320,8 +324,8 @@
 
 func (f *Fleet) isSilent(p *peer) bool { return f.silence(p) > f.cfg.SuspicionTimeout }
 
-// isLive tells whether a member belongs in the view. A silent member stays in it
-// until a connection to it has failed as well.
+// isLive tells whether a member belongs in the view. A silent member stays in
+// it until a connection to it has failed as well.
 func (f *Fleet) isLive(p *peer) bool { return !f.isSilent(p) || p.lastFailure <= p.lastSeen }
 
 // addView rebuilds the view if it changed and adds it to the actions.
@@ -333,7 +337,8 @@
 	return a
 }
 
-// viewIsCurrent tells whether buildView would return a view equal to the current one.
+// viewIsCurrent tells whether buildView would return a view equal to the
+// current one.
 func (f *Fleet) viewIsCurrent() bool {
 	if f.view.Self != f.self.Member {
 		return false
--- a/shared/bbmember/fleet_test.go
+++ b/shared/bbmember/fleet_test.go
@@ -14,8 +14,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// fleetCost holds the gossip traffic and detection times measured on a simulated
-// fleet.
+// fleetCost holds the gossip traffic and detection times measured on a
+// simulated fleet.
 type fleetCost struct {
 	bytesPerSecond  float64 // gossip sent per instance
 	probesPerSecond float64 // per instance
@@ -83,10 +83,10 @@
 	return NewFleet(self, DefaultConfig(time.Second, 5*time.Second), simStart, rand.New(rand.NewPCG(1, 2)))
 }
 
-func testReport(id string, inc, beat uint64) Report {
+func testReport(id string, inc, heartbeat uint64) Report {
 	return Report{
 		Member:    Member{ID: bbunit.InstanceID(id), Inc: bbunit.Incarnation(inc), Domain: "d1", Address: "10.0.0.2:1"},
-		Heartbeat: beat,
+		Heartbeat: heartbeat,
 	}
 }
 
@@ -274,9 +274,9 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			at = at.Add(time.Duration(rapid.IntRange(-5000, 20000).Draw(t, "ms")) * time.Millisecond)
 			id := fmt.Sprintf("m%d", rapid.IntRange(0, 3).Draw(t, "id"))
-			inc, beat := rapid.Uint64Range(1, 3).Draw(t, "inc"), rapid.Uint64Range(0, 9).Draw(t, "beat")
-			r := testReport(id, inc, heartbeatAt(time.Duration(inc)*time.Minute)+beat)
-			r.Leaving = beat >= 5 // each incarnation begins to leave at its fifth heartbeat
+			inc, heartbeat := rapid.Uint64Range(1, 3).Draw(t, "inc"), rapid.Uint64Range(0, 9).Draw(t, "beat")
+			r := testReport(id, inc, heartbeatAt(time.Duration(inc)*time.Minute)+heartbeat)
+			r.Leaving = heartbeat >= 5 // each incarnation begins to leave at its fifth heartbeat
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				f.HandleGossip(at, []Report{r})
@@ -298,8 +298,8 @@
 	})
 }
 
-// checkView fails unless the view is sorted, contains this instance once, and no
-// incarnation that was leaving is live again.
+// checkView fails unless the view is sorted, contains this instance once, and
+// no incarnation that was leaving is live again.
 func checkView(t *rapid.T, f *Fleet, leavingIncarnations map[string]bool) {
 	v := f.View()
 	self := 0
--- a/shared/bbmember/list.go
+++ b/shared/bbmember/list.go
@@ -9,8 +9,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ErrInvalidList means that the platform's list of instances, or one entry of it,
-// is malformed.
+// ErrInvalidList means that the platform's list of instances, or one entry of
+// it, is malformed.
 const ErrInvalidList = errors.ConstError("bad list of instances")
 
 // listEntryJSON is the wire form of a ListEntry.
@@ -23,9 +23,9 @@
 }
 
 // ParseList parses the platform's list of instances, a JSON array. It ignores
-// unknown fields. It skips invalid entries and returns an error for each in bad;
-// err is set only if the list as a whole could not be parsed. All errors are
-// ErrInvalidList.
+// unknown fields. It skips invalid entries and returns an error for each in
+// bad; err is set only if the list as a whole could not be parsed. All errors
+// are ErrInvalidList.
 func ParseList(body []byte) (list []ListEntry, bad []error, err error) {
 	var raw []json.RawMessage
 	if err := json.Unmarshal(body, &raw); err != nil {
@@ -69,8 +69,8 @@
 	return ListEntry{ID: entry.ID, Domain: entry.Domain, Address: entry.Address, Leaving: entry.State == "leaving", Since: since}, nil
 }
 
-// parseSince parses an RFC 3339 time or a number of milliseconds since the epoch
-// and returns milliseconds since the epoch, or 0 if r is absent or null.
+// parseSince parses an RFC 3339 time or a number of milliseconds since the
+// epoch and returns milliseconds since the epoch, or 0 if r is absent or null.
 func parseSince(r json.RawMessage) (int64, error) {
 	if len(r) == 0 || string(r) == "null" {
 		return 0, nil
--- a/shared/bbmember/partners.go
+++ b/shared/bbmember/partners.go
@@ -7,11 +7,12 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// pickProbes picks the members to open a new connection to: up to Fanout members of
-// the own failure domain that have been silent for half the suspicion timeout, and,
-// of the other suspected members, the one seen or probed longest ago. The latter is
-// probed once per half suspicion timeout, and every round while connections fail.
-// No member is probed twice within half the suspicion timeout.
+// pickProbes picks the members to open a new connection to: up to Fanout
+// members of the own failure domain that have been silent for half the
+// suspicion timeout, and, of the other suspected members, the one seen or
+// probed longest ago. The latter is probed once per half suspicion timeout, and
+// every round while connections fail. No member is probed twice within half the
+// suspicion timeout.
 func (f *Fleet) pickProbes() []bbunit.InstanceID {
 	var out []bbunit.InstanceID
 	var stalest *peer
@@ -36,8 +37,8 @@
 	return out
 }
 
-// sampleLive returns up to nSame random live members of the own failure domain and
-// up to nOther of the others.
+// sampleLive returns up to nSame random live members of the own failure domain
+// and up to nOther of the others.
 func (f *Fleet) sampleLive(nSame, nOther int) []bbunit.InstanceID {
 	var sameDomain, otherDomains []bbunit.InstanceID
 	for _, id := range f.peerIDs {
@@ -60,9 +61,9 @@
 	return append(f.sampleLive(f.cfg.Fanout, 0), f.sample(slices.Clone(f.remotePartners), 1)...)
 }
 
-// updateRemotePartners removes partners that are not live or whose last connection
-// failed, drops a random one of a full set every RotationRounds rounds, and refills
-// the set from live, which is in random order.
+// updateRemotePartners removes partners that are not live or whose last
+// connection failed, drops a random one of a full set every RotationRounds
+// rounds, and refills the set from live, which is in random order.
 func (f *Fleet) updateRemotePartners(live []bbunit.InstanceID) {
 	f.remotePartners = slices.DeleteFunc(f.remotePartners, func(id bbunit.InstanceID) bool {
 		return !slices.Contains(live, id) || f.peers[id].lastFailure > f.peers[id].lastSeen
@@ -88,9 +89,9 @@
 	return ids[:n]
 }
 
-// buildReports returns the reports to send to a member: this instance first, then
-// members that recently began to leave or joined, then the own failure domain and a
-// sample of the others.
+// buildReports returns the reports to send to a member: this instance first,
+// then members that recently began to leave or joined, then the own failure
+// domain and a sample of the others.
 func (f *Fleet) buildReports(to bbunit.InstanceID) []Report {
 	maxSame := f.cfg.MaxDomainReports
 	if p := f.peers[to]; p == nil || p.Domain != f.self.Domain {
@@ -121,8 +122,8 @@
 	return reports
 }
 
-// mostRecentlySeen returns up to n of ids, the most recently seen first, ties in
-// random order. It reorders ids.
+// mostRecentlySeen returns up to n of ids, the most recently seen first, ties
+// in random order. It reorders ids.
 func (f *Fleet) mostRecentlySeen(ids []bbunit.InstanceID, n int) []bbunit.InstanceID {
 	ids = f.sample(ids, len(ids))
 	slices.SortStableFunc(ids, func(a, b bbunit.InstanceID) int {
--- a/shared/bbmember/report.go
+++ b/shared/bbmember/report.go
@@ -19,8 +19,8 @@
 	return id != "" && len(id) <= maxIDBytes && d != "" && len(d) <= maxIDBytes
 }
 
-// ValidAddress tells whether address is a specified IP address and a non-zero port.
-// Host names are not accepted.
+// ValidAddress tells whether address is a specified IP address and a non-zero
+// port. Host names are not accepted.
 func ValidAddress(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	return err == nil && a.Port() != 0 && !a.Addr().IsUnspecified()
--- a/shared/bbmember/sim_test.go
+++ b/shared/bbmember/sim_test.go
@@ -13,8 +13,8 @@
 
 var simStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// sim simulates a fleet: it runs the membership state machines of many instances in
-// one goroutine, with a simulated clock.
+// sim simulates a fleet: it runs the membership state machines of many
+// instances in one goroutine, with a simulated clock.
 type sim struct {
 	cfg         Config
 	rng         *rand.Rand
@@ -98,8 +98,8 @@
 	}
 }
 
-// runUntil runs until the condition holds for every node that is up. It returns the
-// number of periods that took, or -1 after maxPeriods.
+// runUntil runs until the condition holds for every node that is up. It returns
+// the number of periods that took, or -1 after maxPeriods.
 func (s *sim) runUntil(maxPeriods int, condition func(node *simNode) bool) int {
 	for i := range maxPeriods {
 		all := true
@@ -114,8 +114,8 @@
 	return -1
 }
 
-// missingPairs counts the pairs of running nodes of which the first does not have
-// the second in its view.
+// missingPairs counts the pairs of running nodes of which the first does not
+// have the second in its view.
 func (s *sim) missingPairs() int {
 	n := 0
 	for _, node := range s.nodes {
--- a/shared/bbmember/view.go
+++ b/shared/bbmember/view.go
@@ -1,5 +1,6 @@
-// Package bbmember maintains the membership of the fleet by gossip, seeded from the
-// platform's list of instances, and assigns keys to members by rendezvous hashing.
+// Package bbmember maintains the membership of the fleet by gossip, seeded from
+// the platform's list of instances, and assigns keys to members by rendezvous
+// hashing.
 package bbmember
 
 import (
@@ -19,16 +20,16 @@
 	Leaving bool
 }
 
-// View is an immutable snapshot of the fleet's live members, sorted by id. The zero
-// value is an empty fleet.
+// View is an immutable snapshot of the fleet's live members, sorted by id. The
+// zero value is an empty fleet.
 type View struct {
 	Self    Member
 	Members []Member // live members, including Self unless it is leaving
 }
 
 // Rank returns up to n members of failure domain d ("" for any) in the order of
-// their rendezvous hash for key. The first is the home of the key; the next ones
-// replace it when it is gone. Leaving members are left out.
+// their rendezvous hash for key. The first is the home of the key; the next
+// ones replace it when it is gone. Leaving members are left out.
 func (v *View) Rank(key string, d bbunit.DomainID, n int) []Member {
 	type scored struct {
 		m     Member
@@ -52,8 +53,8 @@
 	return out
 }
 
-// Home returns the member of failure domain d ("" for any) that is the home of key,
-// and false if there is none.
+// Home returns the member of failure domain d ("" for any) that is the home of
+// key, and false if there is none.
 func (v *View) Home(key string, d bbunit.DomainID) (Member, bool) {
 	r := v.Rank(key, d, 1)
 	if len(r) == 0 {
--- a/shared/bbticket/apply.go
+++ b/shared/bbticket/apply.go
@@ -8,9 +8,9 @@
 )
 
 // Apply returns the state after applying the ticket. Each object of the ticket
-// replaces the one in the state only if that one was written by a ticket with a lower
-// number, so tickets may be applied repeatedly and in any order. s is not changed; a
-// nil s is an empty state.
+// replaces the one in the state only if that one was written by a ticket with a
+// lower number, so tickets may be applied repeatedly and in any order. s is not
+// changed; a nil s is an empty state.
 func (s *State) Apply(t Ticket) *State {
 	if s == nil {
 		s = &State{}
@@ -34,8 +34,8 @@
 	return next
 }
 
-// Merge returns a state with the newer version of each object of s and other. It is
-// commutative. A nil state is an empty one.
+// Merge returns a state with the newer version of each object of s and other.
+// It is commutative. A nil state is an empty one.
 func (s *State) Merge(other *State) *State {
 	if s == nil {
 		s = &State{}
@@ -52,8 +52,8 @@
 	return merged
 }
 
-// Reindex rebuilds the indexes and LastRoutingChange, which are not encoded. Call it
-// after decoding a state.
+// Reindex rebuilds the indexes and LastRoutingChange, which are not encoded.
+// Call it after decoding a state.
 func (s *State) Reindex() {
 	s.indexKeys()
 	s.indexBudgets()
@@ -70,8 +70,8 @@
 	return n
 }
 
-// updateIndexes sets the indexes of s, the state that results from applying t to prev.
-// It reuses those of prev that the ticket does not affect.
+// updateIndexes sets the indexes of s, the state that results from applying t
+// to prev. It reuses those of prev that the ticket does not affect.
 func (s *State) updateIndexes(prev *State, t Ticket) {
 	s.ByKey, s.ByAccount, s.ByService = prev.ByKey, prev.ByAccount, prev.ByService
 	if len(t.Accounts) > 0 || s.ByKey == nil {
@@ -88,7 +88,8 @@
 	}
 }
 
-// moveBudgets updates ByAccount for the ticket's budgets, without rebuilding it.
+// moveBudgets updates ByAccount for the ticket's budgets, without rebuilding
+// it.
 func (s *State) moveBudgets(prev *State, t Ticket) {
 	s.ByAccount = maps.Clone(s.ByAccount)
 	for _, b := range t.Budgets {
@@ -105,8 +106,8 @@
 	}
 }
 
-// removeBudget removes a budget from an account's list. It copies the list, which may
-// be shared with other states.
+// removeBudget removes a budget from an account's list. It copies the list,
+// which may be shared with other states.
 func (s *State) removeBudget(a bbunit.AccountID, b bbunit.BudgetID) {
 	list := s.ByAccount[a]
 	i, ok := slices.BinarySearch(list, b)
@@ -150,8 +151,8 @@
 	}
 }
 
-// mergeTicket returns a copy of old with the objects of ticket n, except where old has
-// an object with the same or a higher number.
+// mergeTicket returns a copy of old with the objects of ticket n, except where
+// old has an object with the same or a higher number.
 func mergeTicket[K comparable, T any](old map[K]Numbered[T], objects []T, n bbunit.TicketNumber, id func(T) K) map[K]Numbered[T] {
 	if len(objects) == 0 && old != nil {
 		return old
--- a/shared/bbticket/apply_test.go
+++ b/shared/bbticket/apply_test.go
@@ -9,8 +9,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// TestApplyAnyOrder applies the same tickets in order and in random order with one
-// repeated. The states must be equal, and no object may get a lower number.
+// TestApplyAnyOrder applies the same tickets in order and in random order with
+// one repeated. The states must be equal, and no object may get a lower number.
 func TestApplyAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tickets []Ticket
--- a/shared/bbticket/capacity_test.go
+++ b/shared/bbticket/capacity_test.go
@@ -9,8 +9,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// fullState returns a state with n budgets, n/10 targets and the accounts and services
-// that they belong to.
+// fullState returns a state with n budgets, n/10 targets and the accounts and
+// services that they belong to.
 func fullState(n int) *State {
 	t := Ticket{Number: 1}
 	for i := range 820 {
@@ -28,8 +28,8 @@
 	return (&State{}).Apply(t)
 }
 
-// BenchmarkCapacityApply measures the time and memory of applying one ticket, with one
-// budget or one target, to states of different sizes.
+// BenchmarkCapacityApply measures the time and memory of applying one ticket,
+// with one budget or one target, to states of different sizes.
 func BenchmarkCapacityApply(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		s := fullState(n)
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkCapacityState measures the size of a state in memory and as the JSON that a
-// joining instance receives.
+// BenchmarkCapacityState measures the size of a state in memory and as the JSON
+// that a joining instance receives.
 func BenchmarkCapacityState(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("budgets=%d", n), func(b *testing.B) {
--- a/shared/bbticket/diff.go
+++ b/shared/bbticket/diff.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Change is one difference between a ticket and the state: an object that is added or
-// removed, or a field that is changed.
+// Change is one difference between a ticket and the state: an object that is
+// added or removed, or a field that is changed.
 type Change struct {
 	Action string `json:"change"` // add, change or remove
 	Object string `json:"object"` // type and id, such as "budget b1"
@@ -19,8 +19,8 @@
 	New    string `json:"becomes,omitempty"`
 }
 
-// Diff returns the differences between the ticket's objects and the state, in the
-// order of the ticket. A nil s is an empty state.
+// Diff returns the differences between the ticket's objects and the state, in
+// the order of the ticket. A nil s is an empty state.
 func (s *State) Diff(t Ticket) []Change {
 	if s == nil {
 		s = &State{}
@@ -58,8 +58,8 @@
 	return out
 }
 
-// Ticket returns the whole state as one ticket, sorted by id and without deleted
-// objects.
+// Ticket returns the whole state as one ticket, sorted by id and without
+// deleted objects.
 func (s *State) Ticket() Ticket {
 	return Ticket{
 		Number:   s.Number,
--- a/shared/bbticket/log.go
+++ b/shared/bbticket/log.go
@@ -27,18 +27,19 @@
 	snapshotShards = 64
 	// maxHeadBytes is the size of the head above which its tail is compacted.
 	maxHeadBytes = 256 << 10
-	// maxCompacted is the number of compacted tickets whose nonces the head keeps.
+	// maxCompacted is the number of compacted tickets whose nonces the head
+	// keeps.
 	maxCompacted = 1024
 	// MaxTicketBytes is the maximum size of a ticket, encoded as JSON.
 	MaxTicketBytes = 512 << 10
 )
 
-// ErrNumberTaken means that the ticket's number is not the next one of the log. The
-// error is a *NumberError.
+// ErrNumberTaken means that the ticket's number is not the next one of the log.
+// The error is a *NumberError.
 const ErrNumberTaken = errors.ConstError("ticket number taken")
 
-// NumberError reports a ticket number that is not the next one, and the number of the
-// last accepted ticket.
+// NumberError reports a ticket number that is not the next one, and the number
+// of the last accepted ticket.
 type NumberError struct {
 	Requested, Head bbunit.TicketNumber
 }
@@ -54,13 +55,14 @@
 // LogEntry is one accepted ticket in the tail of the log.
 type LogEntry struct {
 	Ticket Ticket `json:"ticket"`
-	// Nonce distinguishes tickets with the same number from different operators.
+	// Nonce distinguishes tickets with the same number from different
+	// operators.
 	Nonce string    `json:"nonce"`
 	At    time.Time `json:"at"`
 }
 
-// Head is the value at HeadKey. The log consists of a snapshot, which holds the state
-// up to SnapshotNumber, and the tail, which holds the tickets after it.
+// Head is the value at HeadKey. The log consists of a snapshot, which holds the
+// state up to SnapshotNumber, and the tail, which holds the tickets after it.
 type Head struct {
 	// Number is the number of the last accepted ticket.
 	Number         bbunit.TicketNumber `json:"number"`
@@ -72,8 +74,8 @@
 	Compacted []CompactedTicket `json:"past,omitempty"`
 }
 
-// CompactedTicket is the number and nonce of a ticket that was moved from the tail to
-// the snapshot.
+// CompactedTicket is the number and nonce of a ticket that was moved from the
+// tail to the snapshot.
 type CompactedTicket struct {
 	Number bbunit.TicketNumber `json:"number"`
 	Nonce  string              `json:"nonce"`
@@ -91,9 +93,10 @@
 	return h, nil
 }
 
-// ApplyTail returns the state after applying the tail of h. It returns s and false if s
-// is older than the snapshot, so that tickets are missing between s and the tail; the
-// state then has to be loaded with Log.Load. A nil s is an empty state.
+// ApplyTail returns the state after applying the tail of h. It returns s and
+// false if s is older than the snapshot, so that tickets are missing between s
+// and the tail; the state then has to be loaded with Log.Load. A nil s is an
+// empty state.
 func (s *State) ApplyTail(h Head) (*State, bool) {
 	if s == nil {
 		s = &State{}
@@ -109,8 +112,8 @@
 	return s, true
 }
 
-// Log is the log of change tickets in the key-value service. Its methods block up to
-// the context's deadline.
+// Log is the log of change tickets in the key-value service. Its methods block
+// up to the context's deadline.
 type Log struct {
 	store bbstore.Store
 }
@@ -168,10 +171,11 @@
 	return s, nil
 }
 
-// Accept validates the ticket and appends it to the log by one compare-and-swap on the
-// head, which puts it in force. It returns ErrInvalid, a *NumberError if the number is
-// not the next one, or the store's error. After bbstore.ErrUnknown, calling it again
-// with the same nonce tells whether the ticket was accepted.
+// Accept validates the ticket and appends it to the log by one compare-and-swap
+// on the head, which puts it in force. It returns ErrInvalid, a *NumberError if
+// the number is not the next one, or the store's error. After
+// bbstore.ErrUnknown, calling it again with the same nonce tells whether the
+// ticket was accepted.
 func (l *Log) Accept(ctx context.Context, t Ticket, nonce string, now time.Time) error {
 	if b, err := json.Marshal(t); err != nil || len(b) > MaxTicketBytes {
 		return errors.WithType(errors.Errorf("ticket %d is %d bytes of JSON, at most %d are allowed", t.Number, len(b), MaxTicketBytes), ErrInvalid)
@@ -199,8 +203,8 @@
 		case err == nil:
 			return nil
 		case errors.Is(err, bbstore.ErrConflict), errors.Is(err, bbstore.ErrUnknown):
-			// Read the head again: it tells whether the ticket was accepted, its
-			// number was taken by another one, or the number is still free.
+			// Read the head again: it tells whether the ticket was accepted,
+			// its number was taken by another one, or the number is still free.
 			if ctx.Err() != nil {
 				return errors.Trace(err)
 			}
@@ -210,9 +214,9 @@
 	}
 }
 
-// outcome tells whether the head decides on ticket n: (true, nil) if the ticket with
-// this nonce was accepted, (true, *NumberError) if its number is taken or not the next
-// one, and (false, nil) if n is the next number.
+// outcome tells whether the head decides on ticket n: (true, nil) if the ticket
+// with this nonce was accepted, (true, *NumberError) if its number is taken or
+// not the next one, and (false, nil) if n is the next number.
 func (h Head) outcome(n bbunit.TicketNumber, nonce string) (bool, error) {
 	if n == h.Number+1 {
 		return false, nil
@@ -230,8 +234,8 @@
 	return true, &NumberError{Requested: n, Head: h.Number}
 }
 
-// appendEntry writes the head with one more entry. If the head would become larger than
-// maxHeadBytes, it compacts the tail first.
+// appendEntry writes the head with one more entry. If the head would become
+// larger than maxHeadBytes, it compacts the tail first.
 func (l *Log) appendEntry(ctx context.Context, h Head, rev bbstore.Revision, entry LogEntry) error {
 	next := Head{Number: entry.Ticket.Number, SnapshotNumber: h.SnapshotNumber, Compacted: h.Compacted, Tail: append(h.Tail[:len(h.Tail):len(h.Tail)], entry)}
 	v, err := json.Marshal(next)
@@ -260,8 +264,9 @@
 	return out[max(0, len(out)-maxCompacted):]
 }
 
-// compact merges the objects of the tail into the snapshot. It never replaces an object
-// by an older version, so concurrent or interrupted compactions do no harm.
+// compact merges the objects of the tail into the snapshot. It never replaces
+// an object by an older version, so concurrent or interrupted compactions do no
+// harm.
 func (l *Log) compact(ctx context.Context, h Head) error {
 	s := &State{}
 	for _, entry := range h.Tail {
@@ -306,8 +311,8 @@
 	}
 }
 
-// splitShards distributes the objects over the snapshot shards by a hash of their ids.
-// Shards without objects are nil.
+// splitShards distributes the objects over the snapshot shards by a hash of
+// their ids. Shards without objects are nil.
 func (s *State) splitShards() []*State {
 	out := make([]*State, snapshotShards)
 	shardOf := func(id string) *State {
--- a/shared/bbticket/parse.go
+++ b/shared/bbticket/parse.go
@@ -13,14 +13,15 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ErrInvalid means that a ticket is malformed or not valid against the state. The error
-// lists every violation that was found.
+// ErrInvalid means that a ticket is malformed or not valid against the state.
+// The error lists every violation that was found.
 const ErrInvalid = errors.ConstError("invalid ticket")
 
 // MaxPaid is the maximum of Budget.Paid.
 const MaxPaid bbunit.Tokens = 1 << 53
 
-// MaxPrice is the maximum of each field of Price and of Service.DefaultMaxOutput.
+// MaxPrice is the maximum of each field of Price and of
+// Service.DefaultMaxOutput.
 const MaxPrice bbunit.Tokens = 1 << 32
 
 // MaxIDBytes is the maximum length of an id.
@@ -31,9 +32,9 @@
 	keyPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
 )
 
-// Parse decodes a ticket from YAML. Unknown and duplicate fields are errors. The error
-// is ErrInvalid and contains line and column. Parse checks only the syntax; values and
-// references to other objects are checked by State.Check.
+// Parse decodes a ticket from YAML. Unknown and duplicate fields are errors.
+// The error is ErrInvalid and contains line and column. Parse checks only the
+// syntax; values and references to other objects are checked by State.Check.
 func Parse(src []byte) (Ticket, error) {
 	var t Ticket
 	d := yaml.NewDecoder(bytes.NewReader(src), yaml.Strict(), yaml.DisallowUnknownField())
@@ -47,8 +48,8 @@
 	return t, nil
 }
 
-// unknownKindError returns an error text for the first service with an unknown kind, in
-// the format of the decoder's errors, or "" if there is none.
+// unknownKindError returns an error text for the first service with an unknown
+// kind, in the format of the decoder's errors, or "" if there is none.
 func unknownKindError(src []byte) string {
 	for i := 0; ; i++ {
 		service, err := yaml.PathString(fmt.Sprintf("$.services[%d]", i))
@@ -86,8 +87,9 @@
 	*vs = append(*vs, fmt.Sprintf(format, args...))
 }
 
-// Check validates the ticket against the state that it would be applied to. The error
-// is ErrInvalid and lists every violation, one per line. A nil s is an empty state.
+// Check validates the ticket against the state that it would be applied to. The
+// error is ErrInvalid and lists every violation, one per line. A nil s is an
+// empty state.
 func (s *State) Check(t Ticket) error {
 	if s == nil {
 		s = &State{}
@@ -196,8 +198,8 @@
 	}
 }
 
-// checkOrphans reports budgets and targets in force whose account or service the ticket
-// deletes.
+// checkOrphans reports budgets and targets in force whose account or service
+// the ticket deletes.
 func (vs *violations) checkOrphans(next *State) {
 	for id, b := range next.Budgets.All() {
 		if a, ok := next.Accounts[b.Object.Account]; ok && a.Object.Deleted && !b.Object.Deleted {
@@ -235,8 +237,9 @@
 	}
 }
 
-// checkExists reports a reference to an object that is not in the state. Deleted
-// objects count as present; for budgets and targets, checkOrphans reports those.
+// checkExists reports a reference to an object that is not in the state.
+// Deleted objects count as present; for budgets and targets, checkOrphans
+// reports those.
 func checkExists[K ~string, T any](vs *violations, path, kind string, objects map[K]Numbered[T], id K) {
 	if _, ok := objects[id]; !ok {
 		vs.addf("%s: %s: unknown: %q", path, kind, id)
--- a/shared/bbticket/state.go
+++ b/shared/bbticket/state.go
@@ -1,6 +1,6 @@
-// Package bbticket implements change tickets: their YAML form and validation, the
-// state that results from applying them, and the log in the key-value service that
-// accepts them in order.
+// Package bbticket implements change tickets: their YAML form and validation,
+// the state that results from applying them, and the log in the key-value
+// service that accepts them in order.
 package bbticket
 
 import (
@@ -20,13 +20,15 @@
 	KindPlain
 )
 
-// Limit restricts the use of an account or a service. A zero field sets no limit.
+// Limit restricts the use of an account or a service. A zero field sets no
+// limit.
 type Limit struct {
 	// Rate is in requests per second.
 	Rate float64 `yaml:"rate,omitempty" json:"rate,omitempty"`
 	// Burst is in requests. 0 means the requests of one second at Rate.
 	Burst float64 `yaml:"burst,omitempty" json:"burst,omitempty"`
-	// MaxInFlight is the maximum number of requests in flight in a failure domain.
+	// MaxInFlight is the maximum number of requests in flight in a failure
+	// domain.
 	MaxInFlight int `yaml:"open,omitempty" json:"open,omitempty"`
 }
 
@@ -64,12 +66,12 @@
 	ID    bbunit.ServiceID `yaml:"id" json:"id"`
 	Kind  Kind             `yaml:"kind" json:"kind"`
 	Price Price            `yaml:"price,omitempty" json:"price,omitempty"`
-	// Idempotent lists the HTTP methods that may be retried. Requests with other
-	// methods are claimed and run at most once. Empty means GET, HEAD and OPTIONS
-	// for plain services. Chat completions are always idempotent.
+	// Idempotent lists the HTTP methods that may be retried. Requests with
+	// other methods are claimed and run at most once. Empty means GET, HEAD and
+	// OPTIONS for plain services. Chat completions are always idempotent.
 	Idempotent []string `yaml:"idempotent,omitempty" json:"idempotent,omitempty"`
-	// DefaultMaxOutput is the maximum length of an answer, in tokens, if the caller
-	// sets none.
+	// DefaultMaxOutput is the maximum length of an answer, in tokens, if the
+	// caller sets none.
 	DefaultMaxOutput bbunit.Tokens `yaml:"output,omitempty" json:"output,omitempty"`
 	// Accounts lists the accounts that may use the service. Empty means all.
 	Accounts []bbunit.AccountID `yaml:"accounts,omitempty" json:"accounts,omitempty"`
@@ -84,8 +86,8 @@
 	// Address is host:port.
 	Address string          `yaml:"address" json:"address"`
 	Domain  bbunit.DomainID `yaml:"domain" json:"domain"`
-	// Slots is the number of requests that the target runs concurrently. 0 means
-	// unknown.
+	// Slots is the number of requests that the target runs concurrently. 0
+	// means unknown.
 	Slots int `yaml:"slots,omitempty" json:"slots,omitempty"`
 	// Fence is set if the target refuses orders with an old fencing token.
 	Fence bool `yaml:"fence,omitempty" json:"fence,omitempty"`
@@ -94,8 +96,8 @@
 	Deleted bool `yaml:"gone,omitempty" json:"gone,omitempty"`
 }
 
-// Ticket is one numbered change. It contains the complete new configuration of each
-// object that it changes.
+// Ticket is one numbered change. It contains the complete new configuration of
+// each object that it changes.
 type Ticket struct {
 	Number   bbunit.TicketNumber `yaml:"number" json:"number"`
 	Note     string              `yaml:"note,omitempty" json:"note,omitempty"`
@@ -111,9 +113,9 @@
 	Object T                   `json:"object"`
 }
 
-// State is an immutable snapshot of the configuration in force. Objects that are
-// marked Deleted stay in it as tombstones, so that an older ticket cannot restore
-// them.
+// State is an immutable snapshot of the configuration in force. Objects that
+// are marked Deleted stay in it as tombstones, so that an older ticket cannot
+// restore them.
 type State struct {
 	Number   bbunit.TicketNumber                    `json:"number"`
 	Accounts map[bbunit.AccountID]Numbered[Account] `json:"accounts"`
@@ -121,12 +123,12 @@
 	Services map[bbunit.ServiceID]Numbered[Service] `json:"services"`
 	Targets  map[bbunit.TargetID]Numbered[Target]   `json:"targets"`
 
-	// LastRoutingChange is the last ticket that wrote an account, a service or a
-	// target. States in which it is equal route alike. 0 means unknown.
+	// LastRoutingChange is the last ticket that wrote an account, a service or
+	// a target. States in which it is equal route alike. 0 means unknown.
 	LastRoutingChange bbunit.TicketNumber `json:"-"`
 
-	// Indexes of the objects above without deleted ones. Apply and Merge keep them
-	// up to date; after decoding, call Reindex.
+	// Indexes of the objects above without deleted ones. Apply and Merge keep
+	// them up to date; after decoding, call Reindex.
 	ByKey     map[string]bbunit.AccountID            `json:"-"`
 	ByAccount map[bbunit.AccountID][]bbunit.BudgetID `json:"-"`
 	ByService map[bbunit.ServiceID][]Target          `json:"-"`
--- a/shared/bbticket/table.go
+++ b/shared/bbticket/table.go
@@ -13,9 +13,9 @@
 // bucketCount is the number of buckets of a Table. A change copies one of them.
 const bucketCount = 1024
 
-// Table is an immutable map from ids to numbered objects. Set returns a copy that
-// shares all buckets but the changed one, so that one of 100,000 objects can be
-// changed without copying all the others. The zero value is empty.
+// Table is an immutable map from ids to numbered objects. Set returns a copy
+// that shares all buckets but the changed one, so that one of 100,000 objects
+// can be changed without copying all the others. The zero value is empty.
 type Table[K ~string, T any] struct {
 	buckets *[bucketCount]map[K]Numbered[T]
 	size    int
@@ -67,8 +67,8 @@
 	return out
 }
 
-// cloneBuckets returns a copy with a bucket array of its own. The buckets themselves
-// are shared; put copies them before it writes.
+// cloneBuckets returns a copy with a bucket array of its own. The buckets
+// themselves are shared; put copies them before it writes.
 func (t Table[K, T]) cloneBuckets() Table[K, T] {
 	next := Table[K, T]{buckets: new([bucketCount]map[K]Numbered[T]), size: t.size}
 	if t.buckets != nil {
@@ -77,8 +77,8 @@
 	return next
 }
 
-// put stores an object in a table made by cloneBuckets. copied is the set of buckets
-// that are no longer shared with the original.
+// put stores an object in a table made by cloneBuckets. copied is the set of
+// buckets that are no longer shared with the original.
 func (t *Table[K, T]) put(id K, o Numbered[T], copied map[uint64]bool) {
 	b := bucketOf(id)
 	if !copied[b] {
@@ -92,8 +92,8 @@
 	t.buckets[b][id] = o
 }
 
-// merge returns a copy of the table with those objects that have a higher number than
-// the table's own. It returns t itself if there are none.
+// merge returns a copy of the table with those objects that have a higher
+// number than the table's own. It returns t itself if there are none.
 func (t Table[K, T]) merge(objects iter.Seq2[K, Numbered[T]]) Table[K, T] {
 	next, copied, changed := t, map[uint64]bool{}, false
 	for id, o := range objects {
