--- a/shared/bbledger/bench_test.go
+++ b/shared/bbledger/bench_test.go
@@ -223,31 +223,31 @@
 			l.run(20*time.Second, 6, nil)
 			b, n := s.budgets[0], s.nodes[i]
 			before := StatusOf(entryOrEmpty(s.page, b))
-			var held bbunit.Tokens
+			var unspent bbunit.Tokens
 			for _, h := range before.Holders {
 				if HolderPeer(h.Holder) == PeerOf(n.member) {
-					held = h.Drawn - h.Spent
+					unspent = h.Drawn - h.Spent
 				}
 			}
 			rate := 6 * float64(l.reserved) / TickInterval.Seconds() / 2 // of the failure domain
 			s.crash(n)
 			s.refreshViews()
-			back, at := time.Duration(-1), s.now
+			closedAfter, killedAt := time.Duration(-1), s.now
 			for range 200 {
 				l.run(TickInterval, 6, func(time.Duration) {
 					for _, x := range s.liveNodes() {
 						s.perform(x, x.allocator.Step(s.now, Refresh{}))
 					}
 				})
-				if back < 0 && !namesHolder(s.page, NewHolder(PeerOf(n.member), PageOf(b), 1)) {
-					back = s.now.Sub(at)
+				if closedAfter < 0 && !namesHolder(s.page, NewHolder(PeerOf(n.member), PageOf(b), 1)) {
+					closedAfter = s.now.Sub(killedAt)
 				}
 			}
 			s.heal()
 			s.runFor(10*time.Second, nil)
 			stuck := StatusOf(entryOrEmpty(s.page, b)).Stuck
 			limit := bbunit.Tokens(math.Ceil(rate * p.policy.DrawHorizon.Seconds()))
-			logRow(t, round, "%-10s %-8s %14d %14d %12d %12s", "", n.member.ID, held, limit, stuck, back)
+			logRow(t, round, "%-10s %-8s %14d %14d %12d %12s", "", n.member.ID, unspent, limit, stuck, closedAfter)
 			if stuck > limit {
 				t.Errorf("%d stuck, want at most a horizon's demand, %d", stuck, limit)
 			}
--- a/shared/bbledger/operator_test.go
+++ b/shared/bbledger/operator_test.go
@@ -92,17 +92,17 @@
 	m := operatorStore(t)
 	_, err := Release(ctx, m, "b", "x")
 	is.True(errors.Is(err, ErrNoHolder))
-	for _, c := range []struct{ back, settled, rest bbunit.Tokens }{
+	for _, c := range []struct{ released, settled, remaining bbunit.Tokens }{
 		{5, 20, 50},  // the grantee's stuck amount
 		{20, 30, 70}, // what the holder has drawn beyond its reported spending
 	} {
 		m.SetFaults(bbstore.Faults{LoseNext: 1})
 		n, err := Release(ctx, m, "b", "k/1/0-1")
 		is.NoErr(err)
-		is.Equal(n, c.back)
+		is.Equal(n, c.released)
 		s := budgetB(t, m)
 		is.Equal(s.Settled, c.settled)
-		is.Equal(s.Remaining, c.rest)
+		is.Equal(s.Remaining, c.remaining)
 	}
 	_, err = Release(ctx, m, "b", "k/1/0-1")
 	is.True(errors.Is(err, ErrNoHolder))
@@ -120,12 +120,12 @@
 
 func TestApplyTicketOnlyMovesForward(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		entry   *bbwire.Entry
-		ticket  bbticket.Numbered[bbticket.Budget]
-		state   bbunit.TicketNumber
-		changed bool
-		limit   bbunit.Tokens
+		name        string
+		entry       *bbwire.Entry
+		ticket      bbticket.Numbered[bbticket.Budget]
+		stateNumber bbunit.TicketNumber
+		changed     bool
+		limit       bbunit.Tokens
 	}{
 		{"top-up", &bbwire.Entry{Paid: 100, Number: 3}, numbered(4, 150), 4, true, 150},
 		{"older", &bbwire.Entry{Paid: 100, Number: 3}, numbered(2, 150), 4, false, 100},
@@ -139,7 +139,7 @@
 			is := is.New(t)
 			e := c.entry
 			e.Budget = "b"
-			st := &bbticket.State{Number: c.state}
+			st := &bbticket.State{Number: c.stateNumber}
 			st.Budgets = st.Budgets.Set("b", c.ticket)
 			is.Equal(applyTicket(e, st), c.changed)
 			is.Equal(EffectiveLimit(e), c.limit)
--- a/shared/bbledger/recall_test.go
+++ b/shared/bbledger/recall_test.go
@@ -82,19 +82,19 @@
 
 func TestAllocatorRecallsOnlyWhenItMayHelp(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		urgent bool
-		spent  int64
-		gone   bool
-		want   int
+		name    string
+		urgent  bool
+		spent   int64
+		missing bool
+		want    int
 	}{
 		{"a request waits", true, 20, false, 1},
 		{"no request waits", false, 20, false, 0},
 		{"all is spent", true, 100, false, 0},
-		{"the grantee is gone", true, 20, true, 0},
+		{"the grantee is missing", true, 20, true, 0},
 	} {
 		f := fullyGrantedFixture(t)
-		if c.gone {
+		if c.missing {
 			f.view = &bbmember.View{Self: f.view.Self, Members: f.view.Members[:2]}
 			f.tick(0)
 		}
@@ -180,7 +180,7 @@
 func TestWalletAnswersARecall(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		waits    bbunit.Tokens
+		waiting  bbunit.Tokens
 		grantee  string
 		returned int64
 	}{
@@ -195,8 +195,8 @@
 		w.HandleGrant(now, "d", grantMessage("k/1/0-1", 20))
 		bal := w.Balance("b")
 		is.True(bal.Reserve(5))
-		if c.waits > 0 {
-			w.AddWaiter(bal, c.waits)
+		if c.waiting > 0 {
+			w.AddWaiter(bal, c.waiting)
 		}
 		out := w.HandleGrant(now, "d", &bbwire.GrantTell{Recalls: []*bbwire.Recall{{Budget: "b", Grantee: c.grantee}}})
 		is.Equal(len(out), 1)
@@ -206,7 +206,7 @@
 			t.Errorf("%s: %v, want %d returned", c.name, s, c.returned)
 		}
 		is.Equal(bal.Free(), bbunit.Tokens(15-c.returned))
-		if c.waits == 0 {
+		if c.waiting == 0 {
 			bal.demand.tokensPerSecond = 1000
 			is.Equal(len(w.DueMessages(now.Add(requestInterval), v)), 0) // it does not request what it has just returned
 			is.Equal(len(w.DueMessages(now.Add(refillPauseAfterRecall), v)), 1)
--- a/shared/bbledger/sim_test.go
+++ b/shared/bbledger/sim_test.go
@@ -443,7 +443,7 @@
 func (s *sim) step(t *rapid.T) {
 	n := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
 	b := s.budgets[rapid.IntRange(0, len(s.budgets)-1).Draw(t, "budget")]
-	switch rapid.IntRange(0, 39).Draw(t, "step") {
+	switch rapid.IntRange(0, 39).Draw(t, "what") {
 	case 0, 1, 2, 3, 4, 5, 6, 7:
 		s.reserve(n, b, bbunit.Tokens(rapid.IntRange(0, 25).Draw(t, "amount")))
 	case 8, 9, 10, 11:
@@ -474,7 +474,7 @@
 		}
 	case 31:
 		if len(s.lateWrites) > 0 {
-			s.applyLateSave(rapid.IntRange(0, len(s.lateWrites)-1).Draw(t, "late write"))
+			s.applyLateSave(rapid.IntRange(0, len(s.lateWrites)-1).Draw(t, "late"))
 		}
 	case 32:
 		n.paused = !n.paused
--- a/shared/bbledger/wallet_test.go
+++ b/shared/bbledger/wallet_test.go
@@ -45,9 +45,9 @@
 	is.True(bal.Reserve(5))
 	s := w.Surrender("k/1/0-1").Slices[0]
 	is.Equal([]int64{s.Granted, s.Spent, s.Returned}, []int64{20, 0, 15}) // 5 are reserved by an open request
-	back := w.HandleGrant(now, "d", grantMessage("k/1/0-1", 50))
+	replies := w.HandleGrant(now, "d", grantMessage("k/1/0-1", 50))
 	is.Equal(bal.Free(), bbunit.Tokens(0)) // a late grant
-	is.Equal(len(back), 1)                 // its allocator gets the surrender again
+	is.Equal(len(replies), 1)              // its allocator gets the surrender again
 	is.True(!bal.addGrant("k/1/0-1", 50))
 	bal.Commit(5, 3)
 	w.DueMessages(now, v)
