--- a/shared/bbticket/parse.go
+++ b/shared/bbticket/parse.go
@@ -99,7 +99,7 @@
 		vs.addf("number: must be above 0")
 	}
 	if len(t.Accounts)+len(t.Budgets)+len(t.Services)+len(t.Targets) == 0 {
-		vs.addf("ticket %d: contains no accounts, budgets, services or targets", t.Number)
+		vs.addf("ticket %d: touches nothing", t.Number)
 	}
 	next := s.Apply(t)
 	vs.checkAccounts(t.Accounts, next)
@@ -129,7 +129,7 @@
 		vs.checkLimit(path, a.Limit)
 		for _, k := range a.Keys {
 			if !keyPattern.MatchString(k) {
-				vs.addf("%s: keys: must be sha256: and 64 lowercase hex digits", path)
+				vs.addf("%s: key must be sha256: and 64 hex digits", path)
 			}
 			if other, ok := keyOwner[k]; ok {
 				vs.addf("%s: keys: one is already a key of account %q", path, other)
@@ -166,7 +166,7 @@
 		vs.checkAmount(path+": output", v.DefaultMaxOutput, MaxPrice)
 		for _, m := range v.Idempotent {
 			if m == "" || strings.ToUpper(m) != m {
-				vs.addf("%s: idempotent: not an HTTP method in upper case: %q", path, m)
+				vs.addf("%s: idempotent: not an HTTP method: %q", path, m)
 			}
 		}
 		for _, a := range v.Accounts {
@@ -216,11 +216,11 @@
 func (vs *violations) checkID(path, id string, seen map[string]bool) {
 	switch {
 	case !idPattern.MatchString(id):
-		vs.addf("%s: id: only letters, digits, '.', '_' and '-' allowed, the first a letter or digit", path)
+		vs.addf("%s: id: letters, digits, '.', '_' and '-' only", path)
 	case len(id) > MaxIDBytes:
 		vs.addf("%s: id: longer than %d bytes", path, MaxIDBytes)
 	case seen[id]:
-		vs.addf("%s: id: duplicate", path)
+		vs.addf("%s: id: stands twice", path)
 	}
 	seen[id] = true
 }
