--- a/bluebellport/door/attempt.go
+++ b/bluebellport/proxy/attempt.go
@@ -1,4 +1,4 @@
-package bbdoor
+package bbproxy
 
 import (
 	"net"
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-//go:generate enumer -type=endKind -trimprefix=end -transform=kebab -output=endkind_enumer.go
+//go:generate enumer -type=endKind -trimprefix=end -transform=kebab -output=resultkind_enumer.go
 
 // endKind tells how an attempt ended.
 type endKind int
--- a/bluebellport/door/tally_test.go
+++ b/bluebellport/proxy/metrics_test.go
@@ -1,4 +1,4 @@
-package bbdoor
+package bbproxy
 
 import (
 	"io"
--- a/bluebellport/door/board.go
+++ b/bluebellport/proxy/state.go
@@ -1,7 +1,7 @@
-// Package bbdoor is the front door of an instance on the platform: it takes
+// Package bbproxy is the front door of an instance on the platform: it takes
 // requests as they come over the wire, checks them against what the operators
 // declared, reserves money, places them at targets and passes the answers back.
-package bbdoor
+package bbproxy
 
 import (
 	"sync/atomic"
--- a/bluebellport/src/native.go
+++ b/bluebellport/src/native.go
@@ -13,7 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	bbdoor "bluebellport.example/bluebellport/door"
+	bbproxy "bluebellport.example/bluebellport/proxy"
 	"bluebellport.example/platform"
 	"bluebellport.example/shared/bblog"
 	"bluebellport.example/shared/bbmember"
@@ -64,7 +64,7 @@
 		return fmt.Errorf("peers: %w", err)
 	}
 	defer closePeers()
-	return bbdoor.Serve(ctx, set, peers, parts.Metrics, entry)
+	return bbproxy.Serve(ctx, set, peers, parts.Metrics, entry)
 }
 
 func readSettings(log logrus.FieldLogger) (bbplatform.Settings, error) {
