--- a/bluebellport/metrics/text.go
+++ b/bluebellport/metrics/text.go
@@ -24,8 +24,8 @@
 // nsPerSecond turns the nanoseconds of timers into seconds.
 const nsPerSecond = 1e9
 
-// Page returns a handler that answers with a registry's text.
-func Page(r metrics.Registry) fiber.Handler {
+// Handler returns a handler that answers with a registry's text.
+func Handler(r metrics.Registry) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		c.Set(fiber.HeaderContentType, contentType)
 		return c.Send(Text(r))
--- a/bluebellport/proxy/attempt.go
+++ b/bluebellport/proxy/attempt.go
@@ -8,212 +8,212 @@
 	"github.com/juju/errors"
 )
 
-//go:generate enumer -type=endKind -trimprefix=end -transform=kebab -output=resultkind_enumer.go
+//go:generate enumer -type=resultKind -trimprefix=result -transform=kebab -output=resultkind_enumer.go
 
-// endKind tells how an attempt ended.
-type endKind int
+// resultKind tells how an attempt ended.
+type resultKind int
 
 // Ends of an attempt.
 const (
-	// endDone means that the caller has an answer.
-	endDone endKind = iota
-	// endUnsent means that no byte of the request left.
-	endUnsent
-	// endNotRun means that the target says it did not run the request.
-	endNotRun
-	// endBroken means that the request left and no usable answer came.
-	endBroken
-	// endLate means that the request's time was over.
-	endLate
-	// endGone means that the caller left.
-	endGone
+	// resultDone means that the caller has an answer.
+	resultDone resultKind = iota
+	// resultUnsent means that no byte of the request left.
+	resultUnsent
+	// resultNotRun means that the target says it did not run the request.
+	resultNotRun
+	// resultBroken means that the request left and no usable answer came.
+	resultBroken
+	// resultLate means that the request's time was over.
+	resultLate
+	// resultGone means that the caller left.
+	resultGone
 )
 
-// ending is how an attempt ended.
-type ending struct {
-	kind endKind
+// attemptResult is how an attempt ended.
+type attemptResult struct {
+	kind resultKind
 	err  error
-	// keep tells that the caller's connection stays.
-	keep bool
-	// silent tells that the target did not answer in time, reset that it broke
+	// keepConn tells that the caller's connection stays.
+	keepConn bool
+	// timedOut tells that the target did not answer in time, reset that it broke
 	// the connection off.
-	silent, reset bool
-	// failed tells that the answer that was passed on is a failure of the target.
-	failed bool
+	timedOut, connBroken bool
+	// targetFailed tells that the answer that was passed on is a failure of the target.
+	targetFailed bool
 }
 
 // attempt sends the request to one target and passes its answer on.
-func (x *exchange) attempt(s *Server) ending {
-	x.tried = append(x.tried, s.ID)
-	x.at.Store(s)
-	ctx, cancel := x.context()
+func (x *exchange) attempt(target *Target) attemptResult {
+	x.tried = append(x.tried, target.ID)
+	x.lastTarget.Store(target)
+	ctx, cancel := x.withDeadline()
 	defer cancel()
-	if !time.Now().Before(x.end) {
-		return ending{kind: endLate}
+	if !time.Now().Before(x.deadline) {
+		return attemptResult{kind: resultLate}
 	}
-	c, err := s.pool.take(ctx)
+	conn, err := target.conns.get(ctx)
 	if err != nil {
-		return ending{kind: endUnsent, err: err, silent: true}
+		return attemptResult{kind: resultUnsent, err: err, timedOut: true}
 	}
-	if !x.hold(c) {
-		_ = c.Close()
-		return ending{kind: endGone}
+	if !x.setConn(conn) {
+		_ = conn.Close()
+		return attemptResult{kind: resultGone}
 	}
-	s.State.Begin()
-	defer s.State.End()
-	if x.sends++; x.sends == 1 {
-		x.door.tally.sent(x.q.At)
+	target.State.Begin()
+	defer target.State.End()
+	if x.sentAttempts++; x.sentAttempts == 1 {
+		x.proxy.metrics.recordDispatch(x.req.ReceivedAt)
 	}
-	x.door.prefills.sent(s, x.unread)
-	out := x.exchangeWith(s, c)
-	x.hold(nil)
-	if out.kind != endDone && x.left() {
-		out.kind = endGone
+	x.proxy.prefills.recordPrompt(target, x.unreadPrompt)
+	result := x.roundTrip(target, conn)
+	x.setConn(nil)
+	if result.kind != resultDone && x.isAborted() {
+		result.kind = resultGone
 	}
-	return out
+	return result
 }
 
-// exchangeWith sends the request over c and reads its answer.
-func (x *exchange) exchangeWith(s *Server, c *targetConn) ending {
-	sent := make(chan error, 1)
-	_ = c.SetDeadline(x.end)
-	off := &sendOff{account: x.accountID(), target: s.Target.Target, left: time.Until(x.end), priority: x.priority(), last: x.stream.lastID()}
-	if x.stride == 0 {
-		off.priority = -1
-	}
-	head := x.q.forwardHead(off)
-	x.ran = true // until the target says otherwise
-	if len(x.q.Body) <= inlineBody {
-		_, err := c.Write(append(head, x.q.Body...))
-		sent <- err
+// roundTrip sends the request over c and reads its answer.
+func (x *exchange) roundTrip(target *Target, conn *targetConn) attemptResult {
+	written := make(chan error, 1)
+	_ = conn.SetDeadline(x.deadline)
+	opts := &forwardOptions{account: x.accountID(), target: target.Target.Target, timeLeft: time.Until(x.deadline), priority: x.priority(), lastEventID: x.stream.resumeID()}
+	if x.maxEventTokens == 0 {
+		opts.priority = -1
+	}
+	head := x.req.forwardHead(opts)
+	x.mayHaveRun = true // until the target says otherwise
+	if len(x.req.Body) <= inlineBody {
+		_, err := conn.Write(append(head, x.req.Body...))
+		written <- err
 	} else {
 		go func() {
-			bufs := net.Buffers{head, x.q.Body}
-			_, err := bufs.WriteTo(c.Conn)
-			sent <- err
+			bufs := net.Buffers{head, x.req.Body}
+			_, err := bufs.WriteTo(conn.Conn)
+			written <- err
 		}()
 	}
-	a, err := x.awaitAnswer(c)
+	resp, err := x.awaitResponse(conn)
 	if err != nil {
-		_ = c.Close()
-		return x.broken(err)
+		_ = conn.Close()
+		return x.connFailure(err)
 	}
 	select {
-	case err := <-sent:
-		c.keep = c.keep && err == nil
+	case err := <-written:
+		conn.reusable = conn.reusable && err == nil
 	default:
-		c.keep = false // it answered before it had the whole body
+		conn.reusable = false // it answered before it had the whole body
 	}
-	return x.take(c, a)
+	return x.handleResponse(conn, resp)
 }
 
-// awaitAnswer reads the head of the request's answer, past whole answers that
+// awaitResponse reads the head of the request's answer, past whole answers that
 // belong to others.
-func (x *exchange) awaitAnswer(c *targetConn) (*Answer, error) {
-	if x.route.Repeatable() && x.sends < x.route.MaxAttempts {
-		_ = c.SetReadDeadline(earlier(x.end, time.Now().Add(x.patience())))
+func (x *exchange) awaitResponse(conn *targetConn) (*Response, error) {
+	if x.route.Repeatable() && x.sentAttempts < x.route.MaxAttempts {
+		_ = conn.SetReadDeadline(earlier(x.deadline, time.Now().Add(x.headTimeout())))
 	}
-	for range maxForeign {
-		a, err := c.readAnswerHead()
+	for range maxForeignResponses {
+		resp, err := conn.readResponseHead()
 		if err != nil {
 			return nil, err
 		}
-		if a.belongs(x.q.Attempt) || a.notRun() {
-			return a, nil
+		if resp.belongsTo(x.req.AttemptID) || resp.saysNotRun() {
+			return resp, nil
 		}
-		if a.frame.length < 0 && !a.frame.chunked {
+		if resp.framing.length < 0 && !resp.framing.chunked {
 			break
 		}
-		if _, err := answerBody(c.br, a.frame, a.Status, x.q.Method).all(maxAnswer); err != nil {
+		if _, err := responseBody(conn.br, resp.framing, resp.Status, x.req.Method).readAll(maxResponseBody); err != nil {
 			return nil, err
 		}
 	}
 	return nil, errors.Annotate(ErrMalformed, "answer of another request")
 }
 
-// patience is how long a request that may be repeated waits for the head of an
+// headTimeout is how long a request that may be repeated waits for the head of an
 // answer before it is sent elsewhere.
-func (x *exchange) patience() time.Duration {
-	return max(patienceAims*x.route.LatencyObjective, leastPatience)
+func (x *exchange) headTimeout() time.Duration {
+	return max(latencyTimeoutFactor*x.route.LatencyObjective, minResponseTimeout)
 }
 
-// take passes an answer on, if it is one.
-func (x *exchange) take(c *targetConn, a *Answer) ending {
-	if a.notRun() {
-		x.ran = x.sends > 1
-		x.discard(c, a)
-		return ending{kind: endNotRun, err: errors.Errorf("status %d", a.Status)}
-	}
-	ok := a.Status >= 200 && a.Status < 300
-	if !a.signed() {
-		_ = c.Close()
-		return ending{kind: endBroken, err: errors.Errorf("status %d without signature", a.Status)}
-	}
-	if ok && x.stride > 0 {
-		return x.passStream(c, a)
-	}
-	_ = c.SetReadDeadline(x.end)
-	body, err := answerBody(c.br, a.frame, a.Status, x.q.Method).all(maxAnswer)
+// handleResponse passes an answer on, if it is one.
+func (x *exchange) handleResponse(conn *targetConn, resp *Response) attemptResult {
+	if resp.saysNotRun() {
+		x.mayHaveRun = x.sentAttempts > 1
+		x.discardResponse(conn, resp)
+		return attemptResult{kind: resultNotRun, err: errors.Errorf("status %d", resp.Status)}
+	}
+	ok := resp.Status >= 200 && resp.Status < 300
+	if !resp.isSigned() {
+		_ = conn.Close()
+		return attemptResult{kind: resultBroken, err: errors.Errorf("status %d without signature", resp.Status)}
+	}
+	if ok && x.maxEventTokens > 0 {
+		return x.forwardStream(conn, resp)
+	}
+	_ = conn.SetReadDeadline(x.deadline)
+	body, err := responseBody(conn.br, resp.framing, resp.Status, x.req.Method).readAll(maxResponseBody)
 	if err != nil {
-		_ = c.Close()
-		return x.broken(err)
+		_ = conn.Close()
+		return x.connFailure(err)
 	}
-	c.park()
+	conn.release()
 	if !ok {
-		return x.failure(a, body)
+		return x.handleErrorStatus(resp, body)
 	}
-	return x.deliver(a, body)
+	return x.writeResponse(resp, body)
 }
 
-// failure passes a target's own failure on, or leaves it for another attempt.
-func (x *exchange) failure(a *Answer, body []byte) ending {
-	out := ending{kind: endBroken, failed: true, err: errors.Errorf("status %d", a.Status)}
-	if x.stream.begun {
-		return out
+// handleErrorStatus passes a target's own failure on, or leaves it for another attempt.
+func (x *exchange) handleErrorStatus(resp *Response, body []byte) attemptResult {
+	result := attemptResult{kind: resultBroken, targetFailed: true, err: errors.Errorf("status %d", resp.Status)}
+	if x.stream.started {
+		return result
 	}
-	if a.Status >= 500 && x.route.Repeatable() && x.sends < x.route.MaxAttempts {
-		return out
+	if resp.Status >= 500 && x.route.Repeatable() && x.sentAttempts < x.route.MaxAttempts {
+		return result
 	}
-	switch a.Status {
+	switch resp.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
-		return out // the target does not say that it did not run the request
+		return result // the target does not say that it did not run the request
 	}
-	done := x.deliver(a, body)
-	done.failed = a.Status >= 500
-	return done
+	delivered := x.writeResponse(resp, body)
+	delivered.targetFailed = resp.Status >= 500
+	return delivered
 }
 
-// deliver writes a whole answer.
-func (x *exchange) deliver(a *Answer, body []byte) ending {
-	x.stream.whole = true
-	closing := x.q.Close || x.door.board.closing()
-	head := answerHead(a, len(body), closing)
-	if x.q.Method == http.MethodHead {
+// writeResponse writes a whole answer.
+func (x *exchange) writeResponse(resp *Response, body []byte) attemptResult {
+	x.stream.complete = true
+	closeConn := x.req.Close || x.proxy.shared.closeConns()
+	head := responseHead(resp, len(body), closeConn)
+	if x.req.Method == http.MethodHead {
 		body = nil
 	}
-	err := x.caller.write(append(head, body...))
-	return ending{kind: endDone, err: err, keep: err == nil && !closing}
+	err := x.client.write(append(head, body...))
+	return attemptResult{kind: resultDone, err: err, keepConn: err == nil && !closeConn}
 }
 
-// discard reads an answer that is not passed on, so that its connection can be
+// discardResponse reads an answer that is not passed on, so that its connection can be
 // used again.
-func (x *exchange) discard(c *targetConn, a *Answer) {
-	_ = c.SetReadDeadline(time.Now().Add(discardTime))
-	if _, err := answerBody(c.br, a.frame, a.Status, x.q.Method).all(maxAnswer); err != nil || a.frame.length < 0 && !a.frame.chunked {
-		_ = c.Close()
+func (x *exchange) discardResponse(conn *targetConn, resp *Response) {
+	_ = conn.SetReadDeadline(time.Now().Add(discardTimeout))
+	if _, err := responseBody(conn.br, resp.framing, resp.Status, x.req.Method).readAll(maxResponseBody); err != nil || resp.framing.length < 0 && !resp.framing.chunked {
+		_ = conn.Close()
 		return
 	}
-	c.park()
+	conn.release()
 }
 
-// broken is the end of an attempt whose connection failed.
-func (x *exchange) broken(err error) ending {
-	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() {
-		if !time.Now().Before(x.end) {
-			return ending{kind: endLate, err: err, silent: true}
+// connFailure is the end of an attempt whose connection failed.
+func (x *exchange) connFailure(err error) attemptResult {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		if !time.Now().Before(x.deadline) {
+			return attemptResult{kind: resultLate, err: err, timedOut: true}
 		}
-		return ending{kind: endBroken, err: err, silent: true}
+		return attemptResult{kind: resultBroken, err: err, timedOut: true}
 	}
-	return ending{kind: endBroken, err: err, reset: !errors.Is(err, ErrMalformed)}
+	return attemptResult{kind: resultBroken, err: err, connBroken: !errors.Is(err, ErrMalformed)}
 }
--- a/bluebellport/proxy/body.go
+++ b/bluebellport/proxy/body.go
@@ -9,133 +9,133 @@
 	"github.com/juju/errors"
 )
 
-// body reads a message's body and knows whether it ended whole.
-type body struct {
-	br    *bufio.Reader
-	kind  framing
-	left  int64 // of the length, or of the chunk
-	ended bool
-	// unframed bodies end with their connection.
-	unframed bool
+// bodyReader reads a message's body and knows whether it ended whole.
+type bodyReader struct {
+	br        *bufio.Reader
+	framing   framing
+	remaining int64 // of the length, or of the chunk
+	complete  bool
+	// untilClose bodies end with their connection.
+	untilClose bool
 }
 
 // requestBody reads the body of a request, which has none without a length.
-func requestBody(br *bufio.Reader, f framing) *body {
-	b := &body{br: br, kind: f, left: f.length}
-	b.ended = !f.chunked && f.length <= 0
+func requestBody(br *bufio.Reader, f framing) *bodyReader {
+	b := &bodyReader{br: br, framing: f, remaining: f.length}
+	b.complete = !f.chunked && f.length <= 0
 	return b
 }
 
-// answerBody reads the body of an answer, which ends with its connection when no
+// responseBody reads the body of an answer, which ends with its connection when no
 // length is given.
-func answerBody(br *bufio.Reader, f framing, status int, method string) *body {
+func responseBody(br *bufio.Reader, f framing, status int, method string) *bodyReader {
 	if method == "HEAD" || status == 204 || status == 304 || status < 200 {
-		return &body{br: br, ended: true}
+		return &bodyReader{br: br, complete: true}
 	}
-	b := &body{br: br, kind: f, left: f.length}
-	b.unframed = !f.chunked && f.length < 0
-	b.ended = !f.chunked && f.length == 0
+	b := &bodyReader{br: br, framing: f, remaining: f.length}
+	b.untilClose = !f.chunked && f.length < 0
+	b.complete = !f.chunked && f.length == 0
 	return b
 }
 
 // Read reads bytes of the body, and returns io.EOF only once it has ended
 // whole; io.ErrUnexpectedEOF when it broke off.
-func (b *body) Read(p []byte) (int, error) {
-	if b.ended {
+func (b *bodyReader) Read(p []byte) (int, error) {
+	if b.complete {
 		return 0, io.EOF
 	}
-	if b.kind.chunked && b.left <= 0 {
-		if err := b.nextChunk(); err != nil {
+	if b.framing.chunked && b.remaining <= 0 {
+		if err := b.readChunkSize(); err != nil {
 			return 0, err
 		}
-		if b.ended {
+		if b.complete {
 			return 0, io.EOF
 		}
 	}
-	if !b.unframed && int64(len(p)) > b.left {
-		p = p[:b.left]
+	if !b.untilClose && int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.br.Read(p)
-	if !b.unframed {
-		b.left -= int64(n)
+	if !b.untilClose {
+		b.remaining -= int64(n)
 	}
 	switch {
-	case b.unframed && err == io.EOF:
-		b.ended = true
+	case b.untilClose && err == io.EOF:
+		b.complete = true
 		return n, io.EOF
 	case err == io.EOF:
 		return n, io.ErrUnexpectedEOF
 	case err != nil:
 		return n, err
-	case !b.kind.chunked && !b.unframed && b.left == 0:
-		b.ended = true
-	case b.kind.chunked && b.left == 0:
-		return n, b.endChunk()
+	case !b.framing.chunked && !b.untilClose && b.remaining == 0:
+		b.complete = true
+	case b.framing.chunked && b.remaining == 0:
+		return n, b.readChunkEnd()
 	}
 	return n, nil
 }
 
-// endChunk reads the line end behind a chunk.
-func (b *body) endChunk() error {
-	var end [2]byte
-	if _, err := io.ReadFull(b.br, end[:]); err != nil {
-		return broke(err)
+// readChunkEnd reads the line end behind a chunk.
+func (b *bodyReader) readChunkEnd() error {
+	var crlf [2]byte
+	if _, err := io.ReadFull(b.br, crlf[:]); err != nil {
+		return unexpectedEOF(err)
 	}
-	if string(end[:]) != "\r\n" {
+	if string(crlf[:]) != "\r\n" {
 		return errors.Annotate(ErrMalformed, "end of chunk")
 	}
 	return nil
 }
 
-// nextChunk reads a chunk's size, and the trailer behind the last one.
-func (b *body) nextChunk() error {
-	line, err := b.line()
+// readChunkSize reads a chunk's size, and the trailer behind the last one.
+func (b *bodyReader) readChunkSize() error {
+	line, err := b.readLine()
 	if err != nil {
 		return err
 	}
 	size, _, _ := strings.Cut(line, ";")
-	if b.left, err = parseDigits(size, 16); err != nil {
+	if b.remaining, err = parseDigits(size, 16); err != nil {
 		return err
 	}
-	if b.left > 0 {
+	if b.remaining > 0 {
 		return nil
 	}
 	for range 64 {
-		line, err := b.line()
+		line, err := b.readLine()
 		if err != nil {
 			return err
 		}
 		if line == "" {
-			b.ended = true
+			b.complete = true
 			return nil
 		}
 	}
 	return errors.Annotate(ErrMalformed, "trailer")
 }
 
-func (b *body) line() (string, error) {
+func (b *bodyReader) readLine() (string, error) {
 	line, err := b.br.ReadSlice('\n')
 	if err != nil {
 		if err == bufio.ErrBufferFull {
 			return "", errors.Annotate(ErrMalformed, "chunk line")
 		}
-		return "", broke(err)
+		return "", unexpectedEOF(err)
 	}
-	if len(line) > maxChunkLine || !bytes.HasSuffix(line, []byte("\r\n")) || !isValue(string(line[:len(line)-2])) {
+	if len(line) > maxChunkLine || !bytes.HasSuffix(line, []byte("\r\n")) || !isFieldValue(string(line[:len(line)-2])) {
 		return "", errors.Annotate(ErrMalformed, "chunk line")
 	}
 	return string(line[:len(line)-2]), nil
 }
 
-// all reads the whole body, up to limit bytes.
-func (b *body) all(limit int) ([]byte, error) {
-	if b.ended {
+// readAll reads the whole body, up to limit bytes.
+func (b *bodyReader) readAll(limit int) ([]byte, error) {
+	if b.complete {
 		return nil, nil
 	}
-	if b.kind.length > int64(limit) {
+	if b.framing.length > int64(limit) {
 		return nil, errors.Trace(ErrBodySize)
 	}
-	out := make([]byte, 0, max(b.kind.length, 512))
+	out := make([]byte, 0, max(b.framing.length, 512))
 	for {
 		if len(out) == cap(out) {
 			out = append(out, 0)[:len(out)]
@@ -145,7 +145,7 @@
 		if len(out) > limit {
 			return nil, errors.Trace(ErrBodySize)
 		}
-		if err == io.EOF || b.ended {
+		if err == io.EOF || b.complete {
 			return out, nil
 		}
 		if err != nil {
@@ -154,8 +154,8 @@
 	}
 }
 
-// broke is the error of a message that ended too early.
-func broke(err error) error {
+// unexpectedEOF is the error of a message that ended too early.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/bluebellport/proxy/clientconn.go
+++ b/bluebellport/proxy/clientconn.go
@@ -13,109 +13,109 @@
 	"bluebellport.example/shared/bbplan"
 )
 
-// caller is one connection of a client. One goroutine serves it; while a
+// clientConn is one connection of a client. One goroutine serves it; while a
 // request is under way another one watches whether the client is still there.
-type caller struct {
+type clientConn struct {
 	net.Conn
-	br   *bufio.Reader
-	door *Door
+	br    *bufio.Reader
+	proxy *Proxy
 	// idle tells that no request is under way, so that a stop may close it.
 	idle atomic.Bool
-	// under is the request under way, nil when there is none.
-	under atomic.Pointer[exchange]
+	// current is the request under way, nil when there is none.
+	current atomic.Pointer[exchange]
 }
 
 // limits returns the limits in force.
-func (c *caller) limits() bbplan.Limits {
-	l := bbplan.Limits{MaxHeaderBytes: maxHead, MaxBodyBytes: maxBody, HeaderTimeout: headTime, IdleTimeout: idleTime}
-	plan := c.door.board.Plan.Load()
+func (c *clientConn) limits() bbplan.Limits {
+	limits := bbplan.Limits{MaxHeaderBytes: maxHead, MaxBodyBytes: maxBody, HeaderTimeout: defaultHeadTimeout, IdleTimeout: defaultIdleTimeout}
+	plan := c.proxy.shared.Plan.Load()
 	if plan == nil {
-		return l
+		return limits
 	}
-	if p := plan.Limits; p.MaxHeaderBytes > 0 && p.MaxBodyBytes > 0 && p.HeaderTimeout > 0 && p.IdleTimeout > 0 {
-		return p
+	if declared := plan.Limits; declared.MaxHeaderBytes > 0 && declared.MaxBodyBytes > 0 && declared.HeaderTimeout > 0 && declared.IdleTimeout > 0 {
+		return declared
 	}
-	return l
+	return limits
 }
 
 // serve takes requests until the connection ends.
-func (c *caller) serve() {
+func (c *clientConn) serve() {
 	defer func() { _ = c.Close() }()
 	for c.awaitRequest() {
 		c.idle.Store(false)
-		if !c.one() {
-			c.finish()
+		if !c.serveRequest() {
+			c.closeGracefully()
 			return
 		}
 	}
 }
 
 // awaitRequest waits for the first byte of a request.
-func (c *caller) awaitRequest() bool {
+func (c *clientConn) awaitRequest() bool {
 	c.idle.Store(true)
 	_ = c.SetReadDeadline(time.Now().Add(c.limits().IdleTimeout))
-	if c.door.closing.Load() {
+	if c.proxy.closing.Load() {
 		_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	}
 	_, err := c.br.Peek(1)
 	return err == nil
 }
 
-// one reads and answers one request. It tells whether the connection stays.
-func (c *caller) one() bool {
-	l := c.limits()
-	_ = c.SetReadDeadline(time.Now().Add(l.HeaderTimeout))
-	q, frame, err := readRequest(c.br, l.MaxHeaderBytes)
+// serveRequest reads and answers one request. It tells whether the connection stays.
+func (c *clientConn) serveRequest() bool {
+	limits := c.limits()
+	_ = c.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
+	req, frame, err := readRequest(c.br, limits.MaxHeaderBytes)
 	if err != nil {
-		return c.refuseHead(q, err)
+		return c.refuseUnreadable(req, err)
 	}
-	if q.Fields.hasToken("Expect", "100-continue") && q.HasBody {
+	if req.Fields.hasToken("Expect", "100-continue") && req.HasBody {
 		if c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) != nil {
 			return false
 		}
 	}
-	_ = c.SetReadDeadline(time.Now().Add(max(l.HeaderTimeout, q.Wait)))
-	if q.Body, err = requestBody(c.br, frame).all(l.MaxBodyBytes); err != nil {
-		return c.refuseHead(q, err)
+	_ = c.SetReadDeadline(time.Now().Add(max(limits.HeaderTimeout, req.Timeout)))
+	if req.Body, err = requestBody(c.br, frame).readAll(limits.MaxBodyBytes); err != nil {
+		return c.refuseUnreadable(req, err)
 	}
-	q.At = time.Now()
-	return c.run(q)
+	req.ReceivedAt = time.Now()
+	return c.handle(req)
 }
 
-// run serves a request while a watch tells when its client leaves.
-func (c *caller) run(q *Request) bool {
-	gone, watched := make(chan struct{}), make(chan struct{})
+// handle serves a request while a watch tells when its client leaves.
+func (c *clientConn) handle(req *Request) bool {
+	clientGone, watchDone := make(chan struct{}), make(chan struct{})
 	_ = c.SetReadDeadline(time.Time{})
 	go func() {
-		defer close(watched)
+		defer close(watchDone)
 		if _, err := c.br.Peek(1); err != nil {
-			close(gone)
+			close(clientGone)
 		}
 	}()
-	x := &exchange{door: c.door, caller: c, q: q, gone: gone}
-	stopWatch := x.abortWhen(gone)
-	c.under.Store(x)
-	keep := x.run()
-	c.under.Store(nil)
+	x := &exchange{proxy: c.proxy, client: c, req: req, clientGone: clientGone}
+	stopWatch := x.abortOnLeave(clientGone)
+	c.current.Store(x)
+	keepConn := x.serve()
+	c.current.Store(nil)
 	stopWatch()
-	if q.Close || !keep || c.door.board.closing() {
+	if req.Close || !keepConn || c.proxy.shared.closeConns() {
 		_ = c.SetReadDeadline(time.Now())
-		<-watched
+		<-watchDone
 		return false
 	}
 	c.idle.Store(true)
 	_ = c.SetReadDeadline(time.Now().Add(c.limits().IdleTimeout))
-	<-watched
+	<-watchDone
 	select {
-	case <-gone:
+	case <-clientGone:
 		return false
 	default:
 		return true
 	}
 }
 
-// refuseHead answers what could not be read as a request.
-func (c *caller) refuseHead(q *Request, err error) bool {
+// refuseUnreadable answers what could not be read as a request.
+func (c *clientConn) refuseUnreadable(req *Request, err error) bool {
 	r := &Refusal{Close: true, Reason: err.Error()}
 	switch {
 	case errors.Is(err, ErrMalformed):
@@ -125,35 +125,35 @@
 	case errors.Is(err, ErrBodySize):
 		r.Status = http.StatusRequestEntityTooLarge
 	default:
-		var timeout net.Error
-		if !errors.As(err, &timeout) || !timeout.Timeout() {
+		var netErr net.Error
+		if !errors.As(err, &netErr) || !netErr.Timeout() {
 			return false
 		}
 		r.Status, r.Reason = http.StatusRequestTimeout, "the request came too slowly"
 	}
-	attempt := ""
-	if q != nil {
-		attempt = q.Attempt
+	attemptID := ""
+	if req != nil {
+		attemptID = req.AttemptID
 	}
-	c.door.refused(attempt, r)
-	_ = c.write(r.bytes(attempt, true))
+	c.proxy.recordRefusal(attemptID, r)
+	_ = c.write(r.encode(attemptID, true))
 	return false
 }
 
 // write sends bytes to the client; an error means that it does not read or has
 // left.
-func (c *caller) write(b []byte) error {
-	_ = c.SetWriteDeadline(time.Now().Add(writeTime))
+func (c *clientConn) write(b []byte) error {
+	_ = c.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	_, err := c.Conn.Write(b)
 	return err
 }
 
-// finish ends a connection so that the client can still read the last answer:
+// closeGracefully ends a connection so that the client can still read the last answer:
 // closing it with unread bytes would reset it.
-func (c *caller) finish() {
+func (c *clientConn) closeGracefully() {
 	if t, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = t.CloseWrite()
-		_ = c.SetReadDeadline(time.Now().Add(lastRead))
+		_ = c.SetReadDeadline(time.Now().Add(closeReadTimeout))
 		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxBody))
 	}
 }
--- a/bluebellport/proxy/compress.go
+++ b/bluebellport/proxy/compress.go
@@ -11,9 +11,9 @@
 // maxPlan is the largest plan that a peer may send, in bytes once unpacked.
 const maxPlan = 8 << 20
 
-// pack compresses a plan for peers: the links of instances are narrow, and one
+// compressPlan compresses a plan for peers: the links of instances are narrow, and one
 // instance sends it to its whole failure domain.
-func pack(plan []byte) ([]byte, error) {
+func compressPlan(plan []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 	if err != nil {
@@ -28,9 +28,9 @@
 	return out.Bytes(), nil
 }
 
-// unpack is the reverse of pack; ErrMalformed when the bytes are no plan.
-func unpack(packed []byte) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+// decompressPlan is the reverse of pack; ErrMalformed when the bytes are no plan.
+func decompressPlan(compressed []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, errors.WithType(err, ErrMalformed)
 	}
--- a/bluebellport/proxy/compress_test.go
+++ b/bluebellport/proxy/compress_test.go
@@ -8,21 +8,21 @@
 	"github.com/matryer/is"
 )
 
-func TestPack(t *testing.T) {
+func TestCompressPlan(t *testing.T) {
 	is := is.New(t)
 	plan := bytes.Repeat([]byte(`{"name":"r","host":"h"},`), 4000)
-	packed, err := pack(plan)
+	compressed, err := compressPlan(plan)
 	is.NoErr(err)
-	is.True(len(packed) < len(plan)/10)
-	again, err := unpack(packed)
+	is.True(len(compressed) < len(plan)/10)
+	again, err := decompressPlan(compressed)
 	is.NoErr(err)
 	is.True(bytes.Equal(plan, again))
-	for _, bad := range [][]byte{nil, []byte("plain"), packed[:len(packed)/2]} {
-		_, err := unpack(bad)
+	for _, bad := range [][]byte{nil, []byte("plain"), compressed[:len(compressed)/2]} {
+		_, err := decompressPlan(bad)
 		is.True(errors.Is(err, ErrMalformed))
 	}
-	huge, err := pack(make([]byte, maxPlan+1))
+	huge, err := compressPlan(make([]byte, maxPlan+1))
 	is.NoErr(err)
-	_, err = unpack(huge)
+	_, err = decompressPlan(huge)
 	is.True(errors.Is(err, ErrMalformed))
 }
--- a/bluebellport/proxy/exchange.go
+++ b/bluebellport/proxy/exchange.go
@@ -18,105 +18,105 @@
 
 // exchange is a request under way: what it is, what it holds, what it has tried.
 type exchange struct {
-	door   *Door
-	caller *caller
-	q      *Request
-	gone   <-chan struct{}
+	proxy      *Proxy
+	client     *clientConn
+	req        *Request
+	clientGone <-chan struct{}
 
-	plan    *bbplan.Plan
-	route   *bbplan.Route
-	account *bbplan.Account
-	service bbunit.ServiceID
-	end     time.Time // when the answer is of no more use
-	print   uint64
+	plan        *bbplan.Plan
+	route       *bbplan.Route
+	account     *bbplan.Account
+	service     bbunit.ServiceID
+	deadline    time.Time // when the answer is of no more use
+	fingerprint uint64
 
-	purse    *bbshare.Balance
-	reserved bbunit.Tokens
-	stride   bbunit.Tokens
+	balance        *bbshare.Balance
+	reserved       bbunit.Tokens
+	maxEventTokens bbunit.Tokens
 
-	unread bbunit.Tokens // of the prompt, at the target chosen last
-	sends  int           // attempts of which bytes left
-	unsent int           // attempts of which none did
-	tried  []bbunit.TargetID
-	at     atomic.Pointer[Server] // tried last
-	// ran tells that a target may have run the request.
-	ran    bool
-	stream stream
+	unreadPrompt   bbunit.Tokens // of the prompt, at the target chosen last
+	sentAttempts   int           // attempts of which bytes left
+	unsentAttempts int           // attempts of which none did
+	tried          []bbunit.TargetID
+	lastTarget     atomic.Pointer[Target] // tried last
+	// mayHaveRun tells that a target may have run the request.
+	mayHaveRun bool
+	stream     streamState
 
 	mu      sync.Mutex // guards conn and aborted
 	conn    *targetConn
 	aborted bool
 }
 
-// run answers the request. It tells whether the client's connection stays.
-func (x *exchange) run() bool {
-	if r := x.admit(); r != nil {
-		return x.refuse(r)
+// serve answers the request. It tells whether the client's connection stays.
+func (x *exchange) serve() bool {
+	if refusal := x.admit(); refusal != nil {
+		return x.refuse(refusal)
 	}
 	defer x.settle()
-	return x.attempts()
+	return x.attemptUntilAnswered()
 }
 
 // admit checks the request against what is in force and reserves its money.
 func (x *exchange) admit() *Refusal {
-	x.plan = x.door.board.Plan.Load()
-	if x.plan == nil || x.door.board.Groups.Load() == nil {
-		return notRun("nothing is in force here yet", comeBack)
+	x.plan = x.proxy.shared.Plan.Load()
+	if x.plan == nil || x.proxy.shared.Services.Load() == nil {
+		return refuseNotRun("nothing is in force here yet", defaultRetryAfter)
 	}
-	if x.route = x.plan.FindRoute(x.q.Host, x.q.Path()); x.route == nil {
+	if x.route = x.plan.FindRoute(x.req.Host, x.req.Path()); x.route == nil {
 		return &Refusal{Status: http.StatusNotFound, Reason: "no such route"}
 	}
 	if x.plan.KeyRequired && !x.route.Public {
-		if x.account = x.plan.AccountByKey(x.q.Key); x.account == nil {
+		if x.account = x.plan.AccountByKey(x.req.APIKey); x.account == nil {
 			return &Refusal{Status: http.StatusUnauthorized, Reason: "unknown key"}
 		}
 	}
-	x.end = x.q.At.Add(x.q.Wait)
-	if t := x.route.Timeout; t > 0 {
-		x.end = earlier(x.end, x.q.At.Add(t))
+	x.deadline = x.req.ReceivedAt.Add(x.req.Timeout)
+	if timeout := x.route.Timeout; timeout > 0 {
+		x.deadline = earlier(x.deadline, x.req.ReceivedAt.Add(timeout))
 	}
-	x.end = x.end.Add(-answerSlack)
+	x.deadline = x.deadline.Add(-responseMargin)
 	x.service = x.route.PickService(rand.Float64())
-	x.print = x.q.Print(x.accountID())
-	if x.door.suspects.poison(x.print) {
-		return notRun("targets that ran this request have crashed", 0)
+	x.fingerprint = x.req.Fingerprint(x.accountID())
+	if x.proxy.poison.isPoison(x.fingerprint) {
+		return refuseNotRun("targets that ran this request have crashed", 0)
 	}
 	return x.reserve()
 }
 
 // reserve sets the most that the request can cost aside.
 func (x *exchange) reserve() *Refusal {
-	s := x.plan.Services[x.service]
-	if s == nil || s.Engine == nil {
+	service := x.plan.Services[x.service]
+	if service == nil || service.Engine == nil {
 		return nil
 	}
-	x.stride = s.Engine.MaxEventTokens
+	x.maxEventTokens = service.Engine.MaxEventTokens
 	if x.account == nil || !x.account.Prepaid {
 		return nil
 	}
-	if !x.q.Sized {
+	if !x.req.HasUsage {
 		return &Refusal{Status: http.StatusBadRequest, Reason: "the request does not tell its tokens"}
 	}
-	x.reserved = x.q.Prompt + (x.q.Output+x.stride-1)/x.stride*x.stride
-	var r *Refusal
-	x.purse, r = x.door.money.reserve(x.account, x.reserved, x.end, x.gone)
-	return r
+	x.reserved = x.req.PromptTokens + (x.req.OutputTokens+x.maxEventTokens-1)/x.maxEventTokens*x.maxEventTokens
+	var refusal *Refusal
+	x.balance, refusal = x.proxy.shares.reserve(x.account, x.reserved, x.deadline, x.clientGone)
+	return refusal
 }
 
 // settle ends the reservation at what was spent: nothing when no target can
 // have run the request, else the prompt and what of the answer came.
 func (x *exchange) settle() {
-	if x.purse == nil {
+	if x.balance == nil {
 		return
 	}
 	var used bbunit.Tokens
-	if x.ran {
-		used = x.q.Prompt + bbunit.Tokens(x.stream.events)*x.stride
-		if !x.stream.whole {
-			used += unseenEvents * x.stride
+	if x.mayHaveRun {
+		used = x.req.PromptTokens + bbunit.Tokens(x.stream.eventCount)*x.maxEventTokens
+		if !x.stream.complete {
+			used += unseenEvents * x.maxEventTokens
 		}
 	}
-	x.purse.Settle(x.reserved, used)
+	x.balance.Settle(x.reserved, used)
 }
 
 func (x *exchange) accountID() bbunit.AccountID {
@@ -134,105 +134,105 @@
 	return x.route.Priority
 }
 
-// attempts sends the request to targets until one has answered, or until there
+// attemptUntilAnswered sends the request to targets until one has answered, or until there
 // is nothing more to try.
-func (x *exchange) attempts() bool {
-	var last *Refusal
-	for again := true; again; {
-		s, r := x.choose()
-		if s == nil {
-			if last == nil || !x.ran {
-				last = r
+func (x *exchange) attemptUntilAnswered() bool {
+	var refusal *Refusal
+	for retry := true; retry; {
+		target, noTarget := x.chooseTarget()
+		if target == nil {
+			if refusal == nil || !x.mayHaveRun {
+				refusal = noTarget
 			}
 			break
 		}
-		out := x.attempt(s)
-		x.door.ended(x, s, &out)
-		switch out.kind {
-		case endDone:
-			return out.keep
-		case endGone:
+		result := x.attempt(target)
+		x.proxy.recordResult(x, target, &result)
+		switch result.kind {
+		case resultDone:
+			return result.keepConn
+		case resultGone:
 			return false
 		}
-		last, again = x.after(&out)
+		refusal, retry = x.afterAttempt(&result)
 	}
-	return x.give(last)
+	return x.giveUp(refusal)
 }
 
-// after returns what to say after an attempt that brought no answer, and whether
+// afterAttempt returns what to say after an attempt that brought no answer, and whether
 // another one may follow.
-func (x *exchange) after(out *ending) (*Refusal, bool) {
-	switch out.kind {
-	case endLate:
-		return late("the request's time is over"), false
-	case endUnsent:
-		x.unsent++
-		return notRun("no target could be reached", comeBack), x.unsent <= maxUnsent
-	case endNotRun:
-		return notRun("the targets have no room", comeBack), x.mayRepeat()
+func (x *exchange) afterAttempt(result *attemptResult) (*Refusal, bool) {
+	switch result.kind {
+	case resultLate:
+		return refuseLate("the request's time is over"), false
+	case resultUnsent:
+		x.unsentAttempts++
+		return refuseNotRun("no target could be reached", defaultRetryAfter), x.unsentAttempts <= maxUnsentAttempts
+	case resultNotRun:
+		return refuseNotRun("the targets have no room", defaultRetryAfter), x.takeRetry()
 	}
-	return mayHaveRun("the target broke off"), x.route.Repeatable() && x.mayRepeat()
+	return refuseUnknown("the target broke off"), x.route.Repeatable() && x.takeRetry()
 }
 
-// give ends a request that no target answered. Of a stream that has begun there
+// giveUp ends a request that no target answered. Of a stream that has begun there
 // is no more to say: it ends without its end.
-func (x *exchange) give(r *Refusal) bool {
-	if x.stream.begun {
+func (x *exchange) giveUp(refusal *Refusal) bool {
+	if x.stream.started {
 		return false
 	}
-	if x.ran && !x.route.Repeatable() && r.outcome() == "not-run" {
-		r = mayHaveRun(r.Reason)
+	if x.mayHaveRun && !x.route.Repeatable() && refusal.outcome() == "not-run" {
+		refusal = refuseUnknown(refusal.Reason)
 	}
-	return x.refuse(r)
+	return x.refuse(refusal)
 }
 
-func (x *exchange) refuse(r *Refusal) bool {
-	x.door.refused(x.q.Attempt, r)
-	closing := r.Close || x.q.Close || x.door.board.closing()
-	return x.caller.write(r.bytes(x.q.Attempt, closing)) == nil && !closing
+func (x *exchange) refuse(refusal *Refusal) bool {
+	x.proxy.recordRefusal(x.req.AttemptID, refusal)
+	closeConn := refusal.Close || x.req.Close || x.proxy.shared.closeConns()
+	return x.client.write(refusal.encode(x.req.AttemptID, closeConn)) == nil && !closeConn
 }
 
-// mayRepeat takes a repeat from the service's budget, if the route allows one more
+// takeRetry takes a repeat from the service's budget, if the route allows one more
 // attempt.
-func (x *exchange) mayRepeat() bool {
-	return x.sends < x.route.MaxAttempts && time.Now().Before(x.end) && x.door.mayRepeat(x.service)
+func (x *exchange) takeRetry() bool {
+	return x.sentAttempts < x.route.MaxAttempts && time.Now().Before(x.deadline) && x.proxy.takeRetry(x.service)
 }
 
-// choose returns the target for the next attempt, or why there is none.
-func (x *exchange) choose() (*Server, *Refusal) {
-	g := x.door.board.group(x.service)
-	if g == nil {
-		return nil, notRun("no target of the service is known", comeBack)
+// chooseTarget returns the target for the next attempt, or why there is none.
+func (x *exchange) chooseTarget() (*Target, *Refusal) {
+	service := x.proxy.shared.targetsOf(x.service)
+	if service == nil {
+		return nil, refuseNotRun("no target of the service is known", defaultRetryAfter)
 	}
-	now := x.door.now()
-	ask := bbplace.Request{Domain: x.door.domain, Excluded: x.tried, Random: rand.Uint64()}
-	if x.stride > 0 {
-		ask.PromptHash, ask.SharedTokens = x.q.Shared()
-		ask.PromptTokens = x.q.Prompt
+	now := x.proxy.now()
+	request := bbplace.Request{Domain: x.proxy.domain, Excluded: x.tried, Random: rand.Uint64()}
+	if x.maxEventTokens > 0 {
+		request.PromptHash, request.SharedTokens = x.req.SharedPrefix()
+		request.PromptTokens = x.req.PromptTokens
 	}
-	i, why := bbplace.Choose(g.Places, &ask, now)
+	i, reason := bbplace.Choose(service.Candidates, &request, now)
 	if i >= 0 {
-		x.unread = ask.UncachedTokens(bbplace.IsCacheTarget(g.Places, i, &ask, now))
-		return g.Servers[i], nil
+		x.unreadPrompt = request.UncachedTokens(bbplace.IsCacheTarget(service.Candidates, i, &request, now))
+		return service.Targets[i], nil
 	}
-	if why == bbplace.ReasonAllFull {
-		return nil, notRun("the targets have no room", comeBack)
+	if reason == bbplace.ReasonAllFull {
+		return nil, refuseNotRun("the targets have no room", defaultRetryAfter)
 	}
-	return nil, notRun("no target of the service can be used", comeBack)
+	return nil, refuseNotRun("no target of the service can be used", defaultRetryAfter)
 }
 
-// abortWhen ends the target's work once the client has left. The function that
+// abortOnLeave ends the target's work once the client has left. The function that
 // it returns ends the watch.
-func (x *exchange) abortWhen(gone <-chan struct{}) func() {
-	done := make(chan struct{})
+func (x *exchange) abortOnLeave(clientGone <-chan struct{}) func() {
+	stopped := make(chan struct{})
 	go func() {
 		select {
-		case <-gone:
+		case <-clientGone:
 			x.abort()
-		case <-done:
+		case <-stopped:
 		}
 	}()
-	return func() { close(done) }
+	return func() { close(stopped) }
 }
 
 func (x *exchange) abort() {
@@ -244,27 +244,27 @@
 	}
 }
 
-// hold makes c the connection that an abort closes; false when the client has
+// setConn makes c the connection that an abort closes; false when the client has
 // already left.
-func (x *exchange) hold(c *targetConn) bool {
+func (x *exchange) setConn(conn *targetConn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.aborted {
 		return false
 	}
-	x.conn = c
+	x.conn = conn
 	return true
 }
 
-func (x *exchange) left() bool {
+func (x *exchange) isAborted() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.aborted
 }
 
-// context ends when the request's time is over.
-func (x *exchange) context() (context.Context, context.CancelFunc) {
-	return context.WithDeadline(context.Background(), x.end)
+// withDeadline ends when the request's time is over.
+func (x *exchange) withDeadline() (context.Context, context.CancelFunc) {
+	return context.WithDeadline(context.Background(), x.deadline)
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -274,14 +274,14 @@
 	return b
 }
 
-// fields are what a log line tells of a request.
-func (x *exchange) fields(s *Server, out *ending) logrus.Fields {
-	f := logrus.Fields{
-		"request": x.q.Attempt, "service": x.service, "target": s.ID, "end": out.kind.String(),
-		"sends": x.sends, "plan": x.plan.Version, "ms": time.Since(x.q.At).Milliseconds(), "inflight": s.State.InFlight(),
+// logFields are what a log line tells of a request.
+func (x *exchange) logFields(target *Target, result *attemptResult) logrus.Fields {
+	fields := logrus.Fields{
+		"request": x.req.AttemptID, "service": x.service, "target": target.ID, "end": result.kind.String(),
+		"sends": x.sentAttempts, "plan": x.plan.Version, "ms": time.Since(x.req.ReceivedAt).Milliseconds(), "inflight": target.State.InFlight(),
 	}
-	if out.err != nil {
-		f["error"] = out.err.Error()
+	if result.err != nil {
+		fields["error"] = result.err.Error()
 	}
-	return f
+	return fields
 }
--- a/bluebellport/proxy/forward.go
+++ b/bluebellport/proxy/forward.go
@@ -10,24 +10,24 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// protected fields are passed on even where a client calls them a matter of its
+// endToEndFields fields are passed on even where a client calls them a matter of its
 // connection.
-var protected = map[string]bool{
+var endToEndFields = map[string]bool{
 	"attempt-id": true, "model": true, "token-usage": true, "prompt-prefix": true, "host": true, "last-event-id": true,
 	"length-hint": true,
 }
 
-// spelling is a field's name in the one form in which names are compared.
-func spelling(name string) string {
+// canonicalName is a field's name in the one form in which names are compared.
+func canonicalName(name string) string {
 	return strings.ReplaceAll(strings.ToLower(name), "_", "-")
 }
 
-// named returns the fields that a Connection field calls its own, in lower case.
-func (f Fields) named() map[string]bool {
+// connectionFields returns the fields that a Connection field calls its own, in lower case.
+func (f Fields) connectionFields() map[string]bool {
 	var out map[string]bool
 	for token := range f.tokens("Connection") {
 		name := strings.ToLower(token)
-		if name == "" || name == "close" || name == "keep-alive" || protected[name] {
+		if name == "" || name == "close" || name == "keep-alive" || endToEndFields[name] {
 			continue
 		}
 		if out == nil {
@@ -38,44 +38,44 @@
 	return out
 }
 
-// sendOff is what one attempt at a target adds to a request.
-type sendOff struct {
+// forwardOptions is what one attempt at a target adds to a request.
+type forwardOptions struct {
 	account  bbunit.AccountID
 	target   bbplan.Target
-	left     time.Duration
+	timeLeft time.Duration
 	priority int
-	// last is the last event that the caller has; empty sends the client's.
-	last string
+	// lastEventID is the last event that the caller has; empty sends the client's.
+	lastEventID string
 }
 
 // forwardHead returns the head that a target gets.
-func (q *Request) forwardHead(s *sendOff) []byte {
+func (r *Request) forwardHead(opts *forwardOptions) []byte {
 	b := make([]byte, 0, 1024)
-	b = append(b, q.Method...)
+	b = append(b, r.Method...)
 	b = append(b, ' ')
-	b = append(b, q.Target...)
+	b = append(b, r.URI...)
 	b = append(b, " HTTP/1.1\r\n"...)
-	named := q.Fields.named()
-	for i := range q.Fields {
-		name := spelling(q.Fields[i].Name)
-		if hopFields[name] || bbplatform.OwnHeaders[name] || named[name] || name == "last-event-id" && s.last != "" {
+	connectionFields := r.Fields.connectionFields()
+	for i := range r.Fields {
+		name := canonicalName(r.Fields[i].Name)
+		if hopByHopFields[name] || bbplatform.OwnHeaders[name] || connectionFields[name] || name == "last-event-id" && opts.lastEventID != "" {
 			continue
 		}
-		b = appendField(b, q.Fields[i].Name, q.Fields[i].Value)
+		b = appendField(b, r.Fields[i].Name, r.Fields[i].Value)
 	}
-	if s.account != "" {
-		b = appendField(b, bbplatform.HeaderAccount, string(s.account))
+	if opts.account != "" {
+		b = appendField(b, bbplatform.HeaderAccount, string(opts.account))
 	}
-	b = appendField(b, bbplatform.HeaderDeadline, strconv.FormatInt(max(s.left.Milliseconds(), 1), 10))
-	b = appendField(b, bbplatform.HeaderExpect, string(s.target.ID))
-	if s.priority >= 0 {
-		b = appendField(b, bbplatform.HeaderPriority, strconv.Itoa(min(s.priority, 9)))
+	b = appendField(b, bbplatform.HeaderDeadline, strconv.FormatInt(max(opts.timeLeft.Milliseconds(), 1), 10))
+	b = appendField(b, bbplatform.HeaderExpect, string(opts.target.ID))
+	if opts.priority >= 0 {
+		b = appendField(b, bbplatform.HeaderPriority, strconv.Itoa(min(opts.priority, 9)))
 	}
-	if s.last != "" {
-		b = appendField(b, bbplatform.HeaderLastEvent, s.last)
+	if opts.lastEventID != "" {
+		b = appendField(b, bbplatform.HeaderLastEvent, opts.lastEventID)
 	}
-	if q.HasBody {
-		b = appendField(b, "Content-Length", strconv.Itoa(len(q.Body)))
+	if r.HasBody {
+		b = appendField(b, "Content-Length", strconv.Itoa(len(r.Body)))
 	}
 	return append(b, "\r\n"...)
 }
@@ -97,23 +97,23 @@
 	return append(b, "\r\n"...)
 }
 
-// answerHead returns the head of a target's answer as the caller gets it.
-func answerHead(a *Answer, length int, closing bool) []byte {
-	b := statusLine(a.Status, a.Reason)
-	named := a.Fields.named()
-	for i := range a.Fields {
-		name := strings.ToLower(a.Fields[i].Name)
-		if hopFields[name] || named[name] {
+// responseHead returns the head of a target's answer as the caller gets it.
+func responseHead(resp *Response, length int, closeConn bool) []byte {
+	b := statusLine(resp.Status, resp.Reason)
+	connectionFields := resp.Fields.connectionFields()
+	for i := range resp.Fields {
+		name := strings.ToLower(resp.Fields[i].Name)
+		if hopByHopFields[name] || connectionFields[name] {
 			continue
 		}
-		b = appendField(b, a.Fields[i].Name, a.Fields[i].Value)
+		b = appendField(b, resp.Fields[i].Name, resp.Fields[i].Value)
 	}
 	if length >= 0 {
 		b = appendField(b, "Content-Length", strconv.Itoa(length))
 	} else {
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	}
-	if closing {
+	if closeConn {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return append(b, "\r\n"...)
--- a/bluebellport/proxy/fuzz_test.go
+++ b/bluebellport/proxy/fuzz_test.go
@@ -28,17 +28,17 @@
 		if err != nil {
 			return
 		}
-		if q.Body, err = requestBody(br, frame).all(maxBody); err != nil {
+		if q.Body, err = requestBody(br, frame).readAll(maxBody); err != nil {
 			return
 		}
-		sent := append(q.forwardHead(&sendOff{account: "a", priority: -1}), q.Body...)
+		sent := append(q.forwardHead(&forwardOptions{account: "a", priority: -1}), q.Body...)
 		br = bufio.NewReader(bytes.NewReader(sent))
 		again, frame, err := readRequest(br, 2*maxHead)
 		if err != nil {
 			t.Fatalf("passed on malformed: %v: %q", err, sent)
 		}
-		body, err := requestBody(br, frame).all(maxBody)
-		if err != nil || !bytes.Equal(body, q.Body) || again.Method != q.Method || again.Target != q.Target {
+		body, err := requestBody(br, frame).readAll(maxBody)
+		if err != nil || !bytes.Equal(body, q.Body) || again.Method != q.Method || again.URI != q.URI {
 			t.Fatalf("read in another way: %v: %q", err, sent)
 		}
 		if rest, _ := io.ReadAll(br); len(rest) > 0 {
@@ -58,11 +58,11 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b := requestBody(bufio.NewReader(bytes.NewReader(data)), framing{chunked: true, length: -1})
-		out, err := b.all(1 << 20)
+		out, err := b.readAll(1 << 20)
 		if len(out) > len(data) {
 			t.Fatalf("%d bytes of %d", len(out), len(data))
 		}
-		if err == nil && !b.ended {
+		if err == nil && !b.complete {
 			t.Fatal("whole without its end")
 		}
 	})
@@ -75,8 +75,8 @@
 	f.Add([]byte(": comment\n\nid: 1\n\nid: x\n\n"), 11)
 	f.Add([]byte("id: 2\n\n"), 1)
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
-		whole, werr := split(data, len(data))
-		parts, perr := split(data, min(max(cut, 0), len(data)))
+		whole, werr := splitInTwo(data, len(data))
+		parts, perr := splitInTwo(data, min(max(cut, 0), len(data)))
 		if (werr == nil) != (perr == nil) {
 			t.Fatalf("%v and %v", werr, perr)
 		}
@@ -89,15 +89,15 @@
 	})
 }
 
-// split runs the event splitter over data in two parts and returns what it would
+// splitInTwo runs the event splitter over data in two parts and returns what it would
 // have written.
-func split(data []byte, cut int) (string, error) {
-	s := stream{}
+func splitInTwo(data []byte, cut int) (string, error) {
+	s := streamState{}
 	var out strings.Builder
 	var rest []byte
 	for _, part := range [][]byte{data[:cut], data[cut:]} {
 		buf := append(append([]byte{}, rest...), part...)
-		pass, left, err := s.take(buf, false)
+		pass, left, err := s.splitEvents(buf, false)
 		if err != nil {
 			return "", fmt.Errorf("split: %w", err)
 		}
--- a/bluebellport/proxy/harness_test.go
+++ b/bluebellport/proxy/harness_test.go
@@ -28,46 +28,48 @@
 )
 
 const (
-	callKey  = "key-of-a"
-	callHost = "desk.example"
+	testKey  = "key-of-a"
+	testHost = "desk.example"
 )
 
-// lone is the fleet of an instance without peers.
-type lone struct{}
+// noPeers is the fleet of an instance without peers.
+type noPeers struct{}
 
-func (lone) Send(bbunit.InstanceID, *bbwire.Envelope) error { return nil }
-func (lone) Call(context.Context, bbunit.InstanceID, *bbwire.Envelope) (*bbwire.Envelope, error) {
+func (noPeers) Send(bbunit.InstanceID, *bbwire.Envelope) error { return nil }
+func (noPeers) Call(context.Context, bbunit.InstanceID, *bbwire.Envelope) (*bbwire.Envelope, error) {
 	return nil, io.EOF
 }
-func (lone) Handle(*bbwire.Envelope, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {}
-func (lone) View() *bbmember.View                                                                { return &bbmember.View{} }
-
-func (lone) Listed([]bbmember.ListEntry) {}
-
-// bed is a platform's store, targets and one door, all on loopback.
-type bed struct {
-	t      *testing.T
-	mem    *bbstore.Mem
-	set    bbplatform.Settings
-	stop   context.CancelFunc
-	served chan error
-	calls  int
-	logs   lines
+
+func (noPeers) Handle(*bbwire.Envelope, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {}
+
+func (noPeers) View() *bbmember.View { return &bbmember.View{} }
+
+func (noPeers) UpdateList([]bbmember.ListEntry) {}
+
+// harness is a platform's store, targets and one door, all on loopback.
+type harness struct {
+	t        *testing.T
+	mem      *bbstore.Mem
+	settings bbplatform.Settings
+	stop     context.CancelFunc
+	served   chan error
+	calls    int
+	logs     logBuffer
 }
 
-// lines are what the door has logged.
-type lines struct {
+// logBuffer are what the door has logged.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -79,13 +81,13 @@
 	return address
 }
 
-// newBed starts a store and a door. The plan has a plain service with a route
+// newHarness starts a store and a door. The plan has a plain service with a route
 // of each kind, an engine service, and one account that has paid for so many
 // tokens.
-func newBed(t *testing.T, paid int64) *bed {
+func newHarness(t *testing.T, paid int64) *harness {
 	is := is.New(t)
-	b := &bed{t: t, mem: bbstore.NewMem()}
-	store, stopStore := bbplatformstand.NewStore(b.mem)
+	h := &harness{t: t, mem: bbstore.NewMem()}
+	store, stopStore := bbplatformstand.NewStore(h.mem)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	srv := &fasthttp.Server{Handler: store.Handle}
@@ -94,20 +96,20 @@
 		stopStore()
 		_ = ln.Close()
 	})
-	b.set = bbplatform.Settings{
+	h.settings = bbplatform.Settings{
 		Instance: "i1", Domain: "uppsala", Callers: freeAddress(t), Ready: freeAddress(t), Peers: freeAddress(t),
 		Store: ln.Addr().String(), Grace: 1400 * time.Millisecond, RetryRatio: 0.2, RetryExtra: 1000, RetryWindow: 10 * time.Second,
 	}
-	b.plan(1, paid)
-	return b
+	h.declarePlan(1, paid)
+	return h
 }
 
-// plan declares the state of a version.
-func (b *bed) plan(version int, paid int64) {
-	b.t.Helper()
+// declarePlan declares the state of a version.
+func (h *harness) declarePlan(version int, paid int64) {
+	h.t.Helper()
 	route := func(prefix, kind, service string, more string) string {
 		return fmt.Sprintf(`{"name":"r%s","host":%q,"path-prefix":%q,"kind":%q,"service":%q,"timeout-ms":2000,"target-latency-ms":100,"target-gap-ms":100%s}`,
-			prefix, callHost, prefix, kind, service, more)
+			prefix, testHost, prefix, kind, service, more)
 	}
 	routes := []string{
 		route("/read/", "idempotent", "desk", `,"max-attempts":2`),
@@ -118,52 +120,52 @@
 	}
 	value := fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"desk"},{"name":"llm","engine":{"slots":8,"kv-cache-tokens":100000,"stride":10}}],
 		"limits":{"max-header-bytes":8192,"max-body-bytes":300000,"header-timeout-ms":1000,"idle-timeout-ms":5000},
-		"tenants":[{"name":"a","api-keys":[%q],"priority":1,"prepaid":%d}]}`, version, strings.Join(routes, ","), callKey, paid)
-	old, err := b.mem.Get(context.Background(), bbplatform.KeyPlan)
-	is.New(b.t).NoErr(err)
-	_, err = b.mem.CAS(context.Background(), bbplatform.KeyPlan, []byte(value), old.Rev, 0)
-	is.New(b.t).NoErr(err)
+		"tenants":[{"name":"a","api-keys":[%q],"priority":1,"prepaid":%d}]}`, version, strings.Join(routes, ","), testKey, paid)
+	old, err := h.mem.Get(context.Background(), bbplatform.KeyPlan)
+	is.New(h.t).NoErr(err)
+	_, err = h.mem.CAS(context.Background(), bbplatform.KeyPlan, []byte(value), old.Rev, 0)
+	is.New(h.t).NoErr(err)
 }
 
-// target starts and registers a target.
-func (b *bed) target(o bbplatformstand.TargetOptions) *bbplatformstand.Target {
-	b.t.Helper()
+// startTarget starts and registers a target.
+func (h *harness) startTarget(o bbplatformstand.TargetOptions) *bbplatformstand.Target {
+	h.t.Helper()
 	if o.Domain == "" {
 		o.Domain = "uppsala"
 	}
 	t, stop, err := bbplatformstand.NewTarget(o)
-	is.New(b.t).NoErr(err)
-	b.t.Cleanup(stop)
-	is.New(b.t).NoErr(t.Register(context.Background(), b.mem, "ready"))
+	is.New(h.t).NoErr(err)
+	h.t.Cleanup(stop)
+	is.New(h.t).NoErr(t.Register(context.Background(), h.mem, "ready"))
 	return t
 }
 
 // start runs the door until it says that it is ready.
-func (b *bed) start() {
-	b.t.Helper()
+func (h *harness) start() {
+	h.t.Helper()
 	log := logrus.New()
-	log.SetOutput(&b.logs)
+	log.SetOutput(&h.logs)
 	log.SetFormatter(&logrus.JSONFormatter{})
 	var ctx context.Context
-	ctx, b.stop = context.WithCancel(context.Background())
-	b.served = make(chan error, 1)
-	go func() { b.served <- Serve(ctx, b.set, lone{}, metrics.NewRegistry(), log) }()
-	b.t.Cleanup(func() {
-		b.stop()
+	ctx, h.stop = context.WithCancel(context.Background())
+	h.served = make(chan error, 1)
+	go func() { h.served <- Serve(ctx, h.settings, noPeers{}, metrics.NewRegistry(), log) }()
+	h.t.Cleanup(func() {
+		h.stop()
 		select {
-		case <-b.served:
+		case <-h.served:
 		case <-time.After(10 * time.Second):
-			b.t.Error("the door did not stop")
+			h.t.Error("the door did not stop")
 		}
 	})
-	b.eventually("ready", func() bool {
+	h.eventually("ready", func() bool {
 		select {
-		case err := <-b.served:
-			b.served <- err
-			b.t.Fatalf("the door ended: %v", err)
+		case err := <-h.served:
+			h.served <- err
+			h.t.Fatalf("the door ended: %v", err)
 		default:
 		}
-		r, err := http.Get("http://" + b.set.Ready + bbplatform.PathReady)
+		r, err := http.Get("http://" + h.settings.Ready + bbplatform.PathReady)
 		if err != nil {
 			return false
 		}
@@ -172,9 +174,9 @@
 	})
 }
 
-func (b *bed) eventually(what string, ok func() bool) {
-	b.t.Helper()
-	await(b.t, what, 5*time.Second, ok)
+func (h *harness) eventually(what string, ok func() bool) {
+	h.t.Helper()
+	await(h.t, what, 5*time.Second, ok)
 }
 
 // await fails the test unless ok says so within a time.
@@ -188,8 +190,8 @@
 	t.Fatalf("not within %s: %s", within, what)
 }
 
-// result is what a caller got.
-type result struct {
+// clientResult is what a caller got.
+type clientResult struct {
 	status  int
 	body    string
 	err     error
@@ -198,43 +200,43 @@
 }
 
 // call sends one request and reads its answer.
-func (b *bed) call(method, path, body string, fields ...string) result {
-	b.t.Helper()
-	b.calls++
-	r, err := http.NewRequest(method, "http://"+b.set.Callers+path, strings.NewReader(body))
-	is.New(b.t).NoErr(err)
-	r.Host = callHost
-	r.Header.Set(bbplatform.HeaderAttempt, fmt.Sprintf("attempt-%d", b.calls))
-	r.Header.Set(bbplatform.HeaderKey, callKey)
+func (h *harness) call(method, path, body string, fields ...string) clientResult {
+	h.t.Helper()
+	h.calls++
+	r, err := http.NewRequest(method, "http://"+h.settings.Callers+path, strings.NewReader(body))
+	is.New(h.t).NoErr(err)
+	r.Host = testHost
+	r.Header.Set(bbplatform.HeaderAttempt, fmt.Sprintf("attempt-%d", h.calls))
+	r.Header.Set(bbplatform.HeaderKey, testKey)
 	r.Header.Set(bbplatform.HeaderDeadline, "1500")
 	for i := 0; i+1 < len(fields); i += 2 {
 		r.Header.Set(fields[i], fields[i+1])
 	}
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		return result{err: err}
+		return clientResult{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	out := result{status: resp.StatusCode, body: string(text), err: err, header: resp.Header}
+	out := clientResult{status: resp.StatusCode, body: string(text), err: err, header: resp.Header}
 	if strings.Contains(resp.Header.Get("Content-Type"), "problem") {
 		var p problemJSON
-		is.New(b.t).NoErr(json.Unmarshal(text, &p))
+		is.New(h.t).NoErr(json.Unmarshal(text, &p))
 		out.outcome = p.Outcome
 	}
 	return out
 }
 
-// raw sends bytes and returns the first status line, empty when none came. It
+// sendRaw sends bytes and returns the first status line, empty when none came. It
 // reads until the connection ends: closing it would give up what is under way.
-func (b *bed) raw(text string) string {
-	b.t.Helper()
-	c, err := net.Dial("tcp4", b.set.Callers)
-	is.New(b.t).NoErr(err)
+func (h *harness) sendRaw(text string) string {
+	h.t.Helper()
+	c, err := net.Dial("tcp4", h.settings.Callers)
+	is.New(h.t).NoErr(err)
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(3 * time.Second))
 	_, err = io.WriteString(c, text)
-	is.New(b.t).NoErr(err)
+	is.New(h.t).NoErr(err)
 	br := bufio.NewReader(c)
 	line, _ := br.ReadString('\n')
 	_, _ = io.Copy(io.Discard, br)
--- a/bluebellport/proxy/head.go
+++ b/bluebellport/proxy/head.go
@@ -80,27 +80,27 @@
 	return parseHead(string(buf[:len(buf)-4]))
 }
 
-func parseHead(text string) (string, Fields, error) {
-	first, rest, more := strings.Cut(text, "\r\n")
-	if strings.ContainsAny(first, "\r\n\x00") {
+func parseHead(head string) (string, Fields, error) {
+	firstLine, lines, hasFields := strings.Cut(head, "\r\n")
+	if strings.ContainsAny(firstLine, "\r\n\x00") {
 		return "", nil, errors.Annotate(ErrMalformed, "control byte in the first line")
 	}
-	if !more {
-		return first, nil, nil
+	if !hasFields {
+		return firstLine, nil, nil
 	}
 	fields := make(Fields, 0, 16)
-	for line := range strings.SplitSeq(rest, "\r\n") {
+	for line := range strings.SplitSeq(lines, "\r\n") {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) {
 			return "", nil, errors.Annotatef(ErrMalformed, "field %.40q", line)
 		}
 		value = strings.Trim(value, " \t")
-		if !isValue(value) {
+		if !isFieldValue(value) {
 			return "", nil, errors.Annotatef(ErrMalformed, "value of %.40q", name)
 		}
 		fields = append(fields, Field{name, value})
 	}
-	return first, fields, nil
+	return firstLine, fields, nil
 }
 
 // tokenBytes are the bytes that a field name or method may have.
@@ -120,7 +120,7 @@
 	return s != ""
 }
 
-func isValue(s string) bool {
+func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -166,8 +166,8 @@
 	return n, nil
 }
 
-// hopFields concern one connection only, in lower case.
-var hopFields = map[string]bool{
+// hopByHopFields concern one connection only, in lower case.
+var hopByHopFields = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "proxy-authenticate": true,
 	"proxy-authorization": true, "te": true, "trailer": true, "transfer-encoding": true,
 	"upgrade": true, "content-length": true, "expect": true,
--- a/bluebellport/proxy/loan.go
+++ b/bluebellport/proxy/loan.go
@@ -15,213 +15,213 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// loans lets instances lend each other parts of their shares: near the end of a
+// peerLoans lets instances lend each other parts of their shares: near the end of a
 // sum, and where one has lost the store that another still reaches.
-type loans struct {
-	money  *money
-	fleet  Fleet
-	asking sync.Map // bbunit.AccountID -> bool: accounts whose home is being asked
-	mute   sync.Map // bbunit.InstanceID -> time.Time: peers that did not answer
+type peerLoans struct {
+	shares       *shareController
+	peers        PeerNetwork
+	pendingAsks  sync.Map // bbunit.AccountID -> bool: accounts whose home is being asked
+	unansweredAt sync.Map // bbunit.InstanceID -> time.Time: peers that did not answer
 
 	// These are guarded by the lock of money.
-	uncovered map[bbunit.AccountID]time.Time // when a home said that an account does not cover
-	asked     map[bbunit.AccountID]time.Time // last round of asking peers
-	known     homeMap
+	uncoveredAt map[bbunit.AccountID]time.Time // when a home said that an account does not cover
+	lastAskedAt map[bbunit.AccountID]time.Time // last round of asking peers
+	homes       homeMap
 }
 
 // homeMap is where accounts have their homes in one view of the fleet, by one
 // plan.
 type homeMap struct {
-	view *bbmember.View
-	plan *bbplan.Plan
-	at   map[bbunit.AccountID]bbmember.Member
+	view      *bbmember.View
+	plan      *bbplan.Plan
+	byAccount map[bbunit.AccountID]bbmember.Member
 }
 
-func newLoans(m *money, fleet Fleet) *loans {
-	l := &loans{money: m, fleet: fleet, uncovered: map[bbunit.AccountID]time.Time{}, asked: map[bbunit.AccountID]time.Time{}}
-	fleet.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Loanask{}}, l.lend)
+func newPeerLoans(shares *shareController, peers PeerNetwork) *peerLoans {
+	l := &peerLoans{shares: shares, peers: peers, uncoveredAt: map[bbunit.AccountID]time.Time{}, lastAskedAt: map[bbunit.AccountID]time.Time{}}
+	peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Loanask{}}, l.handleLoanAsk)
 	return l
 }
 
-// lend gives a peer what it asks for, as far as it is available here.
-func (l *loans) lend(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
-	q := e.GetLoanask()
-	l.money.mu.Lock()
-	defer l.money.mu.Unlock()
-	line := l.money.book.Account(bbunit.AccountID(q.Account))
-	need := bbunit.Tokens(max(q.Tokens, 0))
+// handleLoanAsk gives a peer what it asks for, as far as it is available here.
+func (l *peerLoans) handleLoanAsk(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
+	ask := e.GetLoanask()
+	l.shares.mu.Lock()
+	defer l.shares.mu.Unlock()
+	share := l.shares.allocator.Account(bbunit.AccountID(ask.Account))
+	need := bbunit.Tokens(max(ask.Tokens, 0))
 	var n bbunit.Tokens
-	if q.Home {
-		n = line.GrantLoan(bbshare.LoanRequest{Need: need, Prefetch: bbunit.Tokens(max(q.Ahead, 0))})
-		l.money.poked()
+	if ask.Home {
+		n = share.GrantLoan(bbshare.LoanRequest{Need: need, Prefetch: bbunit.Tokens(max(ask.Ahead, 0))})
+		l.shares.wake()
 	} else {
-		n = line.LendUpTo(need)
+		n = share.LendUpTo(need)
 	}
-	t := &bbwire.LoanTell{
-		Account: q.Account, Tokens: int64(n), Free: int64(max(line.Free(), 0)),
-		Covered: n >= need || !line.RowLoaded() || line.Covers(need, l.money.book.Holder),
+	tell := &bbwire.LoanTell{
+		Account: ask.Account, Tokens: int64(n), Free: int64(max(share.Free(), 0)),
+		Covered: n >= need || !share.RowLoaded() || share.Covers(need, l.shares.allocator.Holder),
 	}
-	return &bbwire.Envelope{Body: &bbwire.Envelope_Loantell{Loantell: t}}
+	return &bbwire.Envelope{Body: &bbwire.Envelope_Loantell{Loantell: tell}}
 }
 
-// homes tells the book which accounts have their home at another instance that
+// updateHomes tells the book which accounts have their home at another instance that
 // can be reached, and returns how many instances draw. In a small fleet each of
 // them draws for itself.
-func (l *loans) homes() int {
-	m := l.money
-	v := l.fleet.View()
-	holders := int(m.board.Instances.Load())
-	large := m.board.Homes()
+func (l *peerLoans) updateHomes() int {
+	shares := l.shares
+	view := l.peers.View()
+	holders := int(shares.shared.Instances.Load())
+	usesHomes := shares.shared.UsesHomes()
 	horizon := bbshare.DefaultPolicy().Horizon
-	if large {
+	if usesHomes {
 		horizon = bbshare.HomeHorizon
-		holders = domains(v)
+		holders = countDomains(view)
 	}
-	m.book.SetHorizon(horizon)
-	plan := m.board.Plan.Load()
-	if large {
-		l.locate(v, plan)
+	shares.allocator.SetHorizon(horizon)
+	plan := shares.shared.Plan.Load()
+	if usesHomes {
+		l.computeHomes(view, plan)
 	} else {
-		l.known = homeMap{}
+		l.homes = homeMap{}
 	}
 	for id := range plan.Accounts {
-		home, ok := l.known.at[id]
-		here := !ok || home.ID == v.Self.ID || v.Self.Leaving
-		m.book.SetHome(id, here, !l.muted(home.ID))
+		home, ok := l.homes.byAccount[id]
+		here := !ok || home.ID == view.Self.ID || view.Self.Leaving
+		shares.allocator.SetHome(id, here, !l.unresponsive(home.ID))
 	}
 	return holders
 }
 
-// locate works the homes out again when the fleet or the plan has changed.
-func (l *loans) locate(v *bbmember.View, plan *bbplan.Plan) {
-	if l.known.view == v && l.known.plan == plan {
+// computeHomes works the homes out again when the fleet or the plan has changed.
+func (l *peerLoans) computeHomes(view *bbmember.View, plan *bbplan.Plan) {
+	if l.homes.view == view && l.homes.plan == plan {
 		return
 	}
-	l.known = homeMap{view: v, plan: plan, at: make(map[bbunit.AccountID]bbmember.Member, len(plan.Accounts))}
+	l.homes = homeMap{view: view, plan: plan, byAccount: make(map[bbunit.AccountID]bbmember.Member, len(plan.Accounts))}
 	for id := range plan.Accounts {
-		if home, ok := homeOf(v, id); ok {
-			l.known.at[id] = home
+		if home, ok := homeOf(view, id); ok {
+			l.homes.byAccount[id] = home
 		}
 	}
 }
 
 // homeOf returns the home of an account in the own failure domain. Accounts share
 // homes in groups, so that one write draws for several.
-func homeOf(v *bbmember.View, id bbunit.AccountID) (bbmember.Member, bool) {
-	group := xxhash.Sum64String(string(id)) % homeGroups
-	return v.Home(moneyPrefix+strconv.FormatUint(group, 10), v.Self.Domain)
+func homeOf(view *bbmember.View, id bbunit.AccountID) (bbmember.Member, bool) {
+	group := xxhash.Sum64String(string(id)) % accountHomeGroups
+	return view.Home(moneyPrefix+strconv.FormatUint(group, 10), view.Self.Domain)
 }
 
-// domains returns how many failure domains the live fleet has.
-func domains(v *bbmember.View) int {
-	have := map[bbunit.DomainID]bool{}
-	for _, m := range v.Members {
-		have[m.Domain] = true
+// countDomains returns how many failure domains the live fleet has.
+func countDomains(view *bbmember.View) int {
+	seen := map[bbunit.DomainID]bool{}
+	for _, m := range view.Members {
+		seen[m.Domain] = true
 	}
-	return max(len(have), 1)
+	return max(len(seen), 1)
 }
 
-// askHomes borrows what is due, each account by itself. The homes are known.
-func (l *loans) askHomes(asks []bbshare.LoanRequest) {
-	for _, a := range asks {
-		home, ok := l.known.at[a.Account]
-		if _, busy := l.asking.LoadOrStore(a.Account, true); !ok || busy {
+// borrowFromHomes borrows what is due, each account by itself. The homes are known.
+func (l *peerLoans) borrowFromHomes(requests []bbshare.LoanRequest) {
+	for _, request := range requests {
+		home, ok := l.homes.byAccount[request.Account]
+		if _, pending := l.pendingAsks.LoadOrStore(request.Account, true); !ok || pending {
 			continue
 		}
 		go func() {
-			defer l.asking.Delete(a.Account)
-			l.askHome(home.ID, a)
+			defer l.pendingAsks.Delete(request.Account)
+			l.borrowFromHome(home.ID, request)
 		}()
 	}
 }
 
-func (l *loans) askHome(home bbunit.InstanceID, a bbshare.LoanRequest) {
-	q := &bbwire.LoanAsk{Account: string(a.Account), Tokens: int64(a.Need), Ahead: int64(a.Prefetch), Home: true}
-	t := l.call(home, q)
-	if t == nil || t.Tokens < 0 || t.Tokens > q.Tokens+q.Ahead {
+func (l *peerLoans) borrowFromHome(home bbunit.InstanceID, request bbshare.LoanRequest) {
+	msg := &bbwire.LoanAsk{Account: string(request.Account), Tokens: int64(request.Need), Ahead: int64(request.Prefetch), Home: true}
+	reply := l.call(home, msg)
+	if reply == nil || reply.Tokens < 0 || reply.Tokens > msg.Tokens+msg.Ahead {
 		return
 	}
-	l.money.mu.Lock()
-	line := l.money.book.Account(a.Account)
-	line.AddLoan(bbunit.Tokens(t.Tokens))
-	line.SetHomeFree(bbunit.Tokens(t.Free))
-	if t.Covered {
-		delete(l.uncovered, a.Account)
+	l.shares.mu.Lock()
+	share := l.shares.allocator.Account(request.Account)
+	share.AddLoan(bbunit.Tokens(reply.Tokens))
+	share.SetHomeFree(bbunit.Tokens(reply.Free))
+	if reply.Covered {
+		delete(l.uncoveredAt, request.Account)
 	} else {
-		l.uncovered[a.Account] = l.money.now()
+		l.uncoveredAt[request.Account] = l.shares.now()
 	}
-	l.money.mu.Unlock()
-	l.money.wake()
+	l.shares.mu.Unlock()
+	l.shares.notifyWaiters()
 }
 
-// broke tells that the account's home last said that it does not cover what was
+// uncoveredByHome tells that the account's home last said that it does not cover what was
 // asked for. The lock of money is held.
-func (l *loans) broke(id bbunit.AccountID) bool { return !l.uncovered[id].IsZero() }
+func (l *peerLoans) uncoveredByHome(id bbunit.AccountID) bool { return !l.uncoveredAt[id].IsZero() }
 
-// brokeJustNow tells the same of the last moment.
-func (l *loans) brokeJustNow(id bbunit.AccountID) bool {
-	return l.broke(id) && l.money.now().Sub(l.uncovered[id]) < shareWait
+// uncoveredRecently tells the same of the last moment.
+func (l *peerLoans) uncoveredRecently(id bbunit.AccountID) bool {
+	return l.uncoveredByHome(id) && l.shares.now().Sub(l.uncoveredAt[id]) < shareTimeout
 }
 
-// muted tells that a peer did not answer of late.
-func (l *loans) muted(peer bbunit.InstanceID) bool {
-	v, ok := l.mute.Load(peer)
-	return ok && l.money.now().Sub(v.(time.Time)) < muteTime
+// unresponsive tells that a peer did not answer of late.
+func (l *peerLoans) unresponsive(peer bbunit.InstanceID) bool {
+	at, ok := l.unansweredAt.Load(peer)
+	return ok && l.shares.now().Sub(at.(time.Time)) < unresponsivePeriod
 }
 
-// borrow asks peers until n are available here, and tells whether they are. An
+// borrowFromPeers asks peers until n are available here, and tells whether they are. An
 // answer is taken once, so that a message that comes twice brings no money.
-func (l *loans) borrow(a *bbplan.Account, n bbunit.Tokens) bool {
-	m := l.money
-	m.mu.Lock()
-	line := m.book.Account(a.ID)
-	peers := line.Lenders(m.book.Holder)
-	if now := m.now(); now.Sub(l.asked[a.ID]) < loanEvery {
+func (l *peerLoans) borrowFromPeers(account *bbplan.Account, n bbunit.Tokens) bool {
+	shares := l.shares
+	shares.mu.Lock()
+	share := shares.allocator.Account(account.ID)
+	peers := share.Lenders(shares.allocator.Holder)
+	if now := shares.now(); now.Sub(l.lastAskedAt[account.ID]) < loanInterval {
 		peers = nil
 	} else {
-		l.asked[a.ID] = now
+		l.lastAskedAt[account.ID] = now
 	}
-	m.mu.Unlock()
-	for _, p := range peers[:min(len(peers), loanPeers)] {
-		short := n - line.Balance.Available()
-		if short <= 0 {
+	shares.mu.Unlock()
+	for _, peer := range peers[:min(len(peers), maxLoanPeers)] {
+		missing := n - share.Balance.Available()
+		if missing <= 0 {
 			break
 		}
-		got := l.ask(p, a.ID, short)
-		if got <= 0 {
+		lent := l.borrowFrom(peer, account.ID, missing)
+		if lent <= 0 {
 			continue
 		}
-		m.mu.Lock()
-		line.AddLoan(got)
-		m.mu.Unlock()
+		shares.mu.Lock()
+		share.AddLoan(lent)
+		shares.mu.Unlock()
 	}
-	return line.Balance.Available() >= n
+	return share.Balance.Available() >= n
 }
 
-// ask asks one peer, unless it did not answer of late.
-func (l *loans) ask(peer bbunit.InstanceID, account bbunit.AccountID, n bbunit.Tokens) bbunit.Tokens {
-	if l.muted(peer) {
+// borrowFrom asks one peer, unless it did not answer of late.
+func (l *peerLoans) borrowFrom(peer bbunit.InstanceID, account bbunit.AccountID, n bbunit.Tokens) bbunit.Tokens {
+	if l.unresponsive(peer) {
 		return 0
 	}
-	t := l.call(peer, &bbwire.LoanAsk{Account: string(account), Tokens: int64(n)})
-	if t == nil || t.Tokens < 0 || t.Tokens > int64(n) {
+	reply := l.call(peer, &bbwire.LoanAsk{Account: string(account), Tokens: int64(n)})
+	if reply == nil || reply.Tokens < 0 || reply.Tokens > int64(n) {
 		return 0
 	}
-	return bbunit.Tokens(t.Tokens)
+	return bbunit.Tokens(reply.Tokens)
 }
 
 // call sends a question and returns its answer, nil when none came in time.
-func (l *loans) call(peer bbunit.InstanceID, q *bbwire.LoanAsk) *bbwire.LoanTell {
-	ctx, cancel := context.WithTimeout(context.Background(), loanWait)
+func (l *peerLoans) call(peer bbunit.InstanceID, msg *bbwire.LoanAsk) *bbwire.LoanTell {
+	ctx, cancel := context.WithTimeout(context.Background(), loanTimeout)
 	defer cancel()
-	e, err := l.fleet.Call(ctx, peer, &bbwire.Envelope{Body: &bbwire.Envelope_Loanask{Loanask: q}})
+	envelope, err := l.peers.Call(ctx, peer, &bbwire.Envelope{Body: &bbwire.Envelope_Loanask{Loanask: msg}})
 	if err != nil {
-		l.mute.Store(peer, l.money.now())
+		l.unansweredAt.Store(peer, l.shares.now())
 		return nil
 	}
-	t := e.GetLoantell()
-	if t == nil || t.Account != q.Account {
+	reply := envelope.GetLoantell()
+	if reply == nil || reply.Account != msg.Account {
 		return nil
 	}
-	return t
+	return reply
 }
--- a/bluebellport/proxy/metrics.go
+++ b/bluebellport/proxy/metrics.go
@@ -7,46 +7,48 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// tally counts what the door does, for the page of metrics.
-type tally struct {
-	reg metrics.Registry
+// proxyMetrics counts what the door does, for the page of metrics.
+type proxyMetrics struct {
+	registry metrics.Registry
 	// served are answers of targets that were passed on, failures included.
 	served metrics.Counter
-	// own is the time from a whole request to its first send, which is the
+	// dispatchTime is the time from a whole request to its first send, which is the
 	// instance's own part; first is that to the first event of a stream or to a
 	// whole plain answer. Both in microseconds.
-	own, first metrics.Histogram
+	dispatchTime, firstByteTime metrics.Histogram
 }
 
-func newTally(reg metrics.Registry) *tally {
-	sample := func() metrics.Sample { return metrics.NewExpDecaySample(tallySample, tallyDecay) }
-	return &tally{
-		reg:    reg,
-		served: metrics.GetOrRegisterCounter("door.served", reg),
-		own:    metrics.GetOrRegisterHistogram("door.own-us", reg, sample()),
-		first:  metrics.GetOrRegisterHistogram("door.first-us", reg, sample()),
+func newProxyMetrics(registry metrics.Registry) *proxyMetrics {
+	sample := func() metrics.Sample { return metrics.NewExpDecaySample(histogramSamples, histogramDecay) }
+	return &proxyMetrics{
+		registry:      registry,
+		served:        metrics.GetOrRegisterCounter("door.served", registry),
+		dispatchTime:  metrics.GetOrRegisterHistogram("door.own-us", registry, sample()),
+		firstByteTime: metrics.GetOrRegisterHistogram("door.first-us", registry, sample()),
 	}
 }
 
-// sent notes the first send of a request that came at that moment.
-func (t *tally) sent(came time.Time) { t.own.Update(time.Since(came).Microseconds()) }
+// recordDispatch notes the first send of a request that came at that moment.
+func (m *proxyMetrics) recordDispatch(receivedAt time.Time) {
+	m.dispatchTime.Update(time.Since(receivedAt).Microseconds())
+}
 
-// answered notes an answer that was passed on whole; first is zero for a plain
+// recordServed notes an answer that was passed on whole; first is zero for a plain
 // one.
-func (t *tally) answered(came, first time.Time) {
-	t.served.Inc(1)
-	if first.IsZero() {
-		first = time.Now()
+func (m *proxyMetrics) recordServed(receivedAt, firstAt time.Time) {
+	m.served.Inc(1)
+	if firstAt.IsZero() {
+		firstAt = time.Now()
 	}
-	t.first.Update(first.Sub(came).Microseconds())
+	m.firstByteTime.Update(firstAt.Sub(receivedAt).Microseconds())
 }
 
-// refused counts the fleet's own answers by status.
-func (t *tally) refused(status int) {
-	metrics.GetOrRegisterCounter("door.refused."+strconv.Itoa(status), t.reg).Inc(1)
+// recordRefusal counts the fleet's own answers by status.
+func (m *proxyMetrics) recordRefusal(status int) {
+	metrics.GetOrRegisterCounter("door.refused."+strconv.Itoa(status), m.registry).Inc(1)
 }
 
-// failed counts attempts that brought no answer, by how they ended.
-func (t *tally) failed(kind endKind) {
-	metrics.GetOrRegisterCounter("door.attempts."+kind.String(), t.reg).Inc(1)
+// recordFailure counts attempts that brought no answer, by how they ended.
+func (m *proxyMetrics) recordFailure(kind resultKind) {
+	metrics.GetOrRegisterCounter("door.attempts."+kind.String(), m.registry).Inc(1)
 }
--- a/bluebellport/proxy/metrics_test.go
+++ b/bluebellport/proxy/metrics_test.go
@@ -20,13 +20,13 @@
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	is.NoErr(err)
-	c := newTally(metrics.NewRegistry())
-	c.refused(http.StatusNotFound)
-	c.failed(endBroken)
+	c := newProxyMetrics(metrics.NewRegistry())
+	c.recordRefusal(http.StatusNotFound)
+	c.recordFailure(resultBroken)
 	have := map[string]bool{}
-	c.reg.Each(func(name string, _ any) {
+	c.registry.Each(func(name string, _ any) {
 		name = strings.Replace(name, "refused.404", "refused.STATUS", 1)
-		have[strings.Replace(name, "attempts."+endBroken.String(), "attempts.KIND", 1)] = true
+		have[strings.Replace(name, "attempts."+resultBroken.String(), "attempts.KIND", 1)] = true
 	})
 	named := map[string]bool{}
 	for _, m := range regexp.MustCompile("(?m)^\\| `(door\\.[^`]+)`").FindAllStringSubmatch(string(page), -1) {
@@ -39,12 +39,12 @@
 // part took.
 func TestMetricsPage(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1000)
-	b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 5})
-	b.start()
-	is.Equal(b.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200").status, 200)
-	is.Equal(b.call("POST", "/nowhere/1", "prompt").status, 404)
-	r, err := http.Get("http://" + b.set.Ready + pathMetrics)
+	h := newHarness(t, 1000)
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 5})
+	h.start()
+	is.Equal(h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200").status, 200)
+	is.Equal(h.call("POST", "/nowhere/1", "prompt").status, 404)
+	r, err := http.Get("http://" + h.settings.Ready + metricsPath)
 	is.NoErr(err)
 	defer func() { _ = r.Body.Close() }()
 	page, err := io.ReadAll(r.Body)
--- a/bluebellport/proxy/outcome.go
+++ b/bluebellport/proxy/outcome.go
@@ -10,95 +10,95 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ended takes what an attempt tells of its target.
-func (d *Door) ended(x *exchange, s *Server, out *ending) {
-	now := d.now()
-	switch out.kind {
-	case endDone:
-		s.State.Circuit.RecordSuccess()
-		s.State.RecordResult(!out.failed)
-		if !out.failed {
-			d.suspects.ran(x.print)
-			d.budget(x.service).Earn(d.retryRule())
+// recordResult takes what an attempt tells of its target.
+func (p *Proxy) recordResult(x *exchange, target *Target, result *attemptResult) {
+	now := p.now()
+	switch result.kind {
+	case resultDone:
+		target.State.Circuit.RecordSuccess()
+		target.State.RecordResult(!result.targetFailed)
+		if !result.targetFailed {
+			p.poison.recordSuccess(x.fingerprint)
+			p.retryBudget(x.service).Earn(p.retryPolicy())
 		}
-		d.tally.answered(x.q.At, x.stream.first)
-		d.served(x, s)
+		p.metrics.recordServed(x.req.ReceivedAt, x.stream.firstEventAt)
+		p.logServed(x, target)
 		return
-	case endGone:
+	case resultGone:
 		return
-	case endNotRun:
-		s.State.BackOffUntil(now.Add(busyTime))
-	case endUnsent:
-		if d.board.Crowded.Load() {
+	case resultNotRun:
+		target.State.BackOffUntil(now.Add(busyPeriod))
+	case resultUnsent:
+		if p.shared.LinkSaturated.Load() {
 			break // the own link is as likely the cause
 		}
-		for range circuitRule.FailureThreshold {
-			s.State.Circuit.RecordFailure(now, &circuitRule)
+		for range circuitPolicy.FailureThreshold {
+			target.State.Circuit.RecordFailure(now, &circuitPolicy)
 		}
-	case endBroken, endLate:
-		s.State.RecordResult(false)
-		if out.reset || out.silent {
-			s.State.Circuit.RecordFailure(now, &circuitRule)
+	case resultBroken, resultLate:
+		target.State.RecordResult(false)
+		if result.connBroken || result.timedOut {
+			target.State.Circuit.RecordFailure(now, &circuitPolicy)
 		}
-		if out.reset {
-			go d.suspects.broke(x.print, s)
+		if result.connBroken {
+			go p.poison.checkCrash(x.fingerprint, target)
 		}
 	}
-	d.tally.failed(out.kind)
-	d.log.WithFields(x.fields(s, out)).Info("attempt failed")
+	p.metrics.recordFailure(result.kind)
+	p.log.WithFields(x.logFields(target, result)).Info("attempt failed")
 }
 
-// served logs a sample of the answers that were passed on whole: which ones is
+// logServed logs a sample of the answers that were passed on whole: which ones is
 // decided by the request's id, so that all instances log the same.
-func (d *Door) served(x *exchange, s *Server) {
-	if xxhash.Sum64String(x.q.Attempt)%servedSample != 0 {
+func (p *Proxy) logServed(x *exchange, target *Target) {
+	if xxhash.Sum64String(x.req.AttemptID)%servedLogSample != 0 {
 		return
 	}
-	f := logrus.Fields{
-		"request": x.q.Attempt, "service": x.service, "target": s.ID, "sends": x.sends,
-		"ms": time.Since(x.q.At).Milliseconds(), "inflight": s.State.InFlight(),
+	fields := logrus.Fields{
+		"request": x.req.AttemptID, "service": x.service, "target": target.ID, "sends": x.sentAttempts,
+		"ms": time.Since(x.req.ReceivedAt).Milliseconds(), "inflight": target.State.InFlight(),
 	}
-	if x.stream.events > 0 {
-		f["first"] = x.stream.first.Sub(x.q.At).Milliseconds()
-		f["gap"] = x.stream.gap.Milliseconds()
-		f["events"] = x.stream.events
-		f["prompt"] = x.q.Prompt
+	if x.stream.eventCount > 0 {
+		fields["first"] = x.stream.firstEventAt.Sub(x.req.ReceivedAt).Milliseconds()
+		fields["gap"] = x.stream.longestGap.Milliseconds()
+		fields["events"] = x.stream.eventCount
+		fields["prompt"] = x.req.PromptTokens
 	}
-	d.log.WithFields(f).Info("served")
+	p.log.WithFields(fields).Info("served")
 }
 
-// budget returns the repeats that a service has left.
-func (d *Door) budget(id bbunit.ServiceID) *bbroute.RetryBudget {
-	if b, ok := d.retries.Load(id); ok {
+// retryBudget returns the repeats that a service has left.
+func (p *Proxy) retryBudget(id bbunit.ServiceID) *bbroute.RetryBudget {
+	if b, ok := p.retryBudgets.Load(id); ok {
 		return b.(*bbroute.RetryBudget)
 	}
-	b, _ := d.retries.LoadOrStore(id, &bbroute.RetryBudget{})
+	b, _ := p.retryBudgets.LoadOrStore(id, &bbroute.RetryBudget{})
 	return b.(*bbroute.RetryBudget)
 }
 
-// mayRepeat takes one repeat from a service's budget.
-func (d *Door) mayRepeat(id bbunit.ServiceID) bool {
-	return d.budget(id).Spend(d.now(), d.retryRule())
+// takeRetry takes one repeat from a service's budget.
+func (p *Proxy) takeRetry(id bbunit.ServiceID) bool {
+	return p.retryBudget(id).Spend(p.now(), p.retryPolicy())
 }
 
-// retryRule is this instance's part of the repeats that all may make.
-func (d *Door) retryRule() *bbroute.RetryPolicy {
-	n := float64(max(d.board.Instances.Load(), 1))
+// retryPolicy is this instance's part of the repeats that all may make.
+func (p *Proxy) retryPolicy() *bbroute.RetryPolicy {
+	n := float64(max(p.shared.Instances.Load(), 1))
 	return &bbroute.RetryPolicy{
-		Ratio:        d.set.RetryRatio * retryPart,
-		MinPerSecond: d.set.RetryExtra * retryPart / n / max(d.set.RetryWindow.Seconds(), 1),
+		Ratio:        p.settings.RetryRatio * retryBudgetPart,
+		MinPerSecond: p.settings.RetryExtra * retryBudgetPart / n / max(p.settings.RetryWindow.Seconds(), 1),
 	}
 }
 
-// refused logs an answer of the fleet's own, with what decided it.
-func (d *Door) refused(attempt string, r *Refusal) {
-	d.tally.refused(r.Status)
-	f := logrus.Fields{"request": attempt, "status": r.Status, "reason": r.Reason, "after": r.After.Seconds()}
-	for k, v := range r.Inputs {
-		f[k] = v
+// recordRefusal logs an answer of the fleet's own, with what decided it.
+func (p *Proxy) recordRefusal(attempt string, r *Refusal) {
+	p.metrics.recordRefusal(r.Status)
+	fields := logrus.Fields{"request": attempt, "status": r.Status, "reason": r.Reason, "after": r.RetryAfter.Seconds()}
+	for k, v := range r.LogFields {
+		fields[k] = v
 	}
-	d.log.WithFields(f).Info("refused")
+	p.log.WithFields(fields).Info("refused")
 }
 
-// circuitRule sets when a target that fails is left alone.
-var circuitRule = bbroute.CircuitPolicy{FailureThreshold: 3, InitialOpen: time.Second, MaxOpen: 4 * time.Second, ProbeTimeout: time.Second}
+// circuitPolicy sets when a target that fails is left alone.
+var circuitPolicy = bbroute.CircuitPolicy{FailureThreshold: 3, InitialOpen: time.Second, MaxOpen: 4 * time.Second, ProbeTimeout: time.Second}
--- a/bluebellport/proxy/poison.go
+++ b/bluebellport/proxy/poison.go
@@ -10,69 +10,69 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// poisonRule sets when a request counts as one that crashes its targets.
-var poisonRule = bbroute.PoisonPolicy{CrashThreshold: 2, SuspectTTL: 20 * time.Second, MaxFingerprints: 512}
+// poisonPolicy sets when a request counts as one that crashes its targets.
+var poisonPolicy = bbroute.PoisonPolicy{CrashThreshold: 2, SuspectTTL: 20 * time.Second, MaxFingerprints: 512}
 
-// suspects knows requests that were under way when their target crashed. Such a
+// poisonDetector knows requests that were under way when their target crashed. Such a
 // request comes again at any instance, so peers are told.
-type suspects struct {
-	fleet  Fleet
-	now    func() time.Time
-	table  atomic.Pointer[bbroute.CrashTable]
-	proven bbroute.KnownGood
+type poisonDetector struct {
+	peers     PeerNetwork
+	now       func() time.Time
+	table     atomic.Pointer[bbroute.CrashTable]
+	knownGood bbroute.KnownGood
 }
 
-func newSuspects(fleet Fleet, now func() time.Time) *suspects {
-	s := &suspects{fleet: fleet, now: now}
-	s.table.Store(&bbroute.CrashTable{})
-	fleet.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Suspects{}}, s.heard)
-	return s
+func newPoisonDetector(peers PeerNetwork, now func() time.Time) *poisonDetector {
+	d := &poisonDetector{peers: peers, now: now}
+	d.table.Store(&bbroute.CrashTable{})
+	peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Suspects{}}, d.handleSuspects)
+	return d
 }
 
-// poison tells that a request has crashed too many targets to be run again.
-func (s *suspects) poison(fingerprint uint64) bool {
-	return s.table.Load().CrashCount(fingerprint) >= poisonRule.CrashThreshold
+// isPoison tells that a request has crashed too many targets to be run again.
+func (d *poisonDetector) isPoison(fingerprint uint64) bool {
+	return d.table.Load().CrashCount(fingerprint) >= poisonPolicy.CrashThreshold
 }
 
-// ran notes that a request ran whole: it crashes no target.
-func (s *suspects) ran(fingerprint uint64) { s.proven.Add(fingerprint) }
+// recordSuccess notes that a request ran whole: it crashes no target.
+func (d *poisonDetector) recordSuccess(fingerprint uint64) { d.knownGood.Add(fingerprint) }
 
-// broke looks whether a target that broke a request off is down: then the request
+// checkCrash looks whether a target that broke a request off is down: then the request
 // may be what crashed it. It blocks up to dialTime.
-func (s *suspects) broke(fingerprint uint64, target *Server) {
-	if s.proven.Contains(fingerprint) {
+func (d *poisonDetector) checkCrash(fingerprint uint64, target *Target) {
+	if d.knownGood.Contains(fingerprint) {
 		return
 	}
-	conn, err := net.DialTimeout("tcp4", target.Address, dialTime)
+	conn, err := net.DialTimeout("tcp4", target.Address, dialTimeout)
 	if err == nil {
 		_ = conn.Close()
 		return
 	}
-	s.add(fingerprint, []bbunit.TargetID{target.ID})
+	d.add(fingerprint, []bbunit.TargetID{target.ID})
 	e := &bbwire.Envelope{Body: &bbwire.Envelope_Suspects{Suspects: &bbwire.Suspects{Print: fingerprint, Targets: []string{string(target.ID)}}}}
-	for _, id := range peersOf(s.fleet.View(), suspectPeers) {
-		_ = s.fleet.Send(id, e) // a peer that does not hear finds out by itself
+	for _, id := range randomPeers(d.peers.View(), maxSuspectPeers) {
+		_ = d.peers.Send(id, e) // a peer that does not hear finds out by itself
 	}
 }
 
-func (s *suspects) add(fingerprint uint64, targets []bbunit.TargetID) {
+func (d *poisonDetector) add(fingerprint uint64, targets []bbunit.TargetID) {
 	for {
-		old := s.table.Load()
-		next, news := old.Expire(s.now(), &poisonRule).With(fingerprint, targets, s.now(), &poisonRule)
-		if !news || s.table.CompareAndSwap(old, next) {
+		old := d.table.Load()
+		next, changed := old.Expire(d.now(), &poisonPolicy).With(fingerprint, targets, d.now(), &poisonPolicy)
+		if !changed || d.table.CompareAndSwap(old, next) {
 			return
 		}
 	}
 }
 
-func (s *suspects) heard(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
-	m := e.GetSuspects()
-	targets := make([]bbunit.TargetID, 0, len(m.Targets))
-	for _, t := range m.Targets {
+func (d *poisonDetector) handleSuspects(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
+	msg := e.GetSuspects()
+	targets := make([]bbunit.TargetID, 0, len(msg.Targets))
+	for _, t := range msg.Targets {
 		targets = append(targets, bbunit.TargetID(t))
 	}
 	if len(targets) > 0 {
-		s.add(m.Print, targets)
+		d.add(msg.Print, targets)
 	}
 	return nil
 }
--- a/bluebellport/proxy/pool.go
+++ b/bluebellport/proxy/pool.go
@@ -19,58 +19,58 @@
 type targetConn struct {
 	net.Conn
 	br   *bufio.Reader
-	pool *pool
-	// keep tells that the target will take another request.
-	keep   bool
-	idle   time.Duration
-	parked time.Time
+	pool *connPool
+	// reusable tells that the target will take another request.
+	reusable    bool
+	idleTimeout time.Duration
+	idleSince   time.Time
 }
 
-// pool keeps the connections to one target.
-type pool struct {
+// connPool keeps the connections to one target.
+type connPool struct {
 	address string
 	mu      sync.Mutex
-	free    []*targetConn
+	idle    []*targetConn
 	closed  bool
-	meter   *meter
-	load    func(running, waiting, slots int)
+	meter   *trafficMeter
+	onLoad  func(running, waiting, slots int)
 }
 
-// take returns a connection that was kept, or else a new one.
-func (p *pool) take(ctx context.Context) (*targetConn, error) {
-	for c := p.pop(); c != nil; c = p.pop() {
-		if time.Since(c.parked) < c.idle && quiet(c.Conn) && c.br.Buffered() == 0 {
+// get returns a connection that was kept, or else a new one.
+func (p *connPool) get(ctx context.Context) (*targetConn, error) {
+	for c := p.popIdle(); c != nil; c = p.popIdle() {
+		if time.Since(c.idleSince) < c.idleTimeout && openAndQuiet(c.Conn) && c.br.Buffered() == 0 {
 			return c, nil
 		}
 		_ = c.Close()
 	}
-	ctx, cancel := context.WithTimeout(ctx, dialTime)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	d := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount}}
+	d := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}}
 	conn, err := d.DialContext(ctx, "tcp4", p.address)
 	if err != nil {
 		return nil, err
 	}
-	conn = p.meter.wrap(conn)
-	return &targetConn{Conn: conn, br: bufio.NewReaderSize(conn, bufferSize), pool: p, idle: poolTime}, nil
+	conn = p.meter.count(conn)
+	return &targetConn{Conn: conn, br: bufio.NewReaderSize(conn, bufferSize), pool: p, idleTimeout: defaultPoolIdle}, nil
 }
 
-func (p *pool) pop() *targetConn {
+func (p *connPool) popIdle() *targetConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := len(p.free)
+	n := len(p.idle)
 	if n == 0 {
 		return nil
 	}
-	c := p.free[n-1]
-	p.free = p.free[:n-1]
+	c := p.idle[n-1]
+	p.idle = p.idle[:n-1]
 	return c
 }
 
-// park keeps a connection for the next request, or closes it.
-func (c *targetConn) park() {
-	c.parked = time.Now()
-	if !c.keep || c.br.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
+// release keeps a connection for the next request, or closes it.
+func (c *targetConn) release() {
+	c.idleSince = time.Now()
+	if !c.reusable || c.br.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		_ = c.Close()
 		return
 	}
@@ -81,42 +81,42 @@
 		_ = c.Close()
 		return
 	}
-	for len(p.free) > 0 && time.Since(p.free[0].parked) >= p.free[0].idle {
-		_ = p.free[0].Close()
-		p.free = p.free[1:]
+	for len(p.idle) > 0 && time.Since(p.idle[0].idleSince) >= p.idle[0].idleTimeout {
+		_ = p.idle[0].Close()
+		p.idle = p.idle[1:]
 	}
-	p.free = append(p.free, c)
+	p.idle = append(p.idle, c)
 }
 
-// shut closes the kept connections, and those that come back.
-func (p *pool) shut() {
+// close closes the kept connections, and those that come back.
+func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, c := range p.free {
+	for _, c := range p.idle {
 		_ = c.Close()
 	}
-	p.free = nil
+	p.idle = nil
 }
 
-// learn reads what an answer says of its connection and of the target's load.
-func (c *targetConn) learn(f Fields) {
+// readHints reads what an answer says of its connection and of the target's load.
+func (c *targetConn) readHints(f Fields) {
 	if text, n := f.Get("Keep-Alive"); n > 0 {
 		if _, after, ok := strings.Cut(text, "timeout="); ok {
 			digits, _, _ := strings.Cut(after, ",")
 			if s, err := strconv.Atoi(strings.TrimSpace(digits)); err == nil {
-				c.idle = max(time.Duration(s)*time.Second-poolSlack, 0)
+				c.idleTimeout = max(time.Duration(s)*time.Second-poolIdleMargin, 0)
 			}
 		}
 	}
-	if running, waiting, slots, ok := bbplatform.Load(f.Value(bbplatform.HeaderLoad)); ok && c.pool.load != nil {
-		c.pool.load(running, waiting, slots)
+	if running, waiting, slots, ok := bbplatform.Load(f.Value(bbplatform.HeaderLoad)); ok && c.pool.onLoad != nil {
+		c.pool.onLoad(running, waiting, slots)
 	}
 }
 
-// quiet tells that a kept connection is open and has nothing to read: bytes that
+// openAndQuiet tells that a kept connection is open and has nothing to read: bytes that
 // wait there belong to no request.
-func quiet(conn net.Conn) bool {
+func openAndQuiet(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/bluebellport/proxy/prefill.go
+++ b/bluebellport/proxy/prefill.go
@@ -7,47 +7,47 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// prefills tells peers of large prompts as they are sent: a target reads one
+// prefillNotifier tells peers of large prompts as they are sent: a target reads one
 // after the other and holds up all streams meanwhile, and what it reports of
 // itself comes too late.
-type prefills struct {
-	fleet Fleet
-	board *Board
-	now   func() time.Time
+type prefillNotifier struct {
+	peers  PeerNetwork
+	shared *SharedState
+	now    func() time.Time
 }
 
-func newPrefills(fleet Fleet, board *Board, now func() time.Time) *prefills {
-	p := &prefills{fleet: fleet, board: board, now: now}
-	fleet.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Prefill{}}, p.heard)
+func newPrefillNotifier(peers PeerNetwork, shared *SharedState, now func() time.Time) *prefillNotifier {
+	p := &prefillNotifier{peers: peers, shared: shared, now: now}
+	peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Prefill{}}, p.handlePrefill)
 	return p
 }
 
-// sent notes a prompt that goes to a target, and tells peers of a large one.
-func (p *prefills) sent(s *Server, n bbunit.Tokens) {
+// recordPrompt notes a prompt that goes to a target, and tells peers of a large one.
+func (p *prefillNotifier) recordPrompt(target *Target, n bbunit.Tokens) {
 	if n <= 0 {
 		return
 	}
-	s.State.AddPrefill(n, p.now())
-	if n < largePrompt {
+	target.State.AddPrefill(n, p.now())
+	if n < largePromptTokens {
 		return
 	}
 	e := &bbwire.Envelope{Body: &bbwire.Envelope_Prefill{Prefill: &bbwire.Prefill{
-		Service: string(s.Service), Target: string(s.ID), Tokens: int64(n),
+		Service: string(target.Service), Target: string(target.ID), Tokens: int64(n),
 	}}}
-	for _, id := range peersOf(p.fleet.View(), prefillPeers) {
-		_ = p.fleet.Send(id, e) // old news is worth nothing, so it is not sent again
+	for _, id := range randomPeers(p.peers.View(), maxPrefillPeers) {
+		_ = p.peers.Send(id, e) // old news is worth nothing, so it is not sent again
 	}
 }
 
-func (p *prefills) heard(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
-	t := e.GetPrefill()
-	g := p.board.group(bbunit.ServiceID(t.Service))
-	if g == nil || t.Tokens <= 0 || t.Tokens > maxPrompt {
+func (p *prefillNotifier) handlePrefill(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
+	msg := e.GetPrefill()
+	service := p.shared.targetsOf(bbunit.ServiceID(msg.Service))
+	if service == nil || msg.Tokens <= 0 || msg.Tokens > maxPromptTokens {
 		return nil
 	}
-	for _, s := range g.Servers {
-		if s.ID == bbunit.TargetID(t.Target) {
-			s.State.AddPrefill(bbunit.Tokens(t.Tokens), p.now())
+	for _, target := range service.Targets {
+		if target.ID == bbunit.TargetID(msg.Target) {
+			target.State.AddPrefill(bbunit.Tokens(msg.Tokens), p.now())
 		}
 	}
 	return nil
--- a/bluebellport/proxy/proxy.go
+++ b/bluebellport/proxy/proxy.go
@@ -19,7 +19,7 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Door takes requests. Its controllers meet on the board:
+// Proxy takes requests. Its controllers meet on the board:
 //
 //	platform's store --> follower --> [ Board: plan, groups ] --> exchange
 //	       ^                                                        |
@@ -28,175 +28,175 @@
 //	client --> caller --> admit --> reserve --> choose --> attempt --> target
 //	   ^                                                     |
 //	   +------------------ answer, stream, refusal <---------+
-type Door struct {
-	set      bbplatform.Settings
+type Proxy struct {
+	settings bbplatform.Settings
 	domain   bbunit.DomainID
-	board    *Board
+	shared   *SharedState
 	log      logrus.FieldLogger
-	money    *money
-	prefills *prefills
-
-	suspects *suspects
-	retries  sync.Map // bbunit.ServiceID -> *bbroute.RetryBudget
-
-	meter   meter
-	tally   *tally
-	start   time.Time
-	closing atomic.Bool
-	mu      sync.Mutex // guards callers
-	callers map[*caller]bool
-	open    sync.WaitGroup
+	shares   *shareController
+	prefills *prefillNotifier
+
+	poison       *poisonDetector
+	retryBudgets sync.Map // bbunit.ServiceID -> *bbroute.RetryBudget
+
+	traffic   trafficMeter
+	metrics   *proxyMetrics
+	startedAt time.Time
+	closing   atomic.Bool
+	mu        sync.Mutex // guards callers
+	conns     map[*clientConn]bool
+	openConns sync.WaitGroup
 }
 
 // Serve runs the door until ctx ends, and then stops it without cutting a
 // request. It counts what it does in the registry.
-func Serve(ctx context.Context, set bbplatform.Settings, fleet Fleet, reg metrics.Registry, log logrus.FieldLogger) error {
-	d := &Door{set: set, domain: set.Domain, board: &Board{}, log: log, tally: newTally(reg), start: time.Now(), callers: map[*caller]bool{}}
-	d.board.Instances.Store(defaultInstances)
-	front, err := net.Listen("tcp4", set.Callers)
+func Serve(ctx context.Context, settings bbplatform.Settings, peers PeerNetwork, registry metrics.Registry, log logrus.FieldLogger) error {
+	p := &Proxy{settings: settings, domain: settings.Domain, shared: &SharedState{}, log: log, metrics: newProxyMetrics(registry), startedAt: time.Now(), conns: map[*clientConn]bool{}}
+	p.shared.Instances.Store(defaultInstances)
+	clientListener, err := net.Listen("tcp4", settings.Callers)
 	if err != nil {
 		return errors.Annotate(err, "address for callers")
 	}
-	ready, err := net.Listen("tcp4", set.Ready)
+	readyListener, err := net.Listen("tcp4", settings.Ready)
 	if err != nil {
-		_ = front.Close()
+		_ = clientListener.Close()
 		return errors.Annotate(err, "address for readiness")
 	}
-	store, closeStore := bbplatform.NewStore(set.Store)
+	store, closeStore := bbplatform.NewStore(settings.Store)
 	defer closeStore()
-	d.money = newMoney(store, d.board, log, d.now, bbshare.NewHolderID(set.Instance, bbunit.InstanceID(set.Peers), newLife()))
+	p.shares = newShareController(store, p.shared, log, p.now, bbshare.NewHolderID(settings.Instance, bbunit.InstanceID(settings.Peers), newIncarnation()))
 
-	back, stop := context.WithCancel(context.Background())
+	background, stopBackground := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
-	d.follow(back, &wg, store, fleet)
-	wg.Go(func() { d.accept(front) })
-	wg.Go(func() { d.answerReady(ready) })
-	log.WithFields(logrus.Fields{"event": "start", "listen": set.Callers, "domain": set.Domain}).Info("serving")
+	p.startControllers(background, &wg, store, peers)
+	wg.Go(func() { p.acceptConns(clientListener) })
+	wg.Go(func() { p.serveReady(readyListener) })
+	log.WithFields(logrus.Fields{"event": "start", "listen": settings.Callers, "domain": settings.Domain}).Info("serving")
 
 	<-ctx.Done()
-	end := time.Now().Add(set.Grace - graceSlack)
-	d.leave(front, end)
-	stop()
-	_ = ready.Close()
-	_ = front.Close()
+	deadline := time.Now().Add(settings.Grace - graceMargin)
+	p.drain(clientListener, deadline)
+	stopBackground()
+	_ = readyListener.Close()
+	_ = clientListener.Close()
 	wg.Wait()
-	last, cancel := context.WithDeadline(context.Background(), end.Add(closeTime))
+	closeCtx, cancel := context.WithDeadline(context.Background(), deadline.Add(shareReturnTimeout))
 	defer cancel()
-	d.money.close(last)
+	p.shares.close(closeCtx)
 	log.WithField("event", "stop").Info("stopped")
 	return nil
 }
 
-// follow starts the controllers.
-func (d *Door) follow(ctx context.Context, wg *conc.WaitGroup, store *bbplatform.Store, fleet Fleet) {
-	f := newFollower(store, d.board, d.log, d.now, &d.meter)
-	news := newRelay(fleet, f)
-	d.money.loans = newLoans(d.money, fleet)
-	d.prefills = newPrefills(fleet, d.board, d.now)
-	d.suspects = newSuspects(fleet, d.now)
-	reg := newRegister(store, fleet, d.board, d.log, d.set, news.duty)
+// startControllers starts the controllers.
+func (p *Proxy) startControllers(ctx context.Context, wg *conc.WaitGroup, store *bbplatform.Store, peers PeerNetwork) {
+	f := newFollower(store, p.shared, p.log, p.now, &p.traffic)
+	r := newRelay(peers, f)
+	p.shares.loans = newPeerLoans(p.shares, peers)
+	p.prefills = newPrefillNotifier(peers, p.shared, p.now)
+	p.poison = newPoisonDetector(peers, p.now)
+	instances := newRegistry(store, peers, p.shared, p.log, p.settings, r.isWatcher)
 	wg.Go(func() { f.followPlan(ctx) })
 	wg.Go(func() { f.followTargets(ctx) })
-	wg.Go(func() { news.run(ctx) })
-	wg.Go(func() { d.watchLink(ctx) })
-	wg.Go(func() { reg.keep(ctx) })
-	wg.Go(func() { reg.watch(ctx) })
+	wg.Go(func() { r.run(ctx) })
+	wg.Go(func() { p.watchLink(ctx) })
+	wg.Go(func() { instances.keepRegistered(ctx) })
+	wg.Go(func() { instances.watchInstances(ctx) })
 	wg.Go(func() {
-		d.money.start(ctx)
-		d.money.run(ctx)
+		p.shares.readAll(ctx)
+		p.shares.run(ctx)
 	})
 }
 
 // now is a steady clock: a jump of the time of day does not move it.
-func (d *Door) now() time.Time { return d.start.Add(time.Since(d.start)) }
+func (p *Proxy) now() time.Time { return p.startedAt.Add(time.Since(p.startedAt)) }
 
-// accept takes clients' connections until the listener is closed.
-func (d *Door) accept(ln net.Listener) {
+// acceptConns takes clients' connections until the listener is closed.
+func (p *Proxy) acceptConns(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			d.log.WithError(err).Warn("connection not accepted")
-			time.Sleep(storePause)
+			p.log.WithError(err).Warn("connection not accepted")
+			time.Sleep(minStoreBackoff)
 			continue
 		}
-		conn = d.meter.wrap(conn)
-		c := &caller{Conn: conn, br: bufio.NewReaderSize(conn, bufferSize), door: d}
-		d.mu.Lock()
-		d.callers[c] = true
-		d.mu.Unlock()
-		d.open.Add(1)
+		conn = p.traffic.count(conn)
+		client := &clientConn{Conn: conn, br: bufio.NewReaderSize(conn, bufferSize), proxy: p}
+		p.mu.Lock()
+		p.conns[client] = true
+		p.mu.Unlock()
+		p.openConns.Add(1)
 		go func() {
-			defer d.open.Done()
-			if p := panics.Try(c.serve); p != nil {
-				_ = c.Close()
-				d.log.WithField("event", "panic").Error(p.String())
+			defer p.openConns.Done()
+			if panicked := panics.Try(client.serve); panicked != nil {
+				_ = client.Close()
+				p.log.WithField("event", "panic").Error(panicked.String())
 			}
-			d.mu.Lock()
-			delete(d.callers, c)
-			d.mu.Unlock()
+			p.mu.Lock()
+			delete(p.conns, client)
+			p.mu.Unlock()
 		}()
 	}
 }
 
-// leave stops taking work: not ready at once, new connections a little longer,
+// drain stops taking work: not ready at once, new connections a little longer,
 // and open requests to their end.
-func (d *Door) leave(front net.Listener, end time.Time) {
-	d.board.Leaving.Store(true)
-	d.money.leave()
-	d.log.WithField("event", "leaving").Info("leaving")
-	time.Sleep(min(lingerTime, time.Until(end)))
-	d.closing.Store(true)
-	_ = front.Close()
-	d.closeIdle()
-	done := make(chan struct{})
+func (p *Proxy) drain(clientListener net.Listener, deadline time.Time) {
+	p.shared.Leaving.Store(true)
+	p.shares.drain()
+	p.log.WithField("event", "leaving").Info("leaving")
+	time.Sleep(min(lingerPeriod, time.Until(deadline)))
+	p.closing.Store(true)
+	_ = clientListener.Close()
+	p.closeIdleConns()
+	allClosed := make(chan struct{})
 	go func() {
-		d.open.Wait()
-		close(done)
+		p.openConns.Wait()
+		close(allClosed)
 	}()
 	select {
-	case <-done:
-	case <-time.After(time.Until(end)):
-		d.tellCut()
+	case <-allClosed:
+	case <-time.After(time.Until(deadline)):
+		p.logCutRequests()
 	}
 }
 
-// tellCut logs the requests that are still open at the end of the grace, up to
+// logCutRequests logs the requests that are still open at the end of the grace, up to
 // cutTold of them.
-func (d *Door) tellCut() {
-	open := d.underWay()
-	d.log.WithFields(logrus.Fields{"event": "cut", "open": len(open)}).Warn("requests still open at the end of the grace")
-	for _, x := range open[:min(len(open), cutTold)] {
-		f := logrus.Fields{"request": x.q.Attempt, "ms": time.Since(x.q.At).Milliseconds()}
-		if s := x.at.Load(); s != nil {
-			f["target"] = s.ID
+func (p *Proxy) logCutRequests() {
+	requests := p.openRequests()
+	p.log.WithFields(logrus.Fields{"event": "cut", "open": len(requests)}).Warn("requests still open at the end of the grace")
+	for _, x := range requests[:min(len(requests), maxCutLogged)] {
+		fields := logrus.Fields{"request": x.req.AttemptID, "ms": time.Since(x.req.ReceivedAt).Milliseconds()}
+		if target := x.lastTarget.Load(); target != nil {
+			fields["target"] = target.ID
 		}
-		d.log.WithFields(f).Warn("request cut")
+		p.log.WithFields(fields).Warn("request cut")
 	}
 }
 
-// underWay returns the open requests.
-func (d *Door) underWay() []*exchange {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	var open []*exchange
-	for c := range d.callers {
-		if x := c.under.Load(); x != nil {
-			open = append(open, x)
+// openRequests returns the open requests.
+func (p *Proxy) openRequests() []*exchange {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var requests []*exchange
+	for client := range p.conns {
+		if x := client.current.Load(); x != nil {
+			requests = append(requests, x)
 		}
 	}
-	return open
+	return requests
 }
 
-// closeIdle closes connections without a request.
-func (d *Door) closeIdle() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for c := range d.callers {
-		if c.idle.Load() {
-			_ = c.SetReadDeadline(time.Now())
+// closeIdleConns closes connections without a request.
+func (p *Proxy) closeIdleConns() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for client := range p.conns {
+		if client.idle.Load() {
+			_ = client.SetReadDeadline(time.Now())
 		}
 	}
 }
--- a/bluebellport/proxy/proxy_test.go
+++ b/bluebellport/proxy/proxy_test.go
@@ -17,7 +17,7 @@
 
 // What a caller gets when the first of two targets misbehaves: who may be asked
 // again, and what may be said of a request that may have run.
-func TestFaultsOfTargets(t *testing.T) {
+func TestTargetFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		fault  bbplatformstand.Fault
@@ -44,14 +44,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBed(t, 1000)
-			one := b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-			two := b.target(bbplatformstand.TargetOptions{ID: "t2", Service: "desk", Domain: "gavle"}) // the second choice
-			one.Fail(c.fault, 1)
-			b.start()
-			r := b.call("POST", c.path, "body")
+			h := newHarness(t, 1000)
+			first := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
+			second := h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "desk", Domain: "gavle"}) // the second choice
+			first.Fail(c.fault, 1)
+			h.start()
+			r := h.call("POST", c.path, "body")
 			is.Equal(r.status, c.status)
-			is.Equal(len(one.Runs())+len(two.Runs()), c.runs)
+			is.Equal(len(first.Runs())+len(second.Runs()), c.runs)
 			if c.status == 200 {
 				is.Equal(r.body, "ran attempt-1")
 			}
@@ -59,7 +59,7 @@
 				is.Equal(r.outcome, "unknown")
 			}
 			for range 3 { // nothing of the fault is left on the connections
-				is.Equal(b.call("POST", "/book/2", "body").body, fmt.Sprintf("ran attempt-%d", b.calls))
+				is.Equal(h.call("POST", "/book/2", "body").body, fmt.Sprintf("ran attempt-%d", h.calls))
 			}
 		})
 	}
@@ -67,14 +67,14 @@
 
 // A target gets the request as the client sent it, with the account in place of
 // the key and a deadline no longer than the client's.
-func TestWhatATargetGets(t *testing.T) {
+func TestForwardedRequest(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1000)
-	one := b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-	b.start()
-	r := b.call("POST", "/book/a?x=%2f&y", strings.Repeat("b", 100_000), "Tenant", "forged", "tenant_", "x", "Expected-Instance", "forged")
+	h := newHarness(t, 1000)
+	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
+	h.start()
+	r := h.call("POST", "/book/a?x=%2f&y", strings.Repeat("b", 100_000), "Tenant", "forged", "tenant_", "x", "Expected-Instance", "forged")
 	is.Equal(r.status, 200)
-	run := one.Runs()[0]
+	run := target.Runs()[0]
 	is.Equal(run.Path, "/book/a?x=%2f&y")
 	is.Equal(len(run.Body), 100_000)
 	is.Equal(run.Account, "a")
@@ -85,24 +85,24 @@
 
 // A target that answers before it has the whole body gets no other bytes in
 // place of the rest.
-func TestAnswerBeforeTheBody(t *testing.T) {
+func TestResponseBeforeWholeBody(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1000)
-	one := b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-	one.Fail(bbplatformstand.FaultEarly, 1)
-	b.start()
-	is.Equal(b.call("POST", "/book/1", strings.Repeat("b", 250_000)).status, 413)
-	is.Equal(b.call("POST", "/book/2", "body").status, 200)
-	is.Equal(one.Runs()[0].Body, "body")
+	h := newHarness(t, 1000)
+	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
+	target.Fail(bbplatformstand.FaultEarly, 1)
+	h.start()
+	is.Equal(h.call("POST", "/book/1", strings.Repeat("b", 250_000)).status, 413)
+	is.Equal(h.call("POST", "/book/2", "body").status, 200)
+	is.Equal(target.Runs()[0].Body, "body")
 }
 
 // Requests that the declared state does not allow are refused and reach no
 // target.
 func TestRefusals(t *testing.T) {
-	b := newBed(t, 1000)
-	one := b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-	b.target(bbplatformstand.TargetOptions{ID: "t2", Service: "llm", Engine: true, Events: 3})
-	b.start()
+	h := newHarness(t, 1000)
+	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "llm", Engine: true, Events: 3})
+	h.start()
 	cases := []struct {
 		name, path string
 		fields     []string
@@ -117,17 +117,17 @@
 		{"bad deadline", "/read/1", []string{bbplatform.HeaderDeadline, "soon"}, 400},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(b.call("GET", c.path, "", c.fields...).status, c.status) })
+		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(h.call("GET", c.path, "", c.fields...).status, c.status) })
 	}
-	is.New(t).Equal(len(one.Runs()), 1)
+	is.New(t).Equal(len(target.Runs()), 1)
 }
 
 // Bytes that could be read in two ways are refused, and nothing is passed on.
 func TestMalformedRequests(t *testing.T) {
-	b := newBed(t, 1000)
-	one := b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-	b.start()
-	head := "POST /book/1 HTTP/1.1\r\nHost: " + callHost + "\r\nAttempt-Id: x\r\nCredential: " + callKey + "\r\n"
+	h := newHarness(t, 1000)
+	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
+	h.start()
+	head := "POST /book/1 HTTP/1.1\r\nHost: " + testHost + "\r\nAttempt-Id: x\r\nCredential: " + testKey + "\r\n"
 	cases := []struct{ name, text, status string }{
 		{"two lengths", head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", "400"},
 		{"length and chunks", head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
@@ -148,28 +148,28 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).True(strings.HasPrefix(b.raw(c.text), "HTTP/1.1 "+c.status))
+			is.New(t).True(strings.HasPrefix(h.sendRaw(c.text), "HTTP/1.1 "+c.status))
 		})
 	}
-	is.New(t).Equal(len(one.Runs()), 0)
+	is.New(t).Equal(len(target.Runs()), 0)
 }
 
 // A chunked body is passed on whole, and the connection serves the next request.
 func TestPipelinedAndChunked(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1000)
-	one := b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-	b.start()
-	head := "POST /book/1 HTTP/1.1\r\nHost: " + callHost + "\r\nAttempt-Id: x%d\r\nCredential: " + callKey + "\r\n"
+	h := newHarness(t, 1000)
+	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
+	h.start()
+	head := "POST /book/1 HTTP/1.1\r\nHost: " + testHost + "\r\nAttempt-Id: x%d\r\nCredential: " + testKey + "\r\n"
 	text := fmt.Sprintf(head, 1) + "Transfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n" + fmt.Sprintf(head, 2) + "Content-Length: 1\r\nConnection: close\r\n\r\nf"
-	is.True(strings.HasPrefix(b.raw(text), "HTTP/1.1 200"))
-	b.eventually("both ran", func() bool { return len(one.Runs()) == 2 })
-	is.Equal(one.Runs()[0].Body, "abcde")
-	is.Equal(one.Runs()[1].Body, "f")
+	is.True(strings.HasPrefix(h.sendRaw(text), "HTTP/1.1 200"))
+	h.eventually("both ran", func() bool { return len(target.Runs()) == 2 })
+	is.Equal(target.Runs()[0].Body, "abcde")
+	is.Equal(target.Runs()[1].Body, "f")
 }
 
-// events returns the ids of a stream in order.
-func events(body string) string {
+// eventIDs returns the ids of a stream in order.
+func eventIDs(body string) string {
 	var ids []string
 	for line := range strings.SplitSeq(body, "\n") {
 		if id, ok := strings.CutPrefix(line, "id: "); ok {
@@ -194,18 +194,18 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBed(t, 1000)
-			one := b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 6})
-			two := b.target(bbplatformstand.TargetOptions{ID: "t2", Service: "llm", Engine: true, Events: 6, Domain: "gavle"})
-			one.Fail(bbplatformstand.FaultTorn, 1)
-			b.start()
-			r := b.call("POST", c.path, "prompt", bbplatform.HeaderUsage, "100,60")
+			h := newHarness(t, 1000)
+			first := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 6})
+			second := h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "llm", Engine: true, Events: 6, Domain: "gavle"})
+			first.Fail(bbplatformstand.FaultTorn, 1)
+			h.start()
+			r := h.call("POST", c.path, "prompt", bbplatform.HeaderUsage, "100,60")
 			is.Equal(r.status, 200)
 			is.Equal(r.err == nil, c.whole)
-			is.Equal(events(r.body), c.ids)
+			is.Equal(eventIDs(r.body), c.ids)
 			is.Equal(r.header.Get(bbplatform.HeaderSignature), "t1")
 			if c.whole {
-				is.Equal(two.Runs()[0].Last, "3")
+				is.Equal(second.Runs()[0].Last, "3")
 			}
 		})
 	}
@@ -215,12 +215,12 @@
 // as fit, and then says that it does not cover more.
 func TestMoney(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1000)
-	b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 5})
-	b.start()
+	h := newHarness(t, 1000)
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 5})
+	h.start()
 	served := 0
 	for range 12 {
-		r := b.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200")
+		r := h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200")
 		if r.status == 200 {
 			served++
 			continue
@@ -228,113 +228,113 @@
 		is.Equal(r.status, 402)
 	}
 	is.Equal(served, 5) // 150 each, and 300 must be there at the start
-	b.plan(2, 1200)
-	b.eventually("a top-up is in force", func() bool {
-		return b.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200").status == 200
+	h.declarePlan(2, 1200)
+	h.eventually("a top-up is in force", func() bool {
+		return h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200").status == 200
 	})
 }
 
 // A client that leaves ends the target's work.
-func TestCallerLeaves(t *testing.T) {
+func TestClientLeaves(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1000)
-	one := b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 1000, Pause: 10 * time.Millisecond})
-	b.start()
-	r, err := http.NewRequest("POST", "http://"+b.set.Callers+"/once/1", strings.NewReader("p"))
+	h := newHarness(t, 1000)
+	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 1000, Pause: 10 * time.Millisecond})
+	h.start()
+	r, err := http.NewRequest("POST", "http://"+h.settings.Callers+"/once/1", strings.NewReader("p"))
 	is.NoErr(err)
-	r.Host = callHost
+	r.Host = testHost
 	r.Header.Set(bbplatform.HeaderAttempt, "gone")
-	r.Header.Set(bbplatform.HeaderKey, callKey)
+	r.Header.Set(bbplatform.HeaderKey, testKey)
 	r.Header.Set(bbplatform.HeaderUsage, "10,100")
 	tr := &http.Transport{}
 	resp, err := tr.RoundTrip(r)
 	is.NoErr(err)
 	_, err = io.ReadFull(resp.Body, make([]byte, 10))
 	is.NoErr(err)
-	is.Equal(one.Open(), 1)
+	is.Equal(target.Open(), 1)
 	_ = resp.Body.Close()
 	tr.CloseIdleConnections()
-	b.eventually("the target's connection is closed", func() bool { return one.Open() == 0 })
+	h.eventually("the target's connection is closed", func() bool { return target.Open() == 0 })
 }
 
 // A planned stop ends no request: an open stream comes to its end, and what the
 // instance held of money is given back.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 100_000)
-	b.set.Grace = 4 * time.Second
-	b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 20, Pause: 20 * time.Millisecond})
-	b.start()
-	done := make(chan result, 1)
-	go func() { done <- b.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200") }()
+	h := newHarness(t, 100_000)
+	h.settings.Grace = 4 * time.Second
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 20, Pause: 20 * time.Millisecond})
+	h.start()
+	done := make(chan clientResult, 1)
+	go func() { done <- h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200") }()
 	time.Sleep(100 * time.Millisecond)
-	b.stop()
+	h.stop()
 	r := <-done
 	is.NoErr(r.err)
-	is.Equal(events(r.body), "1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19 20")
-	is.NoErr(<-b.served)
-	b.served <- nil
-	row, err := b.mem.Get(t.Context(), moneyPrefix+"a")
+	is.Equal(eventIDs(r.body), "1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19 20")
+	is.NoErr(<-h.served)
+	h.served <- nil
+	row, err := h.mem.Get(t.Context(), moneyPrefix+"a")
 	is.NoErr(err)
 	is.Equal(string(row.Value), `{"closed":300}`)
 }
 
 // While the store is away requests are served from what is known, and targets
 // that are leaving get nothing new once the store is back.
-func TestStoreAway(t *testing.T) {
+func TestStoreUnreachable(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1000)
-	one := b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-	two := b.target(bbplatformstand.TargetOptions{ID: "t2", Service: "desk"})
-	b.start()
-	b.mem.SetFaults(storeDown)
-	is.Equal(b.call("POST", "/book/1", "body").status, 200)
-	b.mem.SetFaults(storeUp)
-	is.NoErr(one.Register(t.Context(), b.mem, "draining"))
-	b.eventually("the leaving target gets nothing", func() bool {
-		n := len(one.Runs())
+	h := newHarness(t, 1000)
+	leaving := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
+	other := h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "desk"})
+	h.start()
+	h.mem.SetFaults(storeDown)
+	is.Equal(h.call("POST", "/book/1", "body").status, 200)
+	h.mem.SetFaults(storeUp)
+	is.NoErr(leaving.Register(t.Context(), h.mem, "draining"))
+	h.eventually("the leaving target gets nothing", func() bool {
+		n := len(leaving.Runs())
 		for range 5 {
-			if b.call("POST", "/book/1", "body").status != 200 {
+			if h.call("POST", "/book/1", "body").status != 200 {
 				return false
 			}
 		}
-		return len(one.Runs()) == n
+		return len(leaving.Runs()) == n
 	})
-	is.True(len(two.Runs()) >= 5)
+	is.True(len(other.Runs()) >= 5)
 }
 
 // An instance that has lost the store refuses at once what its share does not
 // cover, and expects the store to be away as long again as it has been.
-func TestNoShareWithoutTheStore(t *testing.T) {
+func TestShareUsedUpWithStoreDown(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 100_000)
-	b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 5})
-	b.start()
-	b.mem.SetFaults(storeDown)
-	var last result
-	b.eventually("the share is used up and the store known to be away", func() bool {
-		last = b.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "30000,200")
+	h := newHarness(t, 100_000)
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 5})
+	h.start()
+	h.mem.SetFaults(storeDown)
+	var last clientResult
+	h.eventually("the share is used up and the store known to be away", func() bool {
+		last = h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "30000,200")
 		return last.status == http.StatusServiceUnavailable && !strings.Contains(last.body, "in other instances")
 	})
 	time.Sleep(time.Second)
-	last = b.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "30000,200")
+	last = h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "30000,200")
 	is.Equal(last.status, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(last.header.Get("Retry-After"), 64)
 	is.NoErr(err)
-	is.True(after >= 1 && after <= comeBackMost.Seconds())
+	is.True(after >= 1 && after <= maxRetryAfter.Seconds())
 }
 
 // A stop that has to cut a request says which one, and whose answer it waited for.
-func TestCutIsTold(t *testing.T) {
-	b := newBed(t, 100_000)
-	b.set.Grace = 1500 * time.Millisecond
-	b.target(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 1000, Pause: 20 * time.Millisecond})
-	b.start()
-	go func() { b.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200") }()
+func TestCutRequestIsLogged(t *testing.T) {
+	h := newHarness(t, 100_000)
+	h.settings.Grace = 1500 * time.Millisecond
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 1000, Pause: 20 * time.Millisecond})
+	h.start()
+	go func() { h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200") }()
 	time.Sleep(100 * time.Millisecond)
-	b.stop()
-	b.eventually("the cut is logged", func() bool {
-		text := b.logs.String()
+	h.stop()
+	h.eventually("the cut is logged", func() bool {
+		text := h.logs.String()
 		return strings.Contains(text, `"msg":"request cut"`) && strings.Contains(text, `"target":"t1"`)
 	})
 }
--- a/bluebellport/proxy/ready.go
+++ b/bluebellport/proxy/ready.go
@@ -12,24 +12,24 @@
 	"bluebellport.example/platform"
 )
 
-// answerReady answers the platform's balancer, and collectors of metrics, until
+// serveReady answers the platform's balancer, and collectors of metrics, until
 // the listener is closed.
-func (d *Door) answerReady(ln net.Listener) {
+func (p *Proxy) serveReady(ln net.Listener) {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true})
 	app.Get(bbplatform.PathReady, func(c *fiber.Ctx) error {
-		if d.board.Ready() {
+		if p.shared.Ready() {
 			return c.SendStatus(http.StatusOK)
 		}
 		return c.SendStatus(http.StatusServiceUnavailable)
 	})
-	app.Get(pathMetrics, bbmetrics.Page(d.tally.reg))
-	if err := app.Listener(ln); err != nil && d.board.Leaving.Load() == false {
-		d.log.WithError(err).Error("readiness not served")
+	app.Get(metricsPath, bbmetrics.Handler(p.metrics.registry))
+	if err := app.Listener(ln); err != nil && p.shared.Leaving.Load() == false {
+		p.log.WithError(err).Error("readiness not served")
 	}
 }
 
-// newLife names one life of an instance.
-func newLife() string {
+// newIncarnation names one life of an instance.
+func newIncarnation() string {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err) // the system's random source does not fail
--- a/bluebellport/proxy/refusal.go
+++ b/bluebellport/proxy/refusal.go
@@ -14,12 +14,12 @@
 	Status int
 	// Reason tells people why.
 	Reason string
-	// After is when to come back; 0 gives no time.
-	After time.Duration
+	// RetryAfter is when to come back; 0 gives no time.
+	RetryAfter time.Duration
 	// Close ends the connection after the answer.
 	Close bool
-	// Inputs are what decided it, for the log.
-	Inputs logrus.Fields
+	// LogFields are what decided it, for the log.
+	LogFields logrus.Fields
 }
 
 // Error makes a refusal an error.
@@ -41,40 +41,40 @@
 	Outcome string `json:"outcome"`
 }
 
-// bytes returns the refusal as it goes over the wire.
-func (r *Refusal) bytes(attempt string, closing bool) []byte {
+// encode returns the refusal as it goes over the wire.
+func (r *Refusal) encode(attemptID string, closeConn bool) []byte {
 	text := http.StatusText(r.Status)
 	body, err := json.Marshal(problemJSON{Title: text, Status: r.Status, Detail: r.Reason, Outcome: r.outcome()})
 	if err != nil {
 		body = nil // strings and a number always encode
 	}
 	b := statusLine(r.Status, text)
-	if attempt != "" {
-		b = appendField(b, "Attempt-Id", attempt)
+	if attemptID != "" {
+		b = appendField(b, "Attempt-Id", attemptID)
 	}
 	b = appendField(b, "Content-Type", "application/problem+json")
 	b = appendField(b, "Content-Length", strconv.Itoa(len(body)))
-	if r.After > 0 {
-		b = appendField(b, "Retry-After", strconv.FormatFloat(r.After.Seconds(), 'f', 2, 64))
+	if r.RetryAfter > 0 {
+		b = appendField(b, "Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 2, 64))
 	}
-	if closing {
+	if closeConn {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	b = append(b, "\r\n"...)
 	return append(b, body...)
 }
 
-// notRun refuses a request that has not run and never will.
-func notRun(reason string, after time.Duration) *Refusal {
-	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, After: after}
+// refuseNotRun refuses a request that has not run and never will.
+func refuseNotRun(reason string, retryAfter time.Duration) *Refusal {
+	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter}
 }
 
-// mayHaveRun ends a request of which nothing certain is known.
-func mayHaveRun(reason string) *Refusal {
+// refuseUnknown ends a request of which nothing certain is known.
+func refuseUnknown(reason string) *Refusal {
 	return &Refusal{Status: http.StatusBadGateway, Reason: reason}
 }
 
-// late ends a request whose time is over.
-func late(reason string) *Refusal {
+// refuseLate ends a request whose time is over.
+func refuseLate(reason string) *Refusal {
 	return &Refusal{Status: http.StatusGatewayTimeout, Reason: reason}
 }
--- a/bluebellport/proxy/registry.go
+++ b/bluebellport/proxy/registry.go
@@ -19,72 +19,72 @@
 // instancesPrefix is above the entries by which instances meet.
 const instancesPrefix = "bluebellport/instances/"
 
-// Registry is the part of the platform's store by which instances meet.
-type Registry interface {
-	Watched
+// RegistryStore is the part of the platform's store by which instances meet.
+type RegistryStore interface {
+	WatchStore
 	CAS(ctx context.Context, key string, value []byte, prev bbstore.Revision, lease bbstore.LeaseID) (bbstore.Revision, error)
 	Grant(ctx context.Context, ttl time.Duration) (bbstore.LeaseID, error)
 	Renew(ctx context.Context, id bbstore.LeaseID) error
 	Revoke(ctx context.Context, id bbstore.LeaseID) error
 }
 
-// register keeps this instance in the list of instances and tells the fleet who
+// registry keeps this instance in the list of instances and tells the fleet who
 // else is in it.
-type register struct {
-	store  Registry
-	fleet  Fleet
-	board  *Board
-	log    logrus.FieldLogger
-	set    bbplatform.Settings
-	duty   func() bool // tells whether this instance watches the store
-	listed map[string]bbmember.ListEntry
+type registry struct {
+	store     RegistryStore
+	peers     PeerNetwork
+	shared    *SharedState
+	log       logrus.FieldLogger
+	settings  bbplatform.Settings
+	isWatcher func() bool // tells whether this instance watches the store
+	instances map[string]bbmember.ListEntry
 }
 
-// entryJSON is an instance in the list.
-type entryJSON struct {
+// instanceJSON is an instance in the list.
+type instanceJSON struct {
 	Domain bbunit.DomainID `json:"domain"`
 }
 
-func newRegister(store Registry, fleet Fleet, board *Board, log logrus.FieldLogger, set bbplatform.Settings, duty func() bool) *register {
-	r := &register{store: store, fleet: fleet, board: board, log: log, set: set, duty: duty, listed: map[string]bbmember.ListEntry{}}
+func newRegistry(store RegistryStore, peers PeerNetwork, shared *SharedState, log logrus.FieldLogger, settings bbplatform.Settings, isWatcher func() bool) *registry {
+	r := &registry{store: store, peers: peers, shared: shared, log: log, settings: settings, isWatcher: isWatcher, instances: map[string]bbmember.ListEntry{}}
 	var seeds []bbmember.ListEntry
-	for _, a := range set.Seeds {
-		if a != set.Peers {
-			seeds = append(seeds, bbmember.ListEntry{ID: bbunit.InstanceID(a), Domain: unknownDomain, Address: a})
+	for _, address := range settings.Seeds {
+		if address != settings.Peers {
+			seeds = append(seeds, bbmember.ListEntry{ID: bbunit.InstanceID(address), Domain: unknownDomain, Address: address})
 		}
 	}
-	fleet.Listed(seeds)
+	peers.UpdateList(seeds)
 	return r
 }
 
 // unknownDomain stands for the failure domain of a seed until it has spoken.
 const unknownDomain bbunit.DomainID = "unknown"
 
-// keep registers and renews until ctx ends; then the entry goes.
-func (r *register) keep(ctx context.Context) {
-	key := instancesPrefix + r.set.Peers
-	value, err := json.Marshal(entryJSON{Domain: r.set.Domain})
+// keepRegistered registers and renews until ctx ends; then the entry goes.
+func (r *registry) keepRegistered(ctx context.Context) {
+	key := instancesPrefix + r.settings.Peers
+	value, err := json.Marshal(instanceJSON{Domain: r.settings.Domain})
 	if err != nil {
 		panic(err) // a string always encodes
 	}
 	for ctx.Err() == nil {
-		lease, err := r.store.Grant(ctx, leaseTime)
+		lease, err := r.store.Grant(ctx, instanceLeaseTTL)
 		if err == nil {
-			if err = r.put(ctx, key, value, lease); err == nil {
-				r.renew(ctx, lease)
+			if err = r.putEntry(ctx, key, value, lease); err == nil {
+				r.renewLease(ctx, lease)
 			}
 			if ctx.Err() != nil {
-				end, cancel := context.WithTimeout(context.Background(), storePause)
-				_ = r.store.Revoke(end, lease) // it lapses by itself otherwise
+				revokeCtx, cancel := context.WithTimeout(context.Background(), minStoreBackoff)
+				_ = r.store.Revoke(revokeCtx, lease) // it lapses by itself otherwise
 				cancel()
 			}
 		}
-		bbclock.Wait(ctx, 2*storePause)
+		bbclock.Wait(ctx, 2*minStoreBackoff)
 	}
 }
 
-// put writes the entry over one of an earlier life.
-func (r *register) put(ctx context.Context, key string, value []byte, lease bbstore.LeaseID) error {
+// putEntry writes the entry over one of an earlier life.
+func (r *registry) putEntry(ctx context.Context, key string, value []byte, lease bbstore.LeaseID) error {
 	_, err := r.store.CAS(ctx, key, value, 0, lease)
 	if !errors.Is(err, bbstore.ErrConflict) {
 		return err
@@ -97,10 +97,10 @@
 	return err
 }
 
-// renew returns once the lease is gone or ctx ends.
-func (r *register) renew(ctx context.Context, lease bbstore.LeaseID) {
+// renewLease returns once the lease is gone or ctx ends.
+func (r *registry) renewLease(ctx context.Context, lease bbstore.LeaseID) {
 	for {
-		bbclock.Wait(ctx, leaseRenew)
+		bbclock.Wait(ctx, leaseRenewInterval)
 		if ctx.Err() != nil {
 			return
 		}
@@ -110,67 +110,67 @@
 	}
 }
 
-// watch follows the list of instances until ctx ends.
-func (r *register) watch(ctx context.Context) {
+// watchInstances follows the list of instances until ctx ends.
+func (r *registry) watchInstances(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !r.duty() {
-			r.board.Instances.Store(int64(max(len(r.fleet.View().Members), 1)))
+		if !r.isWatcher() {
+			r.shared.Instances.Store(int64(max(len(r.peers.View().Members), 1)))
 			bbclock.Wait(ctx, time.Second)
 			continue
 		}
-		entries, at, err := r.store.List(ctx, instancesPrefix)
+		entries, rev, err := r.store.List(ctx, instancesPrefix)
 		if err == nil {
-			clear(r.listed)
+			clear(r.instances)
 			for _, e := range entries {
-				r.take(e)
+				r.applyEntry(e)
 			}
-			r.tell()
-			r.changes(ctx, at)
+			r.publish()
+			r.pollChanges(ctx, rev)
 		}
-		bbclock.Wait(ctx, 2*storePause)
+		bbclock.Wait(ctx, 2*minStoreBackoff)
 	}
 }
 
-// changes returns when the list has to be read anew.
-func (r *register) changes(ctx context.Context, from bbstore.Revision) {
+// pollChanges returns when the list has to be read anew.
+func (r *registry) pollChanges(ctx context.Context, from bbstore.Revision) {
 	for {
-		events, at, err := r.store.Poll(ctx, instancesPrefix, from, listEvery)
-		if err != nil || at < from {
+		events, rev, err := r.store.Poll(ctx, instancesPrefix, from, instanceListWait)
+		if err != nil || rev < from {
 			return
 		}
-		from = at
+		from = rev
 		for _, e := range events {
-			r.take(e.Entry)
+			r.applyEntry(e.Entry)
 		}
 		if len(events) > 0 {
-			r.tell()
+			r.publish()
 		}
-		bbclock.Wait(ctx, 2*storePause) // many join at once
-		if ctx.Err() != nil || !r.duty() {
+		bbclock.Wait(ctx, 2*minStoreBackoff) // many join at once
+		if ctx.Err() != nil || !r.isWatcher() {
 			return
 		}
 	}
 }
 
-func (r *register) take(e bbstore.Entry) {
+func (r *registry) applyEntry(e bbstore.Entry) {
 	address := strings.TrimPrefix(e.Key, instancesPrefix)
 	if e.Value == nil {
-		delete(r.listed, address)
+		delete(r.instances, address)
 		return
 	}
-	var j entryJSON
-	if err := json.Unmarshal(e.Value, &j); err != nil || !bbmember.ValidAddress(address) || j.Domain == "" {
+	var instance instanceJSON
+	if err := json.Unmarshal(e.Value, &instance); err != nil || !bbmember.ValidAddress(address) || instance.Domain == "" {
 		r.log.WithError(err).WithField("key", e.Key).Warn("entry of an instance left out")
 		return
 	}
-	r.listed[address] = bbmember.ListEntry{ID: bbunit.InstanceID(address), Domain: j.Domain, Address: address}
+	r.instances[address] = bbmember.ListEntry{ID: bbunit.InstanceID(address), Domain: instance.Domain, Address: address}
 }
 
-func (r *register) tell() {
-	list := make([]bbmember.ListEntry, 0, len(r.listed))
-	for _, l := range r.listed {
+func (r *registry) publish() {
+	list := make([]bbmember.ListEntry, 0, len(r.instances))
+	for _, l := range r.instances {
 		list = append(list, l)
 	}
-	r.fleet.Listed(list)
-	r.board.Instances.Store(int64(max(len(list), 1)))
+	r.peers.UpdateList(list)
+	r.shared.Instances.Store(int64(max(len(list), 1)))
 }
--- a/bluebellport/proxy/request.go
+++ b/bluebellport/proxy/request.go
@@ -14,56 +14,56 @@
 
 // Request is one attempt of a client, read whole.
 type Request struct {
-	Method, Target string
-	Host           string
-	Fields         Fields
-	Body           []byte
-	HasBody        bool
+	Method, URI string
+	Host        string
+	Fields      Fields
+	Body        []byte
+	HasBody     bool
 	// Close tells that the client wants the connection closed after the answer.
 	Close bool
 
-	Attempt string
-	Key     string
-	// At is when the request had been read; Wait is how long its client waits.
-	At   time.Time
-	Wait time.Duration
-	// Prompt and Output are the tokens of the prompt and the most of the answer.
-	Prompt, Output bbunit.Tokens
-	Sized          bool
-	LastEvent      string
+	AttemptID string
+	APIKey    string
+	// ReceivedAt is when the request had been read; Wait is how long its client waits.
+	ReceivedAt time.Time
+	Timeout    time.Duration
+	// PromptTokens and Output are the tokens of the prompt and the most of the answer.
+	PromptTokens, OutputTokens bbunit.Tokens
+	HasUsage                   bool
+	LastEventID                string
 }
 
 // Path returns the target without its query.
-func (q *Request) Path() string {
-	path, _, _ := strings.Cut(q.Target, "?")
+func (r *Request) Path() string {
+	path, _, _ := strings.Cut(r.URI, "?")
 	return path
 }
 
 // readRequest reads a request's head. The body is still to be read.
 func readRequest(br *bufio.Reader, limit int) (*Request, framing, error) {
-	first, fields, err := readHead(br, limit)
+	line, fields, err := readHead(br, limit)
 	if err != nil {
 		return nil, framing{}, err
 	}
-	q := &Request{Fields: fields}
-	parts := strings.Split(first, " ")
-	if len(parts) != 3 || !isToken(parts[0]) || !validTarget(parts[1]) || parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
-		return q, framing{}, errors.Annotatef(ErrMalformed, "request line %.60q", first)
+	r := &Request{Fields: fields}
+	parts := strings.Split(line, " ")
+	if len(parts) != 3 || !isToken(parts[0]) || !validURI(parts[1]) || parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
+		return r, framing{}, errors.Annotatef(ErrMalformed, "request line %.60q", line)
 	}
-	q.Method, q.Target = parts[0], parts[1]
+	r.Method, r.URI = parts[0], parts[1]
 	f, err := bodyFraming(fields)
 	if err != nil {
-		return q, f, err
+		return r, f, err
 	}
 	if f.chunked && parts[2] == "HTTP/1.0" {
-		return q, f, errors.Annotate(ErrMalformed, "chunks in HTTP/1.0")
+		return r, f, errors.Annotate(ErrMalformed, "chunks in HTTP/1.0")
 	}
-	q.HasBody = f.chunked || f.length >= 0
-	q.Close = fields.hasToken("Connection", "close") || parts[2] == "HTTP/1.0"
-	return q, f, q.readFields()
+	r.HasBody = f.chunked || f.length >= 0
+	r.Close = fields.hasToken("Connection", "close") || parts[2] == "HTTP/1.0"
+	return r, f, r.readFields()
 }
 
-func validTarget(s string) bool {
+func validURI(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f || s[i] == '#' {
 			return false
@@ -72,58 +72,58 @@
 	return strings.HasPrefix(s, "/")
 }
 
-// once are the fields that may stand once only, since two could be read in two
+// singletonFields are the fields that may stand once only, since two could be read in two
 // ways.
-var once = []string{
+var singletonFields = []string{
 	bbplatform.HeaderAttempt, bbplatform.HeaderDeadline, bbplatform.HeaderKey,
 	bbplatform.HeaderUsage, bbplatform.HeaderPrompt, "Model", bbplatform.HeaderLastEvent,
 }
 
 // readFields reads what the fleet needs of the fields.
-func (q *Request) readFields() error {
-	for _, name := range once {
-		if _, n := q.Fields.Get(name); n > 1 {
+func (r *Request) readFields() error {
+	for _, name := range singletonFields {
+		if _, n := r.Fields.Get(name); n > 1 {
 			return errors.Annotatef(ErrMalformed, "%s stands %d times", name, n)
 		}
 	}
-	host, n := q.Fields.Get("Host")
+	host, n := r.Fields.Get("Host")
 	if n != 1 {
 		return errors.Annotatef(ErrMalformed, "host stands %d times", n)
 	}
-	q.Host = host
-	q.Attempt = q.Fields.Value(bbplatform.HeaderAttempt)
-	q.Key = q.Fields.Value(bbplatform.HeaderKey)
-	q.LastEvent = q.Fields.Value(bbplatform.HeaderLastEvent)
-	q.Wait = defaultDeadline
-	if text, n := q.Fields.Get(bbplatform.HeaderDeadline); n == 1 {
-		wait, ok := bbplatform.Deadline(text)
+	r.Host = host
+	r.AttemptID = r.Fields.Value(bbplatform.HeaderAttempt)
+	r.APIKey = r.Fields.Value(bbplatform.HeaderKey)
+	r.LastEventID = r.Fields.Value(bbplatform.HeaderLastEvent)
+	r.Timeout = defaultDeadline
+	if text, n := r.Fields.Get(bbplatform.HeaderDeadline); n == 1 {
+		timeout, ok := bbplatform.Deadline(text)
 		if !ok {
 			return errors.Annotatef(ErrMalformed, "deadline %.40q", text)
 		}
-		q.Wait = wait
+		r.Timeout = timeout
 	}
-	if text, n := q.Fields.Get(bbplatform.HeaderUsage); n == 1 {
-		if q.Prompt, q.Output, q.Sized = bbplatform.Usage(text); !q.Sized {
+	if text, n := r.Fields.Get(bbplatform.HeaderUsage); n == 1 {
+		if r.PromptTokens, r.OutputTokens, r.HasUsage = bbplatform.Usage(text); !r.HasUsage {
 			return errors.Annotatef(ErrMalformed, "usage %.40q", text)
 		}
 	}
 	return nil
 }
 
-// Print is a hash by which a request that comes again is known.
-func (q *Request) Print(account bbunit.AccountID) uint64 {
+// Fingerprint is a hash by which a request that comes again is known.
+func (r *Request) Fingerprint(account bbunit.AccountID) uint64 {
 	h := xxhash.New()
-	for _, s := range []string{string(account), "\x00", q.Method, "\x00", q.Target, "\x00"} {
+	for _, s := range []string{string(account), "\x00", r.Method, "\x00", r.URI, "\x00"} {
 		_, _ = h.WriteString(s)
 	}
-	_, _ = h.Write(q.Body)
+	_, _ = h.Write(r.Body)
 	return h.Sum64()
 }
 
-// Shared returns a hash of what the prompt shares with others, and its tokens:
+// SharedPrefix returns a hash of what the prompt shares with others, and its tokens:
 // all parts but the last, which is the request's own.
-func (q *Request) Shared() (uint64, bbunit.Tokens) {
-	text := q.Fields.Value(bbplatform.HeaderPrompt)
+func (r *Request) SharedPrefix() (uint64, bbunit.Tokens) {
+	text := r.Fields.Value(bbplatform.HeaderPrompt)
 	i := strings.LastIndexByte(text, ',')
 	if i < 0 {
 		return 0, 0
@@ -132,5 +132,5 @@
 	for _, p := range bbplatform.Parts(text[:i]) {
 		n += p.Tokens
 	}
-	return xxhash.Sum64String(text[:i]), min(n, q.Prompt)
+	return xxhash.Sum64String(text[:i]), min(n, r.PromptTokens)
 }
--- a/bluebellport/proxy/response.go
+++ b/bluebellport/proxy/response.go
@@ -8,26 +8,26 @@
 	"bluebellport.example/platform"
 )
 
-// Answer is the head of a target's answer.
-type Answer struct {
-	Status int
-	Reason string
-	Fields Fields
-	frame  framing
+// Response is the head of a target's answer.
+type Response struct {
+	Status  int
+	Reason  string
+	Fields  Fields
+	framing framing
 }
 
-// readAnswerHead reads the head of an answer, past those of status 1xx.
-func (c *targetConn) readAnswerHead() (*Answer, error) {
+// readResponseHead reads the head of an answer, past those of status 1xx.
+func (c *targetConn) readResponseHead() (*Response, error) {
 	for {
-		first, fields, err := readHead(c.br, maxHead)
+		line, fields, err := readHead(c.br, maxHead)
 		if err != nil {
-			return nil, broke(err)
+			return nil, unexpectedEOF(err)
 		}
-		version, rest, _ := strings.Cut(first, " ")
+		version, rest, _ := strings.Cut(line, " ")
 		code, reason, _ := strings.Cut(rest, " ")
 		status, err := parseDigits(code, 10)
 		if err != nil || len(code) != 3 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-			return nil, errors.Annotatef(ErrMalformed, "status line %.60q", first)
+			return nil, errors.Annotatef(ErrMalformed, "status line %.60q", line)
 		}
 		if status >= 100 && status < 200 {
 			continue
@@ -36,28 +36,28 @@
 		if err != nil {
 			return nil, err
 		}
-		a := &Answer{Status: int(status), Reason: reason, Fields: fields, frame: f}
-		c.keep = version == "HTTP/1.1" && !fields.hasToken("Connection", "close")
-		c.learn(fields)
-		return a, nil
+		resp := &Response{Status: int(status), Reason: reason, Fields: fields, framing: f}
+		c.reusable = version == "HTTP/1.1" && !fields.hasToken("Connection", "close")
+		c.readHints(fields)
+		return resp, nil
 	}
 }
 
-// notRun tells that the target says it did not run the request.
-func (a *Answer) notRun() bool {
-	_, said := a.Fields.Get(bbplatform.HeaderNotRun)
-	return said > 0 || a.Status == 421
+// saysNotRun tells that the target says it did not run the request.
+func (r *Response) saysNotRun() bool {
+	_, count := r.Fields.Get(bbplatform.HeaderNotRun)
+	return count > 0 || r.Status == 421
 }
 
-// signed tells that the answer bears the target's signature and is not altered
+// isSigned tells that the answer bears the target's signature and is not altered
 // on its way.
-func (a *Answer) signed() bool {
-	_, coded := a.Fields.Get("Content-Encoding")
-	return a.Fields.Value(bbplatform.HeaderSignature) != "" && coded == 0
+func (r *Response) isSigned() bool {
+	_, encodings := r.Fields.Get("Content-Encoding")
+	return r.Fields.Value(bbplatform.HeaderSignature) != "" && encodings == 0
 }
 
-// belongs tells whether the answer is that of an attempt.
-func (a *Answer) belongs(attempt string) bool {
-	id, n := a.Fields.Get(bbplatform.HeaderAttempt)
-	return n == 1 && id == attempt
+// belongsTo tells whether the answer is that of an attempt.
+func (r *Response) belongsTo(attemptID string) bool {
+	id, n := r.Fields.Get(bbplatform.HeaderAttempt)
+	return n == 1 && id == attemptID
 }
--- a/bluebellport/proxy/share.go
+++ b/bluebellport/proxy/share.go
@@ -20,312 +20,312 @@
 // moneyPrefix is above the rows of the accounts in the platform's store.
 const moneyPrefix = "bluebellport/money/"
 
-// Rows is the part of the platform's store that money uses.
-type Rows interface {
+// ShareStore is the part of the platform's store that money uses.
+type ShareStore interface {
 	List(ctx context.Context, prefix string) ([]bbstore.Entry, bbstore.Revision, error)
 	Swap(ctx context.Context, rows []bbstore.Entry, lease bbstore.LeaseID) (bbstore.Revision, []bbstore.Entry, error)
 	// Calls returns how often each kind of call was made.
 	Calls() map[string]int64
 }
 
-// money is the controller of this instance's shares.
-type money struct {
-	rows  Rows
-	board *Board
-	log   logrus.FieldLogger
-	now   func() time.Time
-	poke  chan struct{}
+// shareController is the controller of this instance's shares.
+type shareController struct {
+	store  ShareStore
+	shared *SharedState
+	log    logrus.FieldLogger
+	now    func() time.Time
+	wakeup chan struct{}
 
-	mu    sync.Mutex // guards book and drawn
-	book  *bbshare.Allocator
-	drawn chan struct{} // closed after each write and replaced
-	last  time.Time     // last answer of the store
-	plan  *bbplan.Plan
-	ahead time.Time     // last write
-	pause time.Duration // after the last write, which failed
+	mu          sync.Mutex // guards book and drawn
+	allocator   *bbshare.Allocator
+	written     chan struct{} // closed after each write and replaced
+	lastReplyAt time.Time     // last answer of the store
+	plan        *bbplan.Plan
+	lastWriteAt time.Time     // last write
+	backoff     time.Duration // after the last write, which failed
 
-	lost   atomic.Int64 // since when the store does not answer, in ns of the steady clock; 0: it does
-	purses sync.Map     // bbunit.AccountID -> *bbshare.Purse
+	lostAt   atomic.Int64 // since when the store does not answer, in ns of the steady clock; 0: it does
+	balances sync.Map     // bbunit.AccountID -> *bbshare.Purse
 
-	loans *loans
+	loans *peerLoans
 }
 
-func newMoney(rows Rows, board *Board, log logrus.FieldLogger, now func() time.Time, holder bbunit.HolderID) *money {
-	return &money{
-		rows: rows, board: board, log: log, now: now, poke: make(chan struct{}, 1),
-		book: bbshare.NewAllocator(holder, moneyPrefix, bbshare.DefaultPolicy()), drawn: make(chan struct{}),
+func newShareController(store ShareStore, shared *SharedState, log logrus.FieldLogger, now func() time.Time, holder bbunit.HolderID) *shareController {
+	return &shareController{
+		store: store, shared: shared, log: log, now: now, wakeup: make(chan struct{}, 1),
+		allocator: bbshare.NewAllocator(holder, moneyPrefix, bbshare.DefaultPolicy()), written: make(chan struct{}),
 	}
 }
 
-// purse returns an account's purse.
-func (m *money) purse(id bbunit.AccountID) *bbshare.Balance {
-	if p, ok := m.purses.Load(id); ok {
-		return p.(*bbshare.Balance)
+// balance returns an account's purse.
+func (c *shareController) balance(id bbunit.AccountID) *bbshare.Balance {
+	if b, ok := c.balances.Load(id); ok {
+		return b.(*bbshare.Balance)
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	p := m.book.Account(id).Balance
-	m.purses.Store(id, p)
-	return p
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	b := c.allocator.Account(id).Balance
+	c.balances.Store(id, b)
+	return b
 }
 
 // reserve sets n of an account aside, or says why not. While the store answers
 // it waits a little for a share, as long as gone stays open; while it does not,
 // the answer is given at once.
-func (m *money) reserve(a *bbplan.Account, n bbunit.Tokens, until time.Time, gone <-chan struct{}) (*bbshare.Balance, *Refusal) {
-	p := m.purse(a.ID)
-	if p.Reserve(n) {
-		return p, nil
+func (c *shareController) reserve(account *bbplan.Account, n bbunit.Tokens, deadline time.Time, clientGone <-chan struct{}) (*bbshare.Balance, *Refusal) {
+	balance := c.balance(account.ID)
+	if balance.Reserve(n) {
+		return balance, nil
 	}
-	wait := time.NewTimer(min(shareWait, time.Until(until)))
-	defer wait.Stop()
-	for round := 0; round < shareRounds; round++ {
-		m.mu.Lock()
-		drawn, away := m.drawn, m.book.Account(a.ID).UsesRemoteHome()
-		m.mu.Unlock()
-		if !away && m.lostSince() > 0 {
+	timeout := time.NewTimer(min(shareTimeout, time.Until(deadline)))
+	defer timeout.Stop()
+	for round := 0; round < maxShareRounds; round++ {
+		c.mu.Lock()
+		written, remoteHome := c.written, c.allocator.Account(account.ID).UsesRemoteHome()
+		c.mu.Unlock()
+		if !remoteHome && c.outage() > 0 {
 			break
 		}
-		m.poked()
+		c.wake()
 		select {
-		case <-drawn:
-		case <-gone:
-			return nil, notRun("caller left", 0)
-		case <-wait.C:
-			return nil, m.short(a, n)
+		case <-written:
+		case <-clientGone:
+			return nil, refuseNotRun("caller left", 0)
+		case <-timeout.C:
+			return nil, c.refuseNoShare(account, n)
 		}
-		if p.Reserve(n) {
-			return p, nil
+		if balance.Reserve(n) {
+			return balance, nil
 		}
-		if m.drained(a, n) {
+		if c.exhausted(account, n) {
 			break
 		}
-		if away {
-			time.Sleep(shareWait / shareRounds / 4) // its home draws meanwhile
+		if remoteHome {
+			time.Sleep(shareTimeout / maxShareRounds / 4) // its home draws meanwhile
 		}
 	}
-	if m.loans.borrow(a, n) && p.Reserve(n) {
-		return p, nil
+	if c.loans.borrowFromPeers(account, n) && balance.Reserve(n) {
+		return balance, nil
 	}
-	if r := m.uncovered(a, n); r != nil {
-		return nil, r
+	if refusal := c.refuseUncovered(account, n); refusal != nil {
+		return nil, refusal
 	}
-	return nil, m.short(a, n)
+	return nil, c.refuseNoShare(account, n)
 }
 
-// drained tells that a draw cannot bring n, as the store has just told.
-func (m *money) drained(a *bbplan.Account, n bbunit.Tokens) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	l := m.book.Account(a.ID)
-	if l.UsesRemoteHome() {
-		return m.loans.broke(a.ID)
+// exhausted tells that a draw cannot bring n, as the store has just told.
+func (c *shareController) exhausted(account *bbplan.Account, n bbunit.Tokens) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	share := c.allocator.Account(account.ID)
+	if share.UsesRemoteHome() {
+		return c.loans.uncoveredByHome(account.ID)
 	}
-	return l.RowLoaded() && l.Free()+l.Balance.Available() < n
+	return share.RowLoaded() && share.Free()+share.Balance.Available() < n
 }
 
-// poked makes the controller look at once.
-func (m *money) poked() {
+// wake makes the controller look at once.
+func (c *shareController) wake() {
 	select {
-	case m.poke <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// lostSince returns for how long the store has not answered, 0 when it does.
-func (m *money) lostSince() time.Duration {
-	lost := m.lost.Load()
-	if lost == 0 {
+// outage returns for how long the store has not answered, 0 when it does.
+func (c *shareController) outage() time.Duration {
+	lostAt := c.lostAt.Load()
+	if lostAt == 0 {
 		return 0
 	}
-	return max(m.now().Sub(time.Unix(0, lost)), 1)
+	return max(c.now().Sub(time.Unix(0, lostAt)), 1)
 }
 
-// short refuses for want of a share. The store is expected to be away as long
+// refuseNoShare refuses for want of a share. The store is expected to be away as long
 // again as it has been.
-func (m *money) short(a *bbplan.Account, n bbunit.Tokens) *Refusal {
-	r := notRun("no share of the account's money at hand", min(max(m.lostSince(), comeBack), comeBackMost))
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	r.Inputs = m.facts(m.book.Account(a.ID), n)
-	return r
+func (c *shareController) refuseNoShare(account *bbplan.Account, n bbunit.Tokens) *Refusal {
+	refusal := refuseNotRun("no share of the account's money at hand", min(max(c.outage(), defaultRetryAfter), maxRetryAfter))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	refusal.LogFields = c.logFields(c.allocator.Account(account.ID), n)
+	return refusal
 }
 
-// uncovered refuses what the account cannot cover, as the store has just told,
+// refuseUncovered refuses what the account cannot cover, as the store has just told,
 // or what only other instances' shares could.
-func (m *money) uncovered(a *bbplan.Account, n bbunit.Tokens) *Refusal {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	l := m.book.Account(a.ID)
-	fresh := !l.UsesRemoteHome() && l.RowLoaded() && m.now().Sub(m.last) <= shareWait
+func (c *shareController) refuseUncovered(account *bbplan.Account, n bbunit.Tokens) *Refusal {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	share := c.allocator.Account(account.ID)
+	fresh := !share.UsesRemoteHome() && share.RowLoaded() && c.now().Sub(c.lastReplyAt) <= shareTimeout
 	switch {
-	case l.UsesRemoteHome() && m.loans.brokeJustNow(a.ID), fresh && !l.Covers(n, m.book.Holder):
-		return &Refusal{Status: http.StatusPaymentRequired, Reason: "the account's balance does not cover the request", Inputs: m.facts(l, n)}
-	case !fresh || l.Free()+l.Balance.Available() >= n:
+	case share.UsesRemoteHome() && c.loans.uncoveredRecently(account.ID), fresh && !share.Covers(n, c.allocator.Holder):
+		return &Refusal{Status: http.StatusPaymentRequired, Reason: "the account's balance does not cover the request", LogFields: c.logFields(share, n)}
+	case !fresh || share.Free()+share.Balance.Available() >= n:
 		return nil
 	}
-	r := notRun("the rest of the account's money is in other instances' shares", comeBack)
-	r.Inputs = m.facts(l, n)
-	return r
+	refusal := refuseNotRun("the rest of the account's money is in other instances' shares", defaultRetryAfter)
+	refusal.LogFields = c.logFields(share, n)
+	return refusal
 }
 
-// facts are what decides whether a share is to be had.
-func (m *money) facts(l *bbshare.AccountShare, n bbunit.Tokens) logrus.Fields {
+// logFields are what decides whether a share is to be had.
+func (c *shareController) logFields(share *bbshare.AccountShare, n bbunit.Tokens) logrus.Fields {
 	return logrus.Fields{
-		"account": l.ID, "tokens": n, "here": l.Balance.Available(), "free": l.Free(), "others": l.UnspentByOthers(m.book.Holder),
-		"age": m.now().Sub(m.last).Milliseconds(),
+		"account": share.ID, "tokens": n, "here": share.Balance.Available(), "free": share.Free(), "others": share.UnspentByOthers(c.allocator.Holder),
+		"age": c.now().Sub(c.lastReplyAt).Milliseconds(),
 	}
 }
 
 // run draws shares until ctx ends.
-func (m *money) run(ctx context.Context) {
-	t := time.NewTicker(moneyTick)
-	defer t.Stop()
-	ticked, told := m.now(), m.now()
+func (c *shareController) run(ctx context.Context) {
+	ticker := time.NewTicker(shareCheckInterval)
+	defer ticker.Stop()
+	lastTickAt, lastLoggedAt := c.now(), c.now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
-		case <-m.poke:
-			if m.board.Homes() {
-				bbclock.Wait(ctx, homeBatch) // one write for what several members need
+		case <-ticker.C:
+		case <-c.wakeup:
+			if c.shared.UsesHomes() {
+				bbclock.Wait(ctx, homeBatchDelay) // one write for what several members need
 			}
 		}
-		if m.board.Plan.Load() == nil {
+		if c.shared.Plan.Load() == nil {
 			continue
 		}
-		m.mu.Lock()
-		if now := m.now(); now.Sub(ticked) >= time.Second {
-			m.book.Tick(now)
-			ticked = now
-			if now.Sub(told) >= moneyTold {
-				told = now
-				m.log.WithFields(logrus.Fields{"event": "money", "age": now.Sub(m.last).Milliseconds(), "accounts": m.book.Status(), "calls": m.rows.Calls()}).Info("shares held")
+		c.mu.Lock()
+		if now := c.now(); now.Sub(lastTickAt) >= time.Second {
+			c.allocator.Tick(now)
+			lastTickAt = now
+			if now.Sub(lastLoggedAt) >= shareLogInterval {
+				lastLoggedAt = now
+				c.log.WithFields(logrus.Fields{"event": "money", "age": now.Sub(c.lastReplyAt).Milliseconds(), "accounts": c.allocator.Status(), "calls": c.store.Calls()}).Info("shares held")
 			}
 		}
-		m.mu.Unlock()
-		m.draw(ctx)
+		c.mu.Unlock()
+		c.draw(ctx)
 	}
 }
 
-// pay tells the book what accounts have paid.
-func (m *money) pay() {
-	plan := m.board.Plan.Load()
-	if plan == nil || plan == m.plan {
+// applyPayments tells the book what accounts have paid.
+func (c *shareController) applyPayments() {
+	plan := c.shared.Plan.Load()
+	if plan == nil || plan == c.plan {
 		return
 	}
-	m.plan = plan
+	c.plan = plan
 	for _, a := range plan.Accounts {
 		if a.Prepaid {
-			m.book.SetPaid(a.ID, a.Paid)
+			c.allocator.SetPaid(a.ID, a.Paid)
 		}
 	}
 }
 
-// start reads all rows once, so that the first requests need no conflict.
-func (m *money) start(ctx context.Context) {
-	entries, _, err := m.rows.List(ctx, moneyPrefix)
+// readAll reads all rows once, so that the first requests need no conflict.
+func (c *shareController) readAll(ctx context.Context) {
+	entries, _, err := c.store.List(ctx, moneyPrefix)
 	if err != nil {
-		m.log.WithError(err).Warn("money rows not read; they are read with the first write")
+		c.log.WithError(err).Warn("money rows not read; they are read with the first write")
 		return
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.told(m.book.ApplyRows(entries))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.logBadRows(c.allocator.ApplyRows(entries))
 }
 
 // draw writes what is due, and again after a conflict.
-func (m *money) draw(ctx context.Context) {
-	for range drawTries {
-		m.mu.Lock()
-		m.pay()
-		holders := m.loans.homes()
-		m.loans.askHomes(m.book.LoanRequests(bbshare.DefaultHomePolicy(), int(m.board.Instances.Load())))
-		now, every := m.now(), aheadEvery
-		if m.board.Homes() {
-			every = homeAheadEvery
+func (c *shareController) draw(ctx context.Context) {
+	for range maxDrawTries {
+		c.mu.Lock()
+		c.applyPayments()
+		holders := c.loans.updateHomes()
+		c.loans.borrowFromHomes(c.allocator.LoanRequests(bbshare.DefaultHomePolicy(), int(c.shared.Instances.Load())))
+		now, interval := c.now(), prefetchInterval
+		if c.shared.UsesHomes() {
+			interval = homePrefetchInterval
 		}
-		d := m.book.NextWrite(holders, now.Sub(m.ahead) >= every)
-		if d != nil {
-			m.ahead = now
+		rowWrite := c.allocator.NextWrite(holders, now.Sub(c.lastWriteAt) >= interval)
+		if rowWrite != nil {
+			c.lastWriteAt = now
 		}
-		m.mu.Unlock()
-		if d == nil {
-			m.wake()
+		c.mu.Unlock()
+		if rowWrite == nil {
+			c.notifyWaiters()
 			return
 		}
-		if !errors.Is(m.write(ctx, d), bbstore.ErrConflict) {
+		if !errors.Is(c.write(ctx, rowWrite), bbstore.ErrConflict) {
 			return
 		}
 	}
 }
 
 // write carries out one write and takes its outcome.
-func (m *money) write(ctx context.Context, d *bbshare.RowWrite) error {
-	call, cancel := context.WithTimeout(ctx, swapTime)
-	rev, now, err := m.rows.Swap(call, d.Rows, 0)
+func (c *shareController) write(ctx context.Context, rowWrite *bbshare.RowWrite) error {
+	callCtx, cancel := context.WithTimeout(ctx, swapTimeout)
+	rev, now, err := c.store.Swap(callCtx, rowWrite.Rows, 0)
 	cancel()
-	m.mu.Lock()
-	m.told(m.book.FinishWrite(d, rev, now, err))
+	c.mu.Lock()
+	c.logBadRows(c.allocator.FinishWrite(rowWrite, rev, now, err))
 	if err == nil || errors.Is(err, bbstore.ErrConflict) {
-		m.last = m.now()
-		m.lost.Store(0)
+		c.lastReplyAt = c.now()
+		c.lostAt.Store(0)
 	} else {
-		m.lost.CompareAndSwap(0, m.now().UnixNano())
+		c.lostAt.CompareAndSwap(0, c.now().UnixNano())
 	}
-	m.mu.Unlock()
+	c.mu.Unlock()
 	if !errors.Is(err, bbstore.ErrConflict) {
-		m.wake()
+		c.notifyWaiters()
 	}
 	if err != nil && !errors.Is(err, bbstore.ErrConflict) {
-		m.pause = min(max(2*m.pause, storePause), moneyPauseMost)
-		bbclock.Wait(ctx, m.pause)
+		c.backoff = min(max(2*c.backoff, minStoreBackoff), maxShareBackoff)
+		bbclock.Wait(ctx, c.backoff)
 	} else {
-		m.pause = 0
+		c.backoff = 0
 	}
 	return err
 }
 
-// wake lets those that wait for a share look again.
-func (m *money) wake() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	close(m.drawn)
-	m.drawn = make(chan struct{})
+// notifyWaiters lets those that wait for a share look again.
+func (c *shareController) notifyWaiters() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	close(c.written)
+	c.written = make(chan struct{})
 }
 
-func (m *money) told(bad []error) {
-	for _, err := range bad {
-		m.log.WithError(err).Error("money row not readable; nothing is drawn from it")
+func (c *shareController) logBadRows(errs []error) {
+	for _, err := range errs {
+		c.log.WithError(err).Error("money row not readable; nothing is drawn from it")
 	}
 }
 
-// leave gives back what lies unused; requests still find what they ask for.
-func (m *money) leave() {
-	m.mu.Lock()
-	m.book.Drain()
-	m.mu.Unlock()
-	m.poked()
+// drain gives back what lies unused; requests still find what they ask for.
+func (c *shareController) drain() {
+	c.mu.Lock()
+	c.allocator.Drain()
+	c.mu.Unlock()
+	c.wake()
 }
 
 // close gives back what is unspent, and tries until ctx ends.
-func (m *money) close(ctx context.Context) {
+func (c *shareController) close(ctx context.Context) {
 	for {
-		m.mu.Lock()
-		d := m.book.Close()
-		m.mu.Unlock()
-		if d == nil {
-			m.log.WithField("event", "money-closed").Info("nothing to give back")
+		c.mu.Lock()
+		rowWrite := c.allocator.Close()
+		c.mu.Unlock()
+		if rowWrite == nil {
+			c.log.WithField("event", "money-closed").Info("nothing to give back")
 			return
 		}
-		err := m.write(ctx, d)
+		err := c.write(ctx, rowWrite)
 		if err == nil {
-			m.log.WithFields(logrus.Fields{"event": "money-closed", "accounts": len(d.Rows)}).Info("shares given back")
+			c.log.WithFields(logrus.Fields{"event": "money-closed", "accounts": len(rowWrite.Rows)}).Info("shares given back")
 			return
 		}
 		if ctx.Err() != nil {
-			m.log.WithError(err).WithField("event", "money-stuck").Warn("shares not given back; they count as spent")
+			c.log.WithError(err).WithField("event", "money-stuck").Warn("shares not given back; they count as spent")
 			return
 		}
 	}
--- a/bluebellport/proxy/state.go
+++ b/bluebellport/proxy/state.go
@@ -11,45 +11,45 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Board is what controllers write and requests read: immutable snapshots, each
+// SharedState is what controllers write and requests read: immutable snapshots, each
 // replaced whole by the controller that owns it.
-type Board struct {
+type SharedState struct {
 	// Plan is what the operators declared; the plan follower owns it.
 	Plan atomic.Pointer[bbplan.Plan]
-	// Groups are the targets by service; the target follower owns it.
-	Groups atomic.Pointer[map[bbunit.ServiceID]*Group]
+	// Services are the targets by service; the target follower owns it.
+	Services atomic.Pointer[map[bbunit.ServiceID]*ServiceTargets]
 	// Leaving is set once the instance was told to stop.
 	Leaving atomic.Bool
-	// Crowded is set while the instance has more traffic than its link carries.
-	Crowded atomic.Bool
+	// LinkSaturated is set while the instance has more traffic than its link carries.
+	LinkSaturated atomic.Bool
 	// Instances is how many instances share the accounts, at least 1.
 	Instances atomic.Int64
 }
 
-// Group is the targets of one service.
-type Group struct {
-	Servers []*Server
-	// Places are the same targets as decisions see them.
-	Places []*bbplace.Target
+// ServiceTargets is the targets of one service.
+type ServiceTargets struct {
+	Targets []*Target
+	// Candidates are the same targets as decisions see them.
+	Candidates []*bbplace.Target
 }
 
 // Ready tells whether requests can be served.
-func (b *Board) Ready() bool {
-	return b.Plan.Load() != nil && b.Groups.Load() != nil && !b.closing()
+func (s *SharedState) Ready() bool {
+	return s.Plan.Load() != nil && s.Services.Load() != nil && !s.closeConns()
 }
 
-// Homes tells whether the fleet is so large that accounts have homes that draw
+// UsesHomes tells whether the fleet is so large that accounts have homes that draw
 // for the others of their failure domain.
-func (b *Board) Homes() bool { return b.Instances.Load() > directFleet }
+func (s *SharedState) UsesHomes() bool { return s.Instances.Load() > maxDirectFleet }
 
-// closing tells whether callers are asked to connect anew.
-func (b *Board) closing() bool { return b.Leaving.Load() || b.Crowded.Load() }
+// closeConns tells whether callers are asked to connect anew.
+func (s *SharedState) closeConns() bool { return s.Leaving.Load() || s.LinkSaturated.Load() }
 
-// group returns the targets of a service, nil when none is known.
-func (b *Board) group(id bbunit.ServiceID) *Group {
-	groups := b.Groups.Load()
-	if groups == nil {
+// targetsOf returns the targets of a service, nil when none is known.
+func (s *SharedState) targetsOf(id bbunit.ServiceID) *ServiceTargets {
+	services := s.Services.Load()
+	if services == nil {
 		return nil
 	}
-	return (*groups)[id]
+	return (*services)[id]
 }
--- a/bluebellport/proxy/stream.go
+++ b/bluebellport/proxy/stream.go
@@ -9,86 +9,86 @@
 	"github.com/juju/errors"
 )
 
-// stream is what the caller has of a stream of events. The zero value has
+// streamState is what the caller has of a stream of events. The zero value has
 // nothing.
-type stream struct {
-	begun  bool
-	whole  bool
-	events int
-	first  time.Time     // when the first event came
-	at     time.Time     // when the last one came
-	gap    time.Duration // the longest pause
-	last   int64         // id of the last event passed on
+type streamState struct {
+	started      bool
+	complete     bool
+	eventCount   int
+	firstEventAt time.Time     // when the first event came
+	lastEventAt  time.Time     // when the last one came
+	longestGap   time.Duration // the longest pause
+	lastID       int64         // id of the last event passed on
 }
 
-// came notes the time of an event.
-func (s *stream) came(now time.Time) {
-	if s.first.IsZero() {
-		s.first = now
+// recordEvent notes the time of an event.
+func (s *streamState) recordEvent(now time.Time) {
+	if s.firstEventAt.IsZero() {
+		s.firstEventAt = now
 	} else {
-		s.gap = max(s.gap, now.Sub(s.at))
+		s.longestGap = max(s.longestGap, now.Sub(s.lastEventAt))
 	}
-	s.at = now
+	s.lastEventAt = now
 }
 
-// lastID is the id after which another target has to go on; empty when the
+// resumeID is the id after which another target has to go on; empty when the
 // stream has not begun.
-func (s *stream) lastID() string {
-	if !s.begun || s.last == 0 {
+func (s *streamState) resumeID() string {
+	if !s.started || s.lastID == 0 {
 		return ""
 	}
-	return strconv.FormatInt(s.last, 10)
+	return strconv.FormatInt(s.lastID, 10)
 }
 
-// errOrder means that an event is not the one that follows.
-var errOrder = errors.New("event out of order")
+// errEventOrder means that an event is not the one that follows.
+var errEventOrder = errors.New("event out of order")
 
-// passStream passes events on as they come, each whole. A stream that breaks off
+// forwardStream passes events on as they come, each whole. A stream that breaks off
 // can go on at another target from the last whole event, under the first head.
-func (x *exchange) passStream(c *targetConn, a *Answer) ending {
-	b := answerBody(c.br, a.frame, a.Status, x.q.Method)
-	closing := x.q.Close || x.door.board.closing()
-	if !x.stream.begun {
-		x.stream.begun = true
-		x.stream.last = startOf(x.q.LastEvent)
-		if err := x.caller.write(answerHead(a, -1, closing)); err != nil {
-			_ = c.Close()
-			return ending{kind: endGone, err: err}
+func (x *exchange) forwardStream(conn *targetConn, resp *Response) attemptResult {
+	b := responseBody(conn.br, resp.framing, resp.Status, x.req.Method)
+	closeConn := x.req.Close || x.proxy.shared.closeConns()
+	if !x.stream.started {
+		x.stream.started = true
+		x.stream.lastID = parseLastEventID(x.req.LastEventID)
+		if err := x.client.write(responseHead(resp, -1, closeConn)); err != nil {
+			_ = conn.Close()
+			return attemptResult{kind: resultGone, err: err}
 		}
 	}
-	err := x.passEvents(c, b)
+	err := x.forwardEvents(conn, b)
 	switch {
 	case err == nil:
-		x.stream.whole = true
-		c.park()
-		werr := x.caller.write([]byte("0\r\n\r\n"))
-		return ending{kind: endDone, err: werr, keep: werr == nil && !closing}
-	case errors.Is(err, errCaller):
-		_ = c.Close()
-		return ending{kind: endGone, err: err}
+		x.stream.complete = true
+		conn.release()
+		writeErr := x.client.write([]byte("0\r\n\r\n"))
+		return attemptResult{kind: resultDone, err: writeErr, keepConn: writeErr == nil && !closeConn}
+	case errors.Is(err, errClient):
+		_ = conn.Close()
+		return attemptResult{kind: resultGone, err: err}
 	}
-	_ = c.Close()
-	return x.broken(err)
+	_ = conn.Close()
+	return x.connFailure(err)
 }
 
-// startOf is the event that a caller has when it resumes a stream.
-func startOf(last string) int64 {
-	n, err := parseDigits(last, 10)
+// parseLastEventID is the event that a caller has when it resumes a stream.
+func parseLastEventID(text string) int64 {
+	n, err := parseDigits(text, 10)
 	if err != nil {
 		return 0
 	}
 	return n
 }
 
-// errCaller marks an error of the caller's connection.
-const errCaller = errors.ConstError("caller's connection")
+// errClient marks an error of the caller's connection.
+const errClient = errors.ConstError("caller's connection")
 
-// passEvents reads events until the body ends whole, and returns nil then.
-func (x *exchange) passEvents(c *targetConn, b *body) error {
+// forwardEvents reads events until the body ends whole, and returns nil then.
+func (x *exchange) forwardEvents(conn *targetConn, b *bodyReader) error {
 	buf := make([]byte, 0, bufferSize)
 	for {
-		if x.route.Repeatable() && x.sends < x.route.MaxAttempts {
-			_ = c.SetReadDeadline(earlier(x.end, time.Now().Add(max(patienceGaps*x.route.EventGapObjective, leastPatience))))
+		if x.route.Repeatable() && x.sentAttempts < x.route.MaxAttempts {
+			_ = conn.SetReadDeadline(earlier(x.deadline, time.Now().Add(max(gapTimeoutFactor*x.route.EventGapObjective, minResponseTimeout))))
 		}
 		if len(buf) == cap(buf) {
 			if len(buf) >= maxEvent {
@@ -98,12 +98,12 @@
 		}
 		n, err := b.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		rest, perr := x.passWhole(buf)
-		if perr != nil {
-			return perr
+		rest, forwardErr := x.forwardComplete(buf)
+		if forwardErr != nil {
+			return forwardErr
 		}
 		buf = append(buf[:0], rest...)
-		if err == io.EOF || err == nil && b.ended {
+		if err == io.EOF || err == nil && b.complete {
 			if len(buf) > 0 {
 				return io.ErrUnexpectedEOF
 			}
@@ -115,25 +115,25 @@
 	}
 }
 
-// passWhole writes the whole events at the start of buf as one chunk, and
+// forwardComplete writes the whole events at the start of buf as one chunk, and
 // returns what is left.
-func (x *exchange) passWhole(buf []byte) ([]byte, error) {
-	events, rest, err := x.stream.take(buf, x.sends > 1)
+func (x *exchange) forwardComplete(buf []byte) ([]byte, error) {
+	events, rest, err := x.stream.splitEvents(buf, x.sentAttempts > 1)
 	if err != nil {
 		return nil, err
 	}
 	if len(events) > 0 {
-		if err := x.caller.write(chunk(events)); err != nil {
-			return nil, errors.WithType(err, errCaller)
+		if err := x.client.write(encodeChunk(events)); err != nil {
+			return nil, errors.WithType(err, errClient)
 		}
 	}
 	return rest, nil
 }
 
-// take returns the whole events at the start of buf that the caller has not yet,
+// splitEvents returns the whole events at the start of buf that the caller has not yet,
 // and what is behind them. Only a resumed stream may begin with events that the
 // caller has; else an event that does not follow the last one is an error.
-func (s *stream) take(buf []byte, resumed bool) (events, rest []byte, err error) {
+func (s *streamState) splitEvents(buf []byte, resumed bool) (events, rest []byte, err error) {
 	start, end := 0, 0
 	for {
 		i := bytes.Index(buf[end:], []byte("\n\n"))
@@ -144,20 +144,20 @@
 		end += len(event)
 		switch id := eventID(event); {
 		case id == 0:
-		case id <= s.last && resumed && start == end-len(event):
+		case id <= s.lastID && resumed && start == end-len(event):
 			start = end
-		case id != s.last+1:
-			return nil, nil, errors.Annotatef(errOrder, "%d after %d", id, s.last)
+		case id != s.lastID+1:
+			return nil, nil, errors.Annotatef(errEventOrder, "%d after %d", id, s.lastID)
 		default:
-			s.last = id
-			s.events++
-			s.came(time.Now())
+			s.lastID = id
+			s.eventCount++
+			s.recordEvent(time.Now())
 		}
 	}
 }
 
-// chunk frames bytes for a chunked body.
-func chunk(data []byte) []byte {
+// encodeChunk frames bytes for a chunked body.
+func encodeChunk(data []byte) []byte {
 	out := make([]byte, 0, len(data)+16)
 	out = strconv.AppendInt(out, int64(len(data)), 16)
 	out = append(out, "\r\n"...)
--- a/bluebellport/proxy/target.go
+++ b/bluebellport/proxy/target.go
@@ -11,75 +11,75 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Server is a target as the door uses it: what is known of it, and the
+// Target is a target as the door uses it: what is known of it, and the
 // connections to it.
-type Server struct {
+type Target struct {
 	bbplace.Target
-	pool *pool
+	conns *connPool
 }
 
-// Roster holds the targets by id. The target follower owns it.
-type Roster struct {
+// TargetSet holds the targets by id. The target follower owns it.
+type TargetSet struct {
 	now     func() time.Time
-	meter   *meter
-	servers map[bbunit.TargetID]*Server
+	traffic *trafficMeter
+	targets map[bbunit.TargetID]*Target
 }
 
-// NewRoster returns an empty roster.
-func NewRoster(now func() time.Time, m *meter) *Roster {
-	return &Roster{now: now, meter: m, servers: map[bbunit.TargetID]*Server{}}
+// NewTargetSet returns an empty roster.
+func NewTargetSet(now func() time.Time, traffic *trafficMeter) *TargetSet {
+	return &TargetSet{now: now, traffic: traffic, targets: map[bbunit.TargetID]*Target{}}
 }
 
 // Put takes an entry. It tells whether anything changed that requests see.
-func (r *Roster) Put(t bbplan.Target) bool {
-	old := r.servers[t.ID]
-	if old != nil && old.Target.Target == t {
+func (set *TargetSet) Put(entry bbplan.Target) bool {
+	old := set.targets[entry.ID]
+	if old != nil && old.Target.Target == entry {
 		return false
 	}
-	if old != nil && old.Address == t.Address && old.StartedAtMillis == t.StartedAtMillis {
-		next := *old
-		next.Target.Target = t
-		r.servers[t.ID] = &next
+	if old != nil && old.Address == entry.Address && old.StartedAtMillis == entry.StartedAtMillis {
+		updated := *old
+		updated.Target.Target = entry
+		set.targets[entry.ID] = &updated
 		return true
 	}
 	if old != nil {
-		old.pool.shut()
+		old.conns.close()
 	}
-	k := &bbplace.TargetState{}
-	s := &Server{Target: bbplace.Target{Target: t, State: k}}
-	s.pool = &pool{address: t.Address, meter: r.meter, load: func(running, waiting, slots int) { k.ReportLoad(running, waiting, slots, r.now()) }}
-	r.servers[t.ID] = s
+	state := &bbplace.TargetState{}
+	target := &Target{Target: bbplace.Target{Target: entry, State: state}}
+	target.conns = &connPool{address: entry.Address, meter: set.traffic, onLoad: func(running, waiting, slots int) { state.ReportLoad(running, waiting, slots, set.now()) }}
+	set.targets[entry.ID] = target
 	return true
 }
 
-// Drop forgets a target.
-func (r *Roster) Drop(id bbunit.TargetID) {
-	if s := r.servers[id]; s != nil {
-		s.pool.shut()
-		delete(r.servers, id)
+// Remove forgets a target.
+func (set *TargetSet) Remove(id bbunit.TargetID) {
+	if target := set.targets[id]; target != nil {
+		target.conns.close()
+		delete(set.targets, id)
 	}
 }
 
-// Groups returns the targets by service.
-func (r *Roster) Groups() *map[bbunit.ServiceID]*Group {
-	out := map[bbunit.ServiceID]*Group{}
-	for _, s := range r.servers {
-		g := out[s.Service]
-		if g == nil {
-			g = &Group{}
-			out[s.Service] = g
+// ByService returns the targets by service.
+func (set *TargetSet) ByService() *map[bbunit.ServiceID]*ServiceTargets {
+	out := map[bbunit.ServiceID]*ServiceTargets{}
+	for _, target := range set.targets {
+		service := out[target.Service]
+		if service == nil {
+			service = &ServiceTargets{}
+			out[target.Service] = service
 		}
-		g.Servers = append(g.Servers, s)
-		g.Places = append(g.Places, &s.Target)
+		service.Targets = append(service.Targets, target)
+		service.Candidates = append(service.Candidates, &target.Target)
 	}
 	return &out
 }
 
 // Digest is a hash of all targets that two rosters share when they are equal.
-func (r *Roster) Digest() uint64 {
+func (set *TargetSet) Digest() uint64 {
 	var sum uint64
-	for _, s := range r.servers {
-		sum ^= xxhash.Sum64String(fmt.Sprint(s.Target.Target))
+	for _, target := range set.targets {
+		sum ^= xxhash.Sum64String(fmt.Sprint(target.Target.Target))
 	}
 	return sum
 }
--- a/bluebellport/proxy/traffic.go
+++ b/bluebellport/proxy/traffic.go
@@ -11,91 +11,91 @@
 	"bluebellport.example/shared/bbclock"
 )
 
-// meter counts the bytes that an instance reads and writes.
-type meter struct{ in, out atomic.Int64 }
+// trafficMeter counts the bytes that an instance reads and writes.
+type trafficMeter struct{ in, out atomic.Int64 }
 
-// meteredConn is a connection whose bytes are counted.
-type meteredConn struct {
+// countedConn is a connection whose bytes are counted.
+type countedConn struct {
 	*net.TCPConn
-	m *meter
+	meter *trafficMeter
 }
 
-// wrap returns the connection counted, if it is one over TCP.
-func (m *meter) wrap(c net.Conn) net.Conn {
+// count returns the connection counted, if it is one over TCP.
+func (m *trafficMeter) count(c net.Conn) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		return meteredConn{tcp, m}
+		return countedConn{tcp, m}
 	}
 	return c
 }
 
 // Read counts what it reads.
-func (c meteredConn) Read(b []byte) (int, error) {
+func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	c.m.in.Add(int64(n))
+	c.meter.in.Add(int64(n))
 	return n, err
 }
 
 // Write counts what it writes.
-func (c meteredConn) Write(b []byte) (int, error) {
+func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
-	c.m.out.Add(int64(n))
+	c.meter.out.Add(int64(n))
 	return n, err
 }
 
-// guard decides when an instance has more traffic than its link carries. Then it
+// saturationDetector decides when an instance has more traffic than its link carries. Then it
 // asks the balancer for no new connections, and callers to connect anew, so that
 // others take a part. The zero value without a limit never does.
-type guard struct {
-	limit   float64 // bytes a second, of each direction; 0: none
-	above   int     // ticks in a row above the high mark
-	until   time.Time
-	crowded bool
+type saturationDetector struct {
+	limit      float64 // bytes a second, of each direction; 0: none
+	ticksAbove int     // ticks in a row above the high mark
+	holdUntil  time.Time
+	saturated  bool
 }
 
 const (
-	// guardEvery is the time between two looks at the traffic.
-	guardEvery = 250 * time.Millisecond
-	// guardTicks is how many of them in a row must be above guardHigh.
-	guardTicks = 2
-	// guardHigh and guardLow are parts of the link's rate.
-	guardHigh = 0.55
-	guardLow  = 0.3
-	// guardHold is the least time that an instance stays out.
-	guardHold = 3 * time.Second
+	// linkCheckInterval is the time between two looks at the traffic.
+	linkCheckInterval = 250 * time.Millisecond
+	// saturationTicks is how many of them in a row must be above guardHigh.
+	saturationTicks = 2
+	// saturationHigh and guardLow are parts of the link's rate.
+	saturationHigh = 0.55
+	saturationLow  = 0.3
+	// saturationHold is the least time that an instance stays out.
+	saturationHold = 3 * time.Second
 )
 
-// tick takes the traffic since the last one, in bytes a second of the busier
+// update takes the traffic since the last one, in bytes a second of the busier
 // direction, and returns whether the instance is crowded.
-func (g *guard) tick(rate float64, now time.Time) bool {
-	if g.limit <= 0 {
+func (d *saturationDetector) update(rate float64, now time.Time) bool {
+	if d.limit <= 0 {
 		return false
 	}
-	if rate > guardHigh*g.limit {
-		g.above++
+	if rate > saturationHigh*d.limit {
+		d.ticksAbove++
 	} else {
-		g.above = 0
+		d.ticksAbove = 0
 	}
 	switch {
-	case g.above >= guardTicks:
-		g.crowded, g.until = true, now.Add(guardHold)
-	case g.crowded && rate < guardLow*g.limit && now.After(g.until):
-		g.crowded = false
+	case d.ticksAbove >= saturationTicks:
+		d.saturated, d.holdUntil = true, now.Add(saturationHold)
+	case d.saturated && rate < saturationLow*d.limit && now.After(d.holdUntil):
+		d.saturated = false
 	}
-	return g.crowded
+	return d.saturated
 }
 
 // watchLink runs the guard until ctx ends.
-func (d *Door) watchLink(ctx context.Context) {
-	g := guard{limit: d.set.LinkMbps * 1e6 / 8}
-	in, out, at := d.meter.in.Load(), d.meter.out.Load(), d.now()
+func (p *Proxy) watchLink(ctx context.Context) {
+	detector := saturationDetector{limit: p.settings.LinkMbps * 1e6 / 8}
+	in, out, last := p.traffic.in.Load(), p.traffic.out.Load(), p.now()
 	for ctx.Err() == nil {
-		bbclock.Wait(ctx, guardEvery)
-		in2, out2, at2 := d.meter.in.Load(), d.meter.out.Load(), d.now()
-		dt := max(at2.Sub(at).Seconds(), guardEvery.Seconds())
-		rate := float64(max(in2-in, out2-out)) / dt
-		in, out, at = in2, out2, at2
-		if crowded := g.tick(rate, at2); d.board.Crowded.Swap(crowded) != crowded {
-			d.log.WithFields(logrus.Fields{"event": "crowded", "crowded": crowded, "rate": int64(rate), "limit": int64(g.limit)}).Info("traffic against the link")
+		bbclock.Wait(ctx, linkCheckInterval)
+		newIn, newOut, now := p.traffic.in.Load(), p.traffic.out.Load(), p.now()
+		elapsed := max(now.Sub(last).Seconds(), linkCheckInterval.Seconds())
+		rate := float64(max(newIn-in, newOut-out)) / elapsed
+		in, out, last = newIn, newOut, now
+		if saturated := detector.update(rate, now); p.shared.LinkSaturated.Swap(saturated) != saturated {
+			p.log.WithFields(logrus.Fields{"event": "crowded", "crowded": saturated, "rate": int64(rate), "limit": int64(detector.limit)}).Info("traffic against the link")
 		}
 	}
 }
--- a/bluebellport/proxy/traffic_test.go
+++ b/bluebellport/proxy/traffic_test.go
@@ -10,23 +10,23 @@
 // The load: a link of 1,000 bytes a second with a burst of traffic. The instance
 // steps back after two looks, stays back for a while, and returns once the
 // traffic has gone; one look above the mark does nothing.
-func TestGuard(t *testing.T) {
+func TestSaturationDetector(t *testing.T) {
 	is := is.New(t)
-	g := guard{limit: 1000}
+	detector := saturationDetector{limit: 1000}
 	now := time.Unix(0, 0)
 	tick := func(rate float64) bool {
-		now = now.Add(guardEvery)
-		return g.tick(rate, now)
+		now = now.Add(linkCheckInterval)
+		return detector.update(rate, now)
 	}
 	is.True(!tick(900))
 	is.True(!tick(100))
 	is.True(!tick(900))
 	is.True(tick(900))
-	for range int(guardHold/guardEvery) - 1 {
+	for range int(saturationHold/linkCheckInterval) - 1 {
 		is.True(tick(100))
 	}
 	is.True(tick(400)) // the time is over, the traffic is not
 	is.True(tick(100) == false)
-	var none guard
-	is.True(!none.tick(1e12, now))
+	var unlimited saturationDetector
+	is.True(!unlimited.update(1e12, now))
 }
--- a/bluebellport/src/admin.go
+++ b/bluebellport/src/admin.go
@@ -29,7 +29,7 @@
 	a.app = fiber.New(fiber.Config{DisableStartupMessage: true})
 	a.app.Get("/healthz", func(c *fiber.Ctx) error { return c.SendString("ok\n") })
 	a.app.Get("/readyz", a.ready)
-	a.app.Get("/metrics", bbmetrics.Page(p.Metrics))
+	a.app.Get("/metrics", bbmetrics.Handler(p.Metrics))
 	a.app.Post("/order", a.orders)
 	a.app.Get("/status", func(c *fiber.Ctx) error { return c.JSON(a.status()) })
 	return a
--- a/bluebellport/src/native.go
+++ b/bluebellport/src/native.go
@@ -99,7 +99,7 @@
 // View returns the live fleet.
 func (p *Peers) View() *bbmember.View { return p.parts.Board.View.Load() }
 
-// Listed takes the platform's list of instances.
-func (p *Peers) Listed(list []bbmember.ListEntry) {
+// UpdateList takes the platform's list of instances.
+func (p *Peers) UpdateList(list []bbmember.ListEntry) {
 	p.members.do(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.UpdateList(now, list) })
 }
