--- a/bluebellport/metrics/text.go
+++ b/bluebellport/metrics/text.go
@@ -1,5 +1,4 @@
-// Package bbmetrics writes a registry of metrics as the usual collectors read
-// it.
+// Package bbmetrics writes a metrics registry in the Prometheus text format.
 package bbmetrics
 
 import (
@@ -12,19 +11,19 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// contentType is that of the text.
+// contentType is the media type of the Prometheus text format.
 const contentType = "text/plain; version=0.0.4"
 
-// prefix stands before all names.
+// prefix is put before all names.
 const prefix = "bluebellport_"
 
-// quantiles that the text shows of each distribution.
+// quantiles are those written of each distribution.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// nsPerSecond turns the nanoseconds of timers into seconds.
+// nsPerSecond converts the nanoseconds of timers to seconds.
 const nsPerSecond = 1e9
 
-// Handler returns a handler that answers with a registry's text.
+// Handler returns an HTTP handler that answers with the registry's metrics.
 func Handler(r metrics.Registry) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		c.Set(fiber.HeaderContentType, contentType)
@@ -32,8 +31,8 @@
 	}
 }
 
-// Text writes a registry in the Prometheus text format, sorted by name. Timers
-// are in seconds.
+// Text returns the metrics of a registry in the Prometheus text format, sorted by
+// line. Timers are in seconds.
 func Text(r metrics.Registry) []byte {
 	var lines []string
 	add := func(name, label string, v any) {
@@ -65,6 +64,8 @@
 	return b.Bytes()
 }
 
+// addQuantiles adds the count and the quantiles of a distribution, whose values are
+// divided by unit.
 func addQuantiles(add func(name, label string, v any), name string, n int64, values []float64, unit float64) {
 	add(name+"_count", "", n)
 	for i, q := range quantiles {
--- a/bluebellport/proxy/attempt.go
+++ b/bluebellport/proxy/attempt.go
@@ -10,39 +10,40 @@
 
 //go:generate enumer -type=resultKind -trimprefix=result -transform=kebab -output=resultkind_enumer.go
 
-// resultKind tells how an attempt ended.
+// resultKind tells how an attempt ended. The names appear in metrics and logs.
 type resultKind int
 
-// Ends of an attempt.
+// Results of an attempt.
 const (
-	// resultDone means that the caller has an answer.
+	// resultDone means that a target's answer was passed to the client.
 	resultDone resultKind = iota
-	// resultUnsent means that no byte of the request left.
+	// resultUnsent means that no byte of the request was sent.
 	resultUnsent
-	// resultNotRun means that the target says it did not run the request.
+	// resultNotRun means that the target states that it did not run the request.
 	resultNotRun
-	// resultBroken means that the request left and no usable answer came.
+	// resultBroken means that the request was sent and no usable answer came.
 	resultBroken
-	// resultLate means that the request's time was over.
+	// resultLate means that the request's deadline passed.
 	resultLate
-	// resultGone means that the caller left.
+	// resultGone means that the client closed its connection.
 	resultGone
 )
 
-// attemptResult is how an attempt ended.
+// attemptResult describes how an attempt ended.
 type attemptResult struct {
 	kind resultKind
 	err  error
-	// keepConn tells that the caller's connection stays.
+	// keepConn reports that the client's connection can be reused.
 	keepConn bool
-	// timedOut tells that the target did not answer in time, reset that it broke
-	// the connection off.
+	// timedOut reports that the target did not answer in time, connBroken that the
+	// connection to it broke.
 	timedOut, connBroken bool
-	// targetFailed tells that the answer that was passed on is a failure of the target.
+	// targetFailed reports that the answer passed to the client is a failure of the
+	// target.
 	targetFailed bool
 }
 
-// attempt sends the request to one target and passes its answer on.
+// attempt sends the request to one target and passes the answer to the client.
 func (x *exchange) attempt(target *Target) attemptResult {
 	x.tried = append(x.tried, target.ID)
 	x.lastTarget.Store(target)
@@ -64,7 +65,7 @@
 	if x.sentAttempts++; x.sentAttempts == 1 {
 		x.proxy.metrics.recordDispatch(x.req.ReceivedAt)
 	}
-	x.proxy.prefills.recordPrompt(target, x.unreadPrompt)
+	x.proxy.prefills.recordPrompt(target, x.uncachedPrompt)
 	result := x.roundTrip(target, conn)
 	x.setConn(nil)
 	if result.kind != resultDone && x.isAborted() {
@@ -73,7 +74,9 @@
 	return result
 }
 
-// roundTrip sends the request over c and reads its answer.
+// roundTrip sends the request over conn, reads the answer and passes it to the
+// client. A large body is written while the answer is read, since a target may
+// answer before it has read all of it.
 func (x *exchange) roundTrip(target *Target, conn *targetConn) attemptResult {
 	written := make(chan error, 1)
 	_ = conn.SetDeadline(x.deadline)
@@ -82,7 +85,7 @@
 		opts.priority = -1
 	}
 	head := x.req.forwardHead(opts)
-	x.mayHaveRun = true // until the target says otherwise
+	x.mayHaveRun = true // until the target rules it out
 	if len(x.req.Body) <= inlineBody {
 		_, err := conn.Write(append(head, x.req.Body...))
 		written <- err
@@ -102,13 +105,14 @@
 	case err := <-written:
 		conn.reusable = conn.reusable && err == nil
 	default:
-		conn.reusable = false // it answered before it had the whole body
+		conn.reusable = false // answered before the whole body was written
 	}
 	return x.handleResponse(conn, resp)
 }
 
-// awaitResponse reads the head of the request's answer, past whole answers that
-// belong to others.
+// awaitResponse reads the head of the request's response. It skips up to
+// maxForeignResponses whole responses to other requests, which a connection may
+// still hold.
 func (x *exchange) awaitResponse(conn *targetConn) (*Response, error) {
 	if x.route.Repeatable() && x.sentAttempts < x.route.MaxAttempts {
 		_ = conn.SetReadDeadline(earlier(x.deadline, time.Now().Add(x.headTimeout())))
@@ -128,16 +132,17 @@
 			return nil, err
 		}
 	}
-	return nil, errors.Annotate(ErrMalformed, "answer of another request")
+	return nil, errors.Annotate(ErrMalformed, "response to another request")
 }
 
-// headTimeout is how long a request that may be repeated waits for the head of an
-// answer before it is sent elsewhere.
+// headTimeout is how long a request that may be retried waits for the head of a
+// response before it is sent to another target.
 func (x *exchange) headTimeout() time.Duration {
 	return max(latencyTimeoutFactor*x.route.LatencyObjective, minResponseTimeout)
 }
 
-// handleResponse passes an answer on, if it is one.
+// handleResponse passes a response to the client, unless the target did not run
+// the request, its signature is missing or another attempt should follow.
 func (x *exchange) handleResponse(conn *targetConn, resp *Response) attemptResult {
 	if resp.saysNotRun() {
 		x.mayHaveRun = x.sentAttempts > 1
@@ -165,7 +170,8 @@
 	return x.writeResponse(resp, body)
 }
 
-// handleErrorStatus passes a target's own failure on, or leaves it for another attempt.
+// handleErrorStatus passes an error response of the target to the client, or
+// leaves it for another attempt.
 func (x *exchange) handleErrorStatus(resp *Response, body []byte) attemptResult {
 	result := attemptResult{kind: resultBroken, targetFailed: true, err: errors.Errorf("status %d", resp.Status)}
 	if x.stream.started {
@@ -176,17 +182,17 @@
 	}
 	switch resp.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
-		return result // the target does not say that it did not run the request
+		return result // these do not rule out that the request ran
 	}
 	delivered := x.writeResponse(resp, body)
 	delivered.targetFailed = resp.Status >= 500
 	return delivered
 }
 
-// writeResponse writes a whole answer.
+// writeResponse writes a response whose body has been read whole.
 func (x *exchange) writeResponse(resp *Response, body []byte) attemptResult {
 	x.stream.complete = true
-	closeConn := x.req.Close || x.proxy.shared.closeConns()
+	closeConn := x.req.Close || x.proxy.state.closeConns()
 	head := responseHead(resp, len(body), closeConn)
 	if x.req.Method == http.MethodHead {
 		body = nil
@@ -195,8 +201,8 @@
 	return attemptResult{kind: resultDone, err: err, keepConn: err == nil && !closeConn}
 }
 
-// discardResponse reads an answer that is not passed on, so that its connection can be
-// used again.
+// discardResponse reads a response that is not passed to the client, so that the
+// connection to the target can be reused.
 func (x *exchange) discardResponse(conn *targetConn, resp *Response) {
 	_ = conn.SetReadDeadline(time.Now().Add(discardTimeout))
 	if _, err := responseBody(conn.br, resp.framing, resp.Status, x.req.Method).readAll(maxResponseBody); err != nil || resp.framing.length < 0 && !resp.framing.chunked {
@@ -206,7 +212,7 @@
 	conn.release()
 }
 
-// connFailure is the end of an attempt whose connection failed.
+// connFailure returns the result of an attempt whose connection failed.
 func (x *exchange) connFailure(err error) attemptResult {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
--- a/bluebellport/proxy/body.go
+++ b/bluebellport/proxy/body.go
@@ -9,25 +9,27 @@
 	"github.com/juju/errors"
 )
 
-// bodyReader reads a message's body and knows whether it ended whole.
+// bodyReader reads the body of a message. It tells a body that is complete from one
+// that broke off.
 type bodyReader struct {
 	br        *bufio.Reader
 	framing   framing
-	remaining int64 // of the length, or of the chunk
+	remaining int64 // bytes left of the body, or of the chunk
 	complete  bool
-	// untilClose bodies end with their connection.
+	// untilClose marks a body that ends when its connection is closed.
 	untilClose bool
 }
 
-// requestBody reads the body of a request, which has none without a length.
+// requestBody returns a reader for the body of a request. A request without a
+// length has no body.
 func requestBody(br *bufio.Reader, f framing) *bodyReader {
 	b := &bodyReader{br: br, framing: f, remaining: f.length}
 	b.complete = !f.chunked && f.length <= 0
 	return b
 }
 
-// responseBody reads the body of an answer, which ends with its connection when no
-// length is given.
+// responseBody returns a reader for the body of a response. Without a length the
+// body ends when the connection is closed.
 func responseBody(br *bufio.Reader, f framing, status int, method string) *bodyReader {
 	if method == "HEAD" || status == 204 || status == 304 || status < 200 {
 		return &bodyReader{br: br, complete: true}
@@ -38,8 +40,8 @@
 	return b
 }
 
-// Read reads bytes of the body, and returns io.EOF only once it has ended
-// whole; io.ErrUnexpectedEOF when it broke off.
+// Read returns io.EOF only when the body is complete, and io.ErrUnexpectedEOF when
+// it broke off.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	if b.complete {
 		return 0, io.EOF
@@ -75,19 +77,20 @@
 	return n, nil
 }
 
-// readChunkEnd reads the line end behind a chunk.
+// readChunkEnd reads the line end that follows a chunk's data.
 func (b *bodyReader) readChunkEnd() error {
 	var crlf [2]byte
 	if _, err := io.ReadFull(b.br, crlf[:]); err != nil {
 		return unexpectedEOF(err)
 	}
 	if string(crlf[:]) != "\r\n" {
-		return errors.Annotate(ErrMalformed, "end of chunk")
+		return errors.Annotate(ErrMalformed, "no line end after a chunk")
 	}
 	return nil
 }
 
-// readChunkSize reads a chunk's size, and the trailer behind the last one.
+// readChunkSize reads the line before a chunk. After the last chunk it reads the
+// trailer, which is dropped.
 func (b *bodyReader) readChunkSize() error {
 	line, err := b.readLine()
 	if err != nil {
@@ -110,24 +113,25 @@
 			return nil
 		}
 	}
-	return errors.Annotate(ErrMalformed, "trailer")
+	return errors.Annotate(ErrMalformed, "trailer has too many lines")
 }
 
+// readLine reads a chunk-size or trailer line, without its line end.
 func (b *bodyReader) readLine() (string, error) {
 	line, err := b.br.ReadSlice('\n')
 	if err != nil {
 		if err == bufio.ErrBufferFull {
-			return "", errors.Annotate(ErrMalformed, "chunk line")
+			return "", errors.Annotate(ErrMalformed, "chunk size or trailer line")
 		}
 		return "", unexpectedEOF(err)
 	}
 	if len(line) > maxChunkLine || !bytes.HasSuffix(line, []byte("\r\n")) || !isFieldValue(string(line[:len(line)-2])) {
-		return "", errors.Annotate(ErrMalformed, "chunk line")
+		return "", errors.Annotate(ErrMalformed, "chunk size or trailer line")
 	}
 	return string(line[:len(line)-2]), nil
 }
 
-// readAll reads the whole body, up to limit bytes.
+// readAll reads the whole body. It returns ErrBodySize if that is above limit bytes.
 func (b *bodyReader) readAll(limit int) ([]byte, error) {
 	if b.complete {
 		return nil, nil
@@ -154,7 +158,7 @@
 	}
 }
 
-// unexpectedEOF is the error of a message that ended too early.
+// unexpectedEOF turns io.EOF into io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/bluebellport/proxy/clientconn.go
+++ b/bluebellport/proxy/clientconn.go
@@ -13,22 +13,23 @@
 	"bluebellport.example/shared/bbplan"
 )
 
-// clientConn is one connection of a client. One goroutine serves it; while a
-// request is under way another one watches whether the client is still there.
+// clientConn is a connection from a client. One goroutine serves it; during a
+// request a second one watches whether the client closes the connection.
 type clientConn struct {
 	net.Conn
 	br    *bufio.Reader
 	proxy *Proxy
-	// idle tells that no request is under way, so that a stop may close it.
+	// idle is set while no request is under way, so that a shutdown may close the
+	// connection.
 	idle atomic.Bool
-	// current is the request under way, nil when there is none.
+	// current is the request under way, nil if there is none.
 	current atomic.Pointer[exchange]
 }
 
-// limits returns the limits in force.
+// limits returns the limits of the plan in force, or else the defaults.
 func (c *clientConn) limits() bbplan.Limits {
 	limits := bbplan.Limits{MaxHeaderBytes: maxHead, MaxBodyBytes: maxBody, HeaderTimeout: defaultHeadTimeout, IdleTimeout: defaultIdleTimeout}
-	plan := c.proxy.shared.Plan.Load()
+	plan := c.proxy.state.Plan.Load()
 	if plan == nil {
 		return limits
 	}
@@ -38,7 +39,7 @@
 	return limits
 }
 
-// serve takes requests until the connection ends.
+// serve answers requests until the connection ends.
 func (c *clientConn) serve() {
 	defer func() { _ = c.Close() }()
 	for c.awaitRequest() {
@@ -50,7 +51,8 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request.
+// awaitRequest waits for the first byte of the next request and reports whether one
+// came.
 func (c *clientConn) awaitRequest() bool {
 	c.idle.Store(true)
 	_ = c.SetReadDeadline(time.Now().Add(c.limits().IdleTimeout))
@@ -61,7 +63,8 @@
 	return err == nil
 }
 
-// serveRequest reads and answers one request. It tells whether the connection stays.
+// serveRequest reads and answers one request. It reports whether the connection can
+// be reused.
 func (c *clientConn) serveRequest() bool {
 	limits := c.limits()
 	_ = c.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
@@ -82,7 +85,8 @@
 	return c.handle(req)
 }
 
-// handle serves a request while a watch tells when its client leaves.
+// handle answers a request while a second goroutine watches for the client closing
+// the connection. It reports whether the connection can be reused.
 func (c *clientConn) handle(req *Request) bool {
 	clientGone, watchDone := make(chan struct{}), make(chan struct{})
 	_ = c.SetReadDeadline(time.Time{})
@@ -98,7 +102,7 @@
 	keepConn := x.serve()
 	c.current.Store(nil)
 	stopWatch()
-	if req.Close || !keepConn || c.proxy.shared.closeConns() {
+	if req.Close || !keepConn || c.proxy.state.closeConns() {
 		_ = c.SetReadDeadline(time.Now())
 		<-watchDone
 		return false
@@ -114,7 +118,8 @@
 	}
 }
 
-// refuseUnreadable answers what could not be read as a request.
+// refuseUnreadable answers bytes that could not be read as a request. A connection
+// that broke gets no answer.
 func (c *clientConn) refuseUnreadable(req *Request, err error) bool {
 	r := &Refusal{Close: true, Reason: err.Error()}
 	switch {
@@ -140,16 +145,17 @@
 	return false
 }
 
-// write sends bytes to the client; an error means that it does not read or has
-// left.
+// write writes to the client. An error means that the client does not read within
+// clientWriteTimeout or has closed the connection.
 func (c *clientConn) write(b []byte) error {
 	_ = c.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	_, err := c.Conn.Write(b)
 	return err
 }
 
-// closeGracefully ends a connection so that the client can still read the last answer:
-// closing it with unread bytes would reset it.
+// closeGracefully ends the sending side and reads what still comes. A connection
+// closed with unread bytes would be reset, and the client could lose the last
+// response.
 func (c *clientConn) closeGracefully() {
 	if t, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = t.CloseWrite()
--- a/bluebellport/proxy/compress.go
+++ b/bluebellport/proxy/compress.go
@@ -8,10 +8,10 @@
 	"github.com/juju/errors"
 )
 
-// maxPlan is the largest plan that a peer may send, in bytes once unpacked.
+// maxPlan is the largest plan that a peer may send, in bytes when decompressed.
 const maxPlan = 8 << 20
 
-// compressPlan compresses a plan for peers: the links of instances are narrow, and one
+// compressPlan compresses a plan for peers: the links of instances are slow, and one
 // instance sends it to its whole failure domain.
 func compressPlan(plan []byte) ([]byte, error) {
 	var out bytes.Buffer
@@ -28,7 +28,8 @@
 	return out.Bytes(), nil
 }
 
-// decompressPlan is the reverse of pack; ErrMalformed when the bytes are no plan.
+// decompressPlan reverses compressPlan. It returns ErrMalformed if the bytes are not
+// compressed or hold more than maxPlan bytes.
 func decompressPlan(compressed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
--- a/bluebellport/proxy/exchange.go
+++ b/bluebellport/proxy/exchange.go
@@ -16,30 +16,32 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// exchange is a request under way: what it is, what it holds, what it has tried.
+// exchange is one request under way: the request, the plan that it was admitted
+// under, its reservation and its attempts.
 type exchange struct {
-	proxy      *Proxy
-	client     *clientConn
-	req        *Request
+	proxy  *Proxy
+	client *clientConn
+	req    *Request
+	// clientGone is closed when the client has closed its connection.
 	clientGone <-chan struct{}
 
 	plan        *bbplan.Plan
 	route       *bbplan.Route
 	account     *bbplan.Account
 	service     bbunit.ServiceID
-	deadline    time.Time // when the answer is of no more use
-	fingerprint uint64
+	deadline    time.Time // by when the client needs the answer
+	fingerprint uint64    // hash by which a repeated request is recognized
 
 	balance        *bbshare.Balance
 	reserved       bbunit.Tokens
 	maxEventTokens bbunit.Tokens
 
-	unreadPrompt   bbunit.Tokens // of the prompt, at the target chosen last
-	sentAttempts   int           // attempts of which bytes left
-	unsentAttempts int           // attempts of which none did
+	uncachedPrompt bbunit.Tokens // of the prompt, not cached by the target chosen last
+	sentAttempts   int           // attempts of which any byte was sent
+	unsentAttempts int           // attempts of which no byte was sent
 	tried          []bbunit.TargetID
-	lastTarget     atomic.Pointer[Target] // tried last
-	// mayHaveRun tells that a target may have run the request.
+	lastTarget     atomic.Pointer[Target] // target of the latest attempt
+	// mayHaveRun reports that a target may have run the request.
 	mayHaveRun bool
 	stream     streamState
 
@@ -48,7 +50,8 @@
 	aborted bool
 }
 
-// serve answers the request. It tells whether the client's connection stays.
+// serve answers the request and reports whether the client's connection can be
+// reused.
 func (x *exchange) serve() bool {
 	if refusal := x.admit(); refusal != nil {
 		return x.refuse(refusal)
@@ -57,10 +60,10 @@
 	return x.attemptUntilAnswered()
 }
 
-// admit checks the request against what is in force and reserves its money.
+// admit checks the request against the plan in force and reserves its tokens.
 func (x *exchange) admit() *Refusal {
-	x.plan = x.proxy.shared.Plan.Load()
-	if x.plan == nil || x.proxy.shared.Services.Load() == nil {
+	x.plan = x.proxy.state.Plan.Load()
+	if x.plan == nil || x.proxy.state.Services.Load() == nil {
 		return refuseNotRun("nothing is in force here yet", defaultRetryAfter)
 	}
 	if x.route = x.plan.FindRoute(x.req.Host, x.req.Path()); x.route == nil {
@@ -84,7 +87,8 @@
 	return x.reserve()
 }
 
-// reserve sets the most that the request can cost aside.
+// reserve reserves the most tokens that the request can use: its prompt, and its
+// output rounded up to whole events.
 func (x *exchange) reserve() *Refusal {
 	service := x.plan.Services[x.service]
 	if service == nil || service.Engine == nil {
@@ -103,8 +107,9 @@
 	return refusal
 }
 
-// settle ends the reservation at what was spent: nothing when no target can
-// have run the request, else the prompt and what of the answer came.
+// settle ends the reservation. A request that no target can have run costs
+// nothing; any other costs its prompt and the events received, plus unseenEvents
+// where the stream broke off.
 func (x *exchange) settle() {
 	if x.balance == nil {
 		return
@@ -119,6 +124,8 @@
 	x.balance.Settle(x.reserved, used)
 }
 
+// accountID returns the client account, empty if the request was admitted without a
+// key.
 func (x *exchange) accountID() bbunit.AccountID {
 	if x.account == nil {
 		return ""
@@ -126,7 +133,7 @@
 	return x.account.ID
 }
 
-// priority is the account's, or else the route's.
+// priority returns the account's priority, or the route's if the account has none.
 func (x *exchange) priority() int {
 	if x.account != nil && x.account.Priority >= 0 {
 		return x.account.Priority
@@ -134,8 +141,9 @@
 	return x.route.Priority
 }
 
-// attemptUntilAnswered sends the request to targets until one has answered, or until there
-// is nothing more to try.
+// attemptUntilAnswered sends the request to one target after the other until one
+// has answered or no further attempt is allowed. It reports whether the client's
+// connection can be reused.
 func (x *exchange) attemptUntilAnswered() bool {
 	var refusal *Refusal
 	for retry := true; retry; {
@@ -159,8 +167,9 @@
 	return x.giveUp(refusal)
 }
 
-// afterAttempt returns what to say after an attempt that brought no answer, and whether
-// another one may follow.
+// afterAttempt handles an attempt that brought no answer. It returns how to refuse
+// the request, and whether another attempt may be made instead, which it takes from
+// the retry budget.
 func (x *exchange) afterAttempt(result *attemptResult) (*Refusal, bool) {
 	switch result.kind {
 	case resultLate:
@@ -174,8 +183,9 @@
 	return refuseUnknown("the target broke off"), x.route.Repeatable() && x.takeRetry()
 }
 
-// giveUp ends a request that no target answered. Of a stream that has begun there
-// is no more to say: it ends without its end.
+// giveUp ends a request that no target answered. A stream that has started can't
+// be refused any more: its connection is closed without the last chunk, so that
+// the client sees that it is incomplete.
 func (x *exchange) giveUp(refusal *Refusal) bool {
 	if x.stream.started {
 		return false
@@ -186,21 +196,24 @@
 	return x.refuse(refusal)
 }
 
+// refuse writes a refusal and reports whether the client's connection can be
+// reused.
 func (x *exchange) refuse(refusal *Refusal) bool {
 	x.proxy.recordRefusal(x.req.AttemptID, refusal)
-	closeConn := refusal.Close || x.req.Close || x.proxy.shared.closeConns()
+	closeConn := refusal.Close || x.req.Close || x.proxy.state.closeConns()
 	return x.client.write(refusal.encode(x.req.AttemptID, closeConn)) == nil && !closeConn
 }
 
-// takeRetry takes a repeat from the service's budget, if the route allows one more
-// attempt.
+// takeRetry reports whether the route allows another attempt, and takes it from
+// the service's retry budget.
 func (x *exchange) takeRetry() bool {
 	return x.sentAttempts < x.route.MaxAttempts && time.Now().Before(x.deadline) && x.proxy.takeRetry(x.service)
 }
 
-// chooseTarget returns the target for the next attempt, or why there is none.
+// chooseTarget returns the target for the next attempt, or the refusal if there is
+// none.
 func (x *exchange) chooseTarget() (*Target, *Refusal) {
-	service := x.proxy.shared.targetsOf(x.service)
+	service := x.proxy.state.targetsOf(x.service)
 	if service == nil {
 		return nil, refuseNotRun("no target of the service is known", defaultRetryAfter)
 	}
@@ -212,7 +225,7 @@
 	}
 	i, reason := bbplace.Choose(service.Candidates, &request, now)
 	if i >= 0 {
-		x.unreadPrompt = request.UncachedTokens(bbplace.IsCacheTarget(service.Candidates, i, &request, now))
+		x.uncachedPrompt = request.UncachedTokens(bbplace.IsCacheTarget(service.Candidates, i, &request, now))
 		return service.Targets[i], nil
 	}
 	if reason == bbplace.ReasonAllFull {
@@ -221,8 +234,8 @@
 	return nil, refuseNotRun("no target of the service can be used", defaultRetryAfter)
 }
 
-// abortOnLeave ends the target's work once the client has left. The function that
-// it returns ends the watch.
+// abortOnLeave aborts the exchange when the client closes its connection. The
+// function that it returns stops this.
 func (x *exchange) abortOnLeave(clientGone <-chan struct{}) func() {
 	stopped := make(chan struct{})
 	go func() {
@@ -235,6 +248,8 @@
 	return func() { close(stopped) }
 }
 
+// abort closes the connection to the target, which cancels the request there, and
+// keeps further attempts from starting.
 func (x *exchange) abort() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -244,8 +259,8 @@
 	}
 }
 
-// setConn makes c the connection that an abort closes; false when the client has
-// already left.
+// setConn sets the connection that abort closes. It returns false if the exchange
+// has already been aborted.
 func (x *exchange) setConn(conn *targetConn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -256,17 +271,19 @@
 	return true
 }
 
+// isAborted reports whether abort has been called.
 func (x *exchange) isAborted() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.aborted
 }
 
-// withDeadline ends when the request's time is over.
+// withDeadline returns a context that ends at the request's deadline.
 func (x *exchange) withDeadline() (context.Context, context.CancelFunc) {
 	return context.WithDeadline(context.Background(), x.deadline)
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -274,7 +291,7 @@
 	return b
 }
 
-// logFields are what a log line tells of a request.
+// logFields returns the log fields of an attempt.
 func (x *exchange) logFields(target *Target, result *attemptResult) logrus.Fields {
 	fields := logrus.Fields{
 		"request": x.req.AttemptID, "service": x.service, "target": target.ID, "end": result.kind.String(),
--- a/bluebellport/proxy/follower.go
+++ b/bluebellport/proxy/follower.go
@@ -22,40 +22,41 @@
 	Poll(ctx context.Context, prefix string, after bbstore.Revision, wait time.Duration) ([]bbstore.Event, bbstore.Revision, error)
 }
 
-// follower keeps a board in step with what the store holds. State only goes
-// forward: an older plan never replaces a newer one, whoever tells of it.
+// follower keeps the plan and the targets in SharedState in step with the store. They
+// only move forward: an older version never replaces a newer one, whether the store
+// or a peer sent it.
 type follower struct {
-	store  WatchStore
-	shared *SharedState
-	log    logrus.FieldLogger
-	now    func() time.Time
+	store WatchStore
+	state *SharedState
+	log   logrus.FieldLogger
+	now   func() time.Time
 
-	storeLost bool // the followers of the plan and of the targets log the store's loss once
+	storeLost bool // used by followPlan only; lets the loss and the return be logged once each
 
-	mu             sync.Mutex // guards the rest, which peers also feed
+	mu             sync.Mutex // guards the fields down to missingUntil, which peers' messages also change
 	planEntry      bbstore.Entry
-	compressedPlan []byte // the plan as peers get it
+	compressedPlan []byte // as sent to peers
 	targets        *TargetSet
-	entries        map[bbunit.TargetID]bbstore.Entry // as last read; gone ones without value
-	lastErrorAt    time.Time                         // last trouble with the store, on the targets' side
-	missingUntil   map[bbunit.TargetID]time.Time
-	// onNewPlan is called, without the lock, when the store told of a newer plan,
-	// heard when it told of targets, with those that changed.
+	entries        map[bbunit.TargetID]bbstore.Entry // as last read; without a value if deleted
+	lastErrorAt    time.Time                         // last error when reading targets
+	missingUntil   map[bbunit.TargetID]time.Time     // until when a target without an entry is kept
+	// onNewPlan is called without the lock after the store returned a newer plan,
+	// onTargetsRead after it answered about targets, with the entries that changed.
 	onNewPlan     func()
 	onTargetsRead func(changed []bbstore.Entry)
-	// isWatcher tells whether this instance watches the store.
+	// isWatcher reports whether this instance watches the store.
 	isWatcher func() bool
 }
 
-func newFollower(store WatchStore, shared *SharedState, log logrus.FieldLogger, now func() time.Time, traffic *trafficMeter) *follower {
+func newFollower(store WatchStore, state *SharedState, log logrus.FieldLogger, now func() time.Time, traffic *trafficMeter) *follower {
 	return &follower{
-		store: store, shared: shared, log: log, now: now,
+		store: store, state: state, log: log, now: now,
 		targets: NewTargetSet(now, traffic), entries: map[bbunit.TargetID]bbstore.Entry{}, missingUntil: map[bbunit.TargetID]time.Time{},
 		onNewPlan: func() {}, onTargetsRead: func([]bbstore.Entry) {}, isWatcher: func() bool { return true },
 	}
 }
 
-// followPlan reads the plan and watches for new ones until ctx ends.
+// followPlan reads the plan and watches for newer ones until ctx ends.
 func (f *follower) followPlan(ctx context.Context) {
 	pause := minStoreBackoff
 	for ctx.Err() == nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// readPlan reads the plan once, and tells whether the store answered.
+// readPlan reads the plan once and reports whether the store answered.
 func (f *follower) readPlan(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, planReadTimeout)
 	defer cancel()
@@ -89,11 +90,12 @@
 	return err == nil
 }
 
-// watchPlan returns when the watch has to begin anew.
+// watchPlan applies new plans. It returns when the plan has to be read again, with
+// an error if a call failed.
 func (f *follower) watchPlan(ctx context.Context, from bbstore.Revision) error {
 	for {
 		wait := planPollWait
-		if f.shared.Plan.Load() == nil {
+		if f.state.Plan.Load() == nil {
 			wait = time.Second
 		}
 		events, rev, err := f.store.Poll(ctx, bbplatform.PrefixOperator, from, wait)
@@ -115,7 +117,8 @@
 	}
 }
 
-// applyPlan puts a plan in force unless it is older than the one that is.
+// applyPlan puts a plan in force and reports true, unless it is unreadable or not
+// newer than the one in force.
 func (f *follower) applyPlan(e bbstore.Entry) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,26 +127,26 @@
 	}
 	plan, bad, err := bbplatform.ParsePlan(e.Value)
 	if err != nil {
-		f.log.WithError(err).WithField("revision", e.Rev).Warn("plan not readable; the last good one stays")
+		f.log.WithError(err).WithField("revision", e.Rev).Warn("plan unreadable; the last good one stays in force")
 		return false
 	}
 	for _, b := range bad {
-		f.log.WithError(b).Warn("entry of the plan left out")
+		f.log.WithError(b).Warn("invalid entry of the plan ignored")
 	}
-	old := f.shared.Plan.Load()
+	old := f.state.Plan.Load()
 	if old != nil && plan.Version <= old.Version {
 		return false
 	}
 	f.planEntry = e
 	if f.compressedPlan, err = compressPlan(e.Value); err != nil {
-		f.log.WithError(err).Warn("plan not packed; peers read it from the store")
+		f.log.WithError(err).Warn("plan not compressed; peers have to read it from the store")
 	}
-	f.shared.Plan.Store(plan)
+	f.state.Plan.Store(plan)
 	f.log.WithFields(logrus.Fields{"event": "plan", "version": plan.Version, "revision": e.Rev, "accounts": len(plan.Accounts)}).Info("plan in force")
 	return true
 }
 
-// logStoreState logs the loss and the return of the store once each.
+// logStoreState logs the loss of the store and its return, once each.
 func (f *follower) logStoreState(err error) {
 	switch {
 	case err != nil && !f.storeLost:
@@ -154,8 +157,8 @@
 	f.storeLost = err != nil
 }
 
-// logHandover logs, after a loss of the store, that another instance watches it: then
-// nothing here tells when it is back.
+// logHandover logs that another instance took over watching a store that was lost
+// here: the store's return is then not noticed, or logged, by this instance.
 func (f *follower) logHandover() {
 	if f.storeLost {
 		f.log.WithField("event", "watch-handed").Info("another instance of the failure domain watches the store")
@@ -163,7 +166,7 @@
 	f.storeLost = false
 }
 
-// followTargets reads the list of targets and looks for changes until ctx ends.
+// followTargets reads the list of targets and polls for changes until ctx ends.
 func (f *follower) followTargets(ctx context.Context) {
 	pause := minStoreBackoff
 	for ctx.Err() == nil {
@@ -187,8 +190,9 @@
 	}
 }
 
-// watchTargets looks for changes every targetsEvery. It returns when the list has
-// to be read anew, or, with true, when another instance watches.
+// watchTargets polls for changes every targetPollInterval. It returns false when
+// the list has to be read again, and true when another instance watches or ctx has
+// ended.
 func (f *follower) watchTargets(ctx context.Context, from bbstore.Revision) bool {
 	for {
 		events, rev, err := f.store.Poll(ctx, bbplatform.PrefixTargets, from, targetPollWait)
@@ -208,8 +212,8 @@
 	}
 }
 
-// applyTargetList takes a whole list as it stood at a revision. What it lacks is
-// gone.
+// applyTargetList applies the whole list of targets as of a revision. Targets that
+// are not in it have been deleted.
 func (f *follower) applyTargetList(list []bbstore.Entry, rev bbstore.Revision) []bbstore.Entry {
 	listed := map[string]bool{}
 	events := make([]bbstore.Event, 0, len(list))
@@ -227,12 +231,12 @@
 	return f.applyEvents(events)
 }
 
-// applyEvents takes changes of the list in any order: for each target the one of
-// the highest revision stands. It returns those that changed anything.
+// applyEvents applies changes of targets, in any order: the one with the highest
+// revision wins. It returns the entries that changed anything.
 func (f *follower) applyEvents(events []bbstore.Event) []bbstore.Entry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changed := f.removeExpired() || f.shared.Services.Load() == nil
+	changed := f.removeExpired() || f.state.Services.Load() == nil
 	var applied []bbstore.Entry
 	for _, e := range events {
 		if f.applyEvent(e) {
@@ -240,18 +244,19 @@
 		}
 	}
 	if changed || len(applied) > 0 {
-		f.shared.Services.Store(f.targets.ByService())
+		f.state.Services.Store(f.targets.ByService())
 	}
 	return applied
 }
 
-// hasMissing tells that some targets are given time to return.
+// hasMissing reports whether targets without an entry are kept for a while.
 func (f *follower) hasMissing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.missingUntil) > 0
 }
 
+// applyEvent applies one change and reports whether the targets changed.
 func (f *follower) applyEvent(e bbstore.Event) bool {
 	name, ok := strings.CutPrefix(e.Key, bbplatform.PrefixTargets)
 	id := bbunit.TargetID(name)
@@ -264,7 +269,7 @@
 	}
 	target, err := bbplatform.ParseTarget(e.Key, e.Value)
 	if err != nil {
-		f.log.WithError(err).Debug("entry of a target left out")
+		f.log.WithError(err).Debug("invalid entry of a target ignored")
 		return false
 	}
 	delete(f.missingUntil, id)
@@ -275,9 +280,9 @@
 	return changed
 }
 
-// removeTarget forgets a target whose entry is gone. Just after trouble with the store
-// the entries of most targets of a service may be missing though they live;
-// those are given a short time to return.
+// removeTarget removes a target whose entry is deleted, and reports whether it did.
+// Shortly after errors of the store, the entries of most targets of a service can be
+// missing though the targets are alive; those are kept for missingTargetGrace.
 func (f *follower) removeTarget(id bbunit.TargetID) bool {
 	target := f.targets.targets[id]
 	if target == nil {
@@ -295,9 +300,9 @@
 	return true
 }
 
-// isMassLoss tells that the loss of one more entry of the service is rather the
-// store's than the target's: the store was in trouble just now, and half of the
-// service's entries are missing.
+// isMassLoss reports whether a missing entry of the service is more likely a fault
+// of the store than of the target: the store failed within storeRecoveryWindow, and
+// about half of the service's entries or more are missing.
 func (f *follower) isMassLoss(service bbunit.ServiceID) bool {
 	if f.lastErrorAt.IsZero() || f.now().Sub(f.lastErrorAt) > storeRecoveryWindow {
 		return false
@@ -315,7 +320,7 @@
 	return 2*missing > total
 }
 
-// removeExpired forgets targets that were given time and did not return.
+// removeExpired removes the targets whose entry did not come back in time.
 func (f *follower) removeExpired() bool {
 	changed := false
 	for id, deadline := range f.missingUntil {
--- a/bluebellport/proxy/forward.go
+++ b/bluebellport/proxy/forward.go
@@ -10,19 +10,20 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// endToEndFields fields are passed on even where a client calls them a matter of its
-// connection.
+// endToEndFields are passed on even if a client lists them in its Connection field.
 var endToEndFields = map[string]bool{
 	"attempt-id": true, "model": true, "token-usage": true, "prompt-prefix": true, "host": true, "last-event-id": true,
 	"length-hint": true,
 }
 
-// canonicalName is a field's name in the one form in which names are compared.
+// canonicalName returns the form in which field names are compared: lower case,
+// with "-" in place of "_".
 func canonicalName(name string) string {
 	return strings.ReplaceAll(strings.ToLower(name), "_", "-")
 }
 
-// connectionFields returns the fields that a Connection field calls its own, in lower case.
+// connectionFields returns the names that the Connection fields list, in lower case.
+// They concern this connection only, except those in endToEndFields.
 func (f Fields) connectionFields() map[string]bool {
 	var out map[string]bool
 	for token := range f.tokens("Connection") {
@@ -38,17 +39,18 @@
 	return out
 }
 
-// forwardOptions is what one attempt at a target adds to a request.
+// forwardOptions is what an attempt adds to the request that a target gets.
 type forwardOptions struct {
 	account  bbunit.AccountID
 	target   bbplan.Target
 	timeLeft time.Duration
 	priority int
-	// lastEventID is the last event that the caller has; empty sends the client's.
+	// lastEventID is the last event that the client has; if empty, the client's own
+	// Last-Event-Id is sent.
 	lastEventID string
 }
 
-// forwardHead returns the head that a target gets.
+// forwardHead returns the head of the request as a target gets it.
 func (r *Request) forwardHead(opts *forwardOptions) []byte {
 	b := make([]byte, 0, 1024)
 	b = append(b, r.Method...)
@@ -80,6 +82,7 @@
 	return append(b, "\r\n"...)
 }
 
+// appendField appends one header field to a head.
 func appendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -87,7 +90,7 @@
 	return append(b, "\r\n"...)
 }
 
-// statusLine begins the head of an answer.
+// statusLine returns the status line of a response, with room for the fields.
 func statusLine(status int, reason string) []byte {
 	b := make([]byte, 0, 512)
 	b = append(b, "HTTP/1.1 "...)
@@ -97,7 +100,8 @@
 	return append(b, "\r\n"...)
 }
 
-// responseHead returns the head of a target's answer as the caller gets it.
+// responseHead returns the head of a target's response as the client gets it. A
+// negative length announces a chunked body.
 func responseHead(resp *Response, length int, closeConn bool) []byte {
 	b := statusLine(resp.Status, resp.Reason)
 	connectionFields := resp.Fields.connectionFields()
--- a/bluebellport/proxy/head.go
+++ b/bluebellport/proxy/head.go
@@ -10,24 +10,24 @@
 	"github.com/juju/errors"
 )
 
-// Sentinel errors of heads and bodies.
+// Errors of reading heads and bodies.
 const (
-	// ErrMalformed means that the bytes are no message, or could be read in two
-	// ways.
+	// ErrMalformed means that the bytes are no valid message, or that two readers
+	// could take them for different messages.
 	ErrMalformed = errors.ConstError("malformed message")
-	// ErrHeadSize means that the head is above its limit.
+	// ErrHeadSize means that the head is larger than its limit.
 	ErrHeadSize = errors.ConstError("head too large")
-	// ErrBodySize means that the body is above its limit.
+	// ErrBodySize means that the body is larger than its limit.
 	ErrBodySize = errors.ConstError("body too large")
 )
 
-// Field is one field of a head, spelled as it came.
+// Field is one header field, spelled as received.
 type Field struct{ Name, Value string }
 
-// Fields are the fields of a head in order.
+// Fields are the header fields of a message in order.
 type Fields []Field
 
-// Get returns the first value of a field, and how often the field stands.
+// Get returns the first value of a field, and how many times the field occurs.
 func (f Fields) Get(name string) (value string, count int) {
 	for i := range f {
 		if len(f[i].Name) == len(name) && strings.EqualFold(f[i].Name, name) {
@@ -40,14 +40,15 @@
 	return value, count
 }
 
-// Value returns the first value of a field, empty when there is none.
+// Value returns the first value of a field, empty if there is none.
 func (f Fields) Value(name string) string {
 	v, _ := f.Get(name)
 	return v
 }
 
 // readHead reads up to the empty line and returns the first line and the fields.
-// An error of the connection is returned as it is; io.EOF only before any byte.
+// Errors of the connection are passed through; io.EOF without an annotation means
+// that no byte came.
 func readHead(br *bufio.Reader, limit int) (string, Fields, error) {
 	var buf []byte
 	for {
@@ -61,7 +62,7 @@
 		}
 		if err != nil {
 			if len(buf) > 0 {
-				return "", nil, errors.Annotate(err, "head broke off")
+				return "", nil, errors.Annotate(err, "head incomplete")
 			}
 			return "", nil, err
 		}
@@ -80,6 +81,8 @@
 	return parseHead(string(buf[:len(buf)-4]))
 }
 
+// parseHead splits a head without its empty line into the first line and the
+// fields.
 func parseHead(head string) (string, Fields, error) {
 	firstLine, lines, hasFields := strings.Cut(head, "\r\n")
 	if strings.ContainsAny(firstLine, "\r\n\x00") {
@@ -103,7 +106,7 @@
 	return firstLine, fields, nil
 }
 
-// tokenBytes are the bytes that a field name or method may have.
+// tokenBytes marks the bytes that a method or field name may contain.
 var tokenBytes = func() (t [256]bool) {
 	for _, c := range "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" {
 		t[c] = true
@@ -111,6 +114,7 @@
 	return t
 }()
 
+// isToken reports whether s is valid as a method or field name.
 func isToken(s string) bool {
 	for i := range len(s) {
 		if !tokenBytes[s[i]] {
@@ -120,6 +124,7 @@
 	return s != ""
 }
 
+// isFieldValue reports whether s has no control character except tab.
 func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
@@ -129,14 +134,14 @@
 	return true
 }
 
-// framing tells where a body ends.
+// framing says how the end of a body is found.
 type framing struct {
 	chunked bool
-	length  int64 // -1: none is given
+	length  int64 // -1 if the head gives none
 }
 
-// bodyFraming reads the framing of a head; ErrMalformed when it could be read in
-// two ways.
+// bodyFraming returns the framing that a head declares. It returns ErrMalformed if
+// more than one is declared, since readers could then disagree where the body ends.
 func bodyFraming(f Fields) (framing, error) {
 	coding, codings := f.Get("Transfer-Encoding")
 	length, lengths := f.Get("Content-Length")
@@ -154,7 +159,8 @@
 	return framing{length: n}, err
 }
 
-// parseDigits reads a number of digits alone: no sign, no space.
+// parseDigits parses a number that consists of digits only: no sign, space or
+// underscore.
 func parseDigits(s string, base int) (int64, error) {
 	if s == "" || len(s) > 15 || s[0] == '+' || s[0] == '-' || strings.ContainsRune(s, '_') {
 		return 0, errors.Annotatef(ErrMalformed, "number %.40q", s)
@@ -166,14 +172,14 @@
 	return n, nil
 }
 
-// hopByHopFields concern one connection only, in lower case.
+// hopByHopFields concern a single connection and are not passed on. Lower case.
 var hopByHopFields = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "proxy-authenticate": true,
 	"proxy-authorization": true, "te": true, "trailer": true, "transfer-encoding": true,
 	"upgrade": true, "content-length": true, "expect": true,
 }
 
-// tokens are those of all fields of a name, whose values are lists of them.
+// tokens iterates over the comma-separated tokens of all fields of a name.
 func (f Fields) tokens(name string) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for i := range f {
@@ -189,7 +195,7 @@
 	}
 }
 
-// hasToken tells whether a field that lists tokens has one.
+// hasToken reports whether a field of comma-separated tokens contains one.
 func (f Fields) hasToken(name, token string) bool {
 	for t := range f.tokens(name) {
 		if strings.EqualFold(t, token) {
--- a/bluebellport/proxy/loan.go
+++ b/bluebellport/proxy/loan.go
@@ -15,22 +15,24 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// peerLoans lets instances lend each other parts of their shares: near the end of a
-// sum, and where one has lost the store that another still reaches.
+// peerLoans lends parts of this instance's shares to peers and borrows from theirs.
+// Loans help when an account is nearly used up, and when one instance has lost the
+// store while another still reaches it.
 type peerLoans struct {
 	shares       *shareController
 	peers        PeerNetwork
 	pendingAsks  sync.Map // bbunit.AccountID -> bool: accounts whose home is being asked
-	unansweredAt sync.Map // bbunit.InstanceID -> time.Time: peers that did not answer
+	unansweredAt sync.Map // bbunit.InstanceID -> time.Time: last question that a peer did not answer
 
-	// These are guarded by the lock of money.
-	uncoveredAt map[bbunit.AccountID]time.Time // when a home said that an account does not cover
+	// The rest is guarded by shares.mu.
+	uncoveredAt map[bbunit.AccountID]time.Time // when a home said that the account does not cover a need
 	lastAskedAt map[bbunit.AccountID]time.Time // last round of asking peers
 	homes       homeMap
 }
 
-// homeMap is where accounts have their homes in one view of the fleet, by one
-// plan.
+// homeMap holds the accounts' homes, computed from one view of the fleet and one
+// plan. The home of an account is the instance of the failure domain that draws its
+// shares for the others.
 type homeMap struct {
 	view      *bbmember.View
 	plan      *bbplan.Plan
@@ -43,7 +45,7 @@
 	return l
 }
 
-// handleLoanAsk gives a peer what it asks for, as far as it is available here.
+// handleLoanAsk lends a peer what it asks for, as far as it is available here.
 func (l *peerLoans) handleLoanAsk(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	ask := e.GetLoanask()
 	l.shares.mu.Lock()
@@ -64,21 +66,21 @@
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Loantell{Loantell: tell}}
 }
 
-// updateHomes tells the book which accounts have their home at another instance that
-// can be reached, and returns how many instances draw. In a small fleet each of
-// them draws for itself.
+// updateHomes tells the allocator which accounts have a reachable home at another
+// instance, and returns how many instances draw from the store. In a small fleet
+// each instance draws for itself. The caller holds shares.mu.
 func (l *peerLoans) updateHomes() int {
 	shares := l.shares
 	view := l.peers.View()
-	holders := int(shares.shared.Instances.Load())
-	usesHomes := shares.shared.UsesHomes()
+	holders := int(shares.state.Instances.Load())
+	usesHomes := shares.state.UsesHomes()
 	horizon := bbshare.DefaultPolicy().Horizon
 	if usesHomes {
 		horizon = bbshare.HomeHorizon
 		holders = countDomains(view)
 	}
 	shares.allocator.SetHorizon(horizon)
-	plan := shares.shared.Plan.Load()
+	plan := shares.state.Plan.Load()
 	if usesHomes {
 		l.computeHomes(view, plan)
 	} else {
@@ -92,7 +94,7 @@
 	return holders
 }
 
-// computeHomes works the homes out again when the fleet or the plan has changed.
+// computeHomes computes the homes again if the fleet or the plan has changed.
 func (l *peerLoans) computeHomes(view *bbmember.View, plan *bbplan.Plan) {
 	if l.homes.view == view && l.homes.plan == plan {
 		return
@@ -105,14 +107,16 @@
 	}
 }
 
-// homeOf returns the home of an account in the own failure domain. Accounts share
-// homes in groups, so that one write draws for several.
+// homeOf returns the home of an account in this instance's failure domain. Accounts
+// are hashed into accountHomeGroups groups that share a home, so that one write
+// draws for several of them.
 func homeOf(view *bbmember.View, id bbunit.AccountID) (bbmember.Member, bool) {
 	group := xxhash.Sum64String(string(id)) % accountHomeGroups
 	return view.Home(moneyPrefix+strconv.FormatUint(group, 10), view.Self.Domain)
 }
 
-// countDomains returns how many failure domains the live fleet has.
+// countDomains returns the number of failure domains with live instances, at least
+// 1.
 func countDomains(view *bbmember.View) int {
 	seen := map[bbunit.DomainID]bool{}
 	for _, m := range view.Members {
@@ -121,7 +125,8 @@
 	return max(len(seen), 1)
 }
 
-// borrowFromHomes borrows what is due, each account by itself. The homes are known.
+// borrowFromHomes borrows what the allocator asks for, each account in a goroutine of
+// its own. The accounts' homes must be known. The caller holds shares.mu.
 func (l *peerLoans) borrowFromHomes(requests []bbshare.LoanRequest) {
 	for _, request := range requests {
 		home, ok := l.homes.byAccount[request.Account]
@@ -135,6 +140,7 @@
 	}
 }
 
+// borrowFromHome asks an account's home for a loan and records the reply.
 func (l *peerLoans) borrowFromHome(home bbunit.InstanceID, request bbshare.LoanRequest) {
 	msg := &bbwire.LoanAsk{Account: string(request.Account), Tokens: int64(request.Need), Ahead: int64(request.Prefetch), Home: true}
 	reply := l.call(home, msg)
@@ -154,23 +160,25 @@
 	l.shares.notifyWaiters()
 }
 
-// uncoveredByHome tells that the account's home last said that it does not cover what was
-// asked for. The lock of money is held.
+// uncoveredByHome reports whether the account's home last said that the account does
+// not cover what was asked for. The caller holds shares.mu.
 func (l *peerLoans) uncoveredByHome(id bbunit.AccountID) bool { return !l.uncoveredAt[id].IsZero() }
 
-// uncoveredRecently tells the same of the last moment.
+// uncoveredRecently reports the same if it was said within shareTimeout.
 func (l *peerLoans) uncoveredRecently(id bbunit.AccountID) bool {
 	return l.uncoveredByHome(id) && l.shares.now().Sub(l.uncoveredAt[id]) < shareTimeout
 }
 
-// unresponsive tells that a peer did not answer of late.
+// unresponsive reports whether a peer left a question unanswered within
+// unresponsivePeriod.
 func (l *peerLoans) unresponsive(peer bbunit.InstanceID) bool {
 	at, ok := l.unansweredAt.Load(peer)
 	return ok && l.shares.now().Sub(at.(time.Time)) < unresponsivePeriod
 }
 
-// borrowFromPeers asks peers until n are available here, and tells whether they are. An
-// answer is taken once, so that a message that comes twice brings no money.
+// borrowFromPeers asks peers until n tokens are available here, and reports whether
+// they are. A loan is counted when its call returns, so that a duplicated message adds
+// no tokens.
 func (l *peerLoans) borrowFromPeers(account *bbplan.Account, n bbunit.Tokens) bool {
 	shares := l.shares
 	shares.mu.Lock()
@@ -198,7 +206,8 @@
 	return share.Balance.Available() >= n
 }
 
-// borrowFrom asks one peer, unless it did not answer of late.
+// borrowFrom asks one peer for a loan, unless it is unresponsive, and returns what
+// it lent.
 func (l *peerLoans) borrowFrom(peer bbunit.InstanceID, account bbunit.AccountID, n bbunit.Tokens) bbunit.Tokens {
 	if l.unresponsive(peer) {
 		return 0
@@ -210,7 +219,7 @@
 	return bbunit.Tokens(reply.Tokens)
 }
 
-// call sends a question and returns its answer, nil when none came in time.
+// call sends a question and returns the reply, nil if none came within loanTimeout.
 func (l *peerLoans) call(peer bbunit.InstanceID, msg *bbwire.LoanAsk) *bbwire.LoanTell {
 	ctx, cancel := context.WithTimeout(context.Background(), loanTimeout)
 	defer cancel()
--- a/bluebellport/proxy/metrics.go
+++ b/bluebellport/proxy/metrics.go
@@ -7,14 +7,14 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// proxyMetrics counts what the door does, for the page of metrics.
+// proxyMetrics are the metrics of the proxy.
 type proxyMetrics struct {
 	registry metrics.Registry
-	// served are answers of targets that were passed on, failures included.
+	// served counts the target responses passed to clients, failures included.
 	served metrics.Counter
-	// dispatchTime is the time from a whole request to its first send, which is the
-	// instance's own part; first is that to the first event of a stream or to a
-	// whole plain answer. Both in microseconds.
+	// dispatchTime is the time from a complete request to its first attempt, which is
+	// the instance's own part of the latency. firstByteTime is the time to the first
+	// event of a stream, or to the whole response otherwise. Both in microseconds.
 	dispatchTime, firstByteTime metrics.Histogram
 }
 
@@ -28,13 +28,13 @@
 	}
 }
 
-// recordDispatch notes the first send of a request that came at that moment.
+// recordDispatch records the first attempt of a request.
 func (m *proxyMetrics) recordDispatch(receivedAt time.Time) {
 	m.dispatchTime.Update(time.Since(receivedAt).Microseconds())
 }
 
-// recordServed notes an answer that was passed on whole; first is zero for a plain
-// one.
+// recordServed records a response that was passed on whole. firstAt is when its
+// first event came, zero if it is no stream.
 func (m *proxyMetrics) recordServed(receivedAt, firstAt time.Time) {
 	m.served.Inc(1)
 	if firstAt.IsZero() {
@@ -43,12 +43,12 @@
 	m.firstByteTime.Update(firstAt.Sub(receivedAt).Microseconds())
 }
 
-// recordRefusal counts the fleet's own answers by status.
+// recordRefusal counts the proxy's own refusals by status.
 func (m *proxyMetrics) recordRefusal(status int) {
 	metrics.GetOrRegisterCounter("door.refused."+strconv.Itoa(status), m.registry).Inc(1)
 }
 
-// recordFailure counts attempts that brought no answer, by how they ended.
+// recordFailure counts attempts without an answer by how they ended.
 func (m *proxyMetrics) recordFailure(kind resultKind) {
 	metrics.GetOrRegisterCounter("door.attempts."+kind.String(), m.registry).Inc(1)
 }
--- a/bluebellport/proxy/outcome.go
+++ b/bluebellport/proxy/outcome.go
@@ -10,7 +10,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// recordResult takes what an attempt tells of its target.
+// recordResult updates the target's circuit breaker and failure mean, the retry
+// budget, the poison detector, metrics and log with the result of an attempt.
 func (p *Proxy) recordResult(x *exchange, target *Target, result *attemptResult) {
 	now := p.now()
 	switch result.kind {
@@ -29,8 +30,8 @@
 	case resultNotRun:
 		target.State.BackOffUntil(now.Add(busyPeriod))
 	case resultUnsent:
-		if p.shared.LinkSaturated.Load() {
-			break // the own link is as likely the cause
+		if p.state.LinkSaturated.Load() {
+			break // this instance's own link is as likely the cause
 		}
 		for range circuitPolicy.FailureThreshold {
 			target.State.Circuit.RecordFailure(now, &circuitPolicy)
@@ -48,8 +49,8 @@
 	p.log.WithFields(x.logFields(target, result)).Info("attempt failed")
 }
 
-// logServed logs a sample of the answers that were passed on whole: which ones is
-// decided by the request's id, so that all instances log the same.
+// logServed logs one in servedLogSample of the complete answers. The sample depends
+// on the request's id alone, so that all instances log the same requests.
 func (p *Proxy) logServed(x *exchange, target *Target) {
 	if xxhash.Sum64String(x.req.AttemptID)%servedLogSample != 0 {
 		return
@@ -67,7 +68,7 @@
 	p.log.WithFields(fields).Info("served")
 }
 
-// retryBudget returns the repeats that a service has left.
+// retryBudget returns the retry budget of a service.
 func (p *Proxy) retryBudget(id bbunit.ServiceID) *bbroute.RetryBudget {
 	if b, ok := p.retryBudgets.Load(id); ok {
 		return b.(*bbroute.RetryBudget)
@@ -76,21 +77,22 @@
 	return b.(*bbroute.RetryBudget)
 }
 
-// takeRetry takes one repeat from a service's budget.
+// takeRetry takes one retry from a service's budget and reports whether there was
+// one.
 func (p *Proxy) takeRetry(id bbunit.ServiceID) bool {
 	return p.retryBudget(id).Spend(p.now(), p.retryPolicy())
 }
 
-// retryPolicy is this instance's part of the repeats that all may make.
+// retryPolicy returns this instance's part of the retries that the fleet may make.
 func (p *Proxy) retryPolicy() *bbroute.RetryPolicy {
-	n := float64(max(p.shared.Instances.Load(), 1))
+	n := float64(max(p.state.Instances.Load(), 1))
 	return &bbroute.RetryPolicy{
 		Ratio:        p.settings.RetryRatio * retryBudgetPart,
 		MinPerSecond: p.settings.RetryExtra * retryBudgetPart / n / max(p.settings.RetryWindow.Seconds(), 1),
 	}
 }
 
-// recordRefusal logs an answer of the fleet's own, with what decided it.
+// recordRefusal counts and logs a refusal, with the values that decided it.
 func (p *Proxy) recordRefusal(attempt string, r *Refusal) {
 	p.metrics.recordRefusal(r.Status)
 	fields := logrus.Fields{"request": attempt, "status": r.Status, "reason": r.Reason, "after": r.RetryAfter.Seconds()}
@@ -100,5 +102,5 @@
 	p.log.WithFields(fields).Info("refused")
 }
 
-// circuitPolicy sets when a target that fails is left alone.
+// circuitPolicy sets when a failing target gets no requests, and for how long.
 var circuitPolicy = bbroute.CircuitPolicy{FailureThreshold: 3, InitialOpen: time.Second, MaxOpen: 4 * time.Second, ProbeTimeout: time.Second}
--- a/bluebellport/proxy/poison.go
+++ b/bluebellport/proxy/poison.go
@@ -13,8 +13,8 @@
 // poisonPolicy sets when a request counts as one that crashes its targets.
 var poisonPolicy = bbroute.PoisonPolicy{CrashThreshold: 2, SuspectTTL: 20 * time.Second, MaxFingerprints: 512}
 
-// poisonDetector knows requests that were under way when their target crashed. Such a
-// request comes again at any instance, so peers are told.
+// poisonDetector remembers the requests that were under way at a target when it
+// crashed. A client may repeat such a request at any instance, so peers are told.
 type poisonDetector struct {
 	peers     PeerNetwork
 	now       func() time.Time
@@ -29,16 +29,17 @@
 	return d
 }
 
-// isPoison tells that a request has crashed too many targets to be run again.
+// isPoison reports whether a request has crashed too many targets to be run again.
 func (d *poisonDetector) isPoison(fingerprint uint64) bool {
 	return d.table.Load().CrashCount(fingerprint) >= poisonPolicy.CrashThreshold
 }
 
-// recordSuccess notes that a request ran whole: it crashes no target.
+// recordSuccess records that a request was answered, so it does not crash targets.
 func (d *poisonDetector) recordSuccess(fingerprint uint64) { d.knownGood.Add(fingerprint) }
 
-// checkCrash looks whether a target that broke a request off is down: then the request
-// may be what crashed it. It blocks up to dialTime.
+// checkCrash is called after a target broke the connection during a request. If the
+// target no longer accepts connections, the request may have crashed it and becomes
+// a suspect. It blocks for up to dialTimeout.
 func (d *poisonDetector) checkCrash(fingerprint uint64, target *Target) {
 	if d.knownGood.Contains(fingerprint) {
 		return
@@ -51,10 +52,11 @@
 	d.add(fingerprint, []bbunit.TargetID{target.ID})
 	e := &bbwire.Envelope{Body: &bbwire.Envelope_Suspects{Suspects: &bbwire.Suspects{Print: fingerprint, Targets: []string{string(target.ID)}}}}
 	for _, id := range randomPeers(d.peers.View(), maxSuspectPeers) {
-		_ = d.peers.Send(id, e) // a peer that does not hear finds out by itself
+		_ = d.peers.Send(id, e) // a peer that misses this learns it from a crash of its own
 	}
 }
 
+// add adds targets that may have crashed from a request.
 func (d *poisonDetector) add(fingerprint uint64, targets []bbunit.TargetID) {
 	for {
 		old := d.table.Load()
@@ -65,6 +67,7 @@
 	}
 }
 
+// handleSuspects adds a suspect that a peer reports.
 func (d *poisonDetector) handleSuspects(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	msg := e.GetSuspects()
 	targets := make([]bbunit.TargetID, 0, len(msg.Targets))
--- a/bluebellport/proxy/pool.go
+++ b/bluebellport/proxy/pool.go
@@ -15,28 +15,28 @@
 	"bluebellport.example/platform"
 )
 
-// targetConn is one connection to a target. It carries one request at a time.
+// targetConn is a connection to a target. It carries one request at a time.
 type targetConn struct {
 	net.Conn
 	br   *bufio.Reader
 	pool *connPool
-	// reusable tells that the target will take another request.
+	// reusable reports that the connection can carry another request.
 	reusable    bool
-	idleTimeout time.Duration
+	idleTimeout time.Duration // how long the connection may stay in the pool
 	idleSince   time.Time
 }
 
-// connPool keeps the connections to one target.
+// connPool keeps idle connections to one target.
 type connPool struct {
 	address string
 	mu      sync.Mutex
-	idle    []*targetConn
+	idle    []*targetConn // the one used last at the end
 	closed  bool
 	meter   *trafficMeter
-	onLoad  func(running, waiting, slots int)
+	onLoad  func(running, waiting, slots int) // called with the load that a response reports
 }
 
-// get returns a connection that was kept, or else a new one.
+// get returns an idle connection, or else a new one.
 func (p *connPool) get(ctx context.Context) (*targetConn, error) {
 	for c := p.popIdle(); c != nil; c = p.popIdle() {
 		if time.Since(c.idleSince) < c.idleTimeout && openAndQuiet(c.Conn) && c.br.Buffered() == 0 {
@@ -55,6 +55,8 @@
 	return &targetConn{Conn: conn, br: bufio.NewReaderSize(conn, bufferSize), pool: p, idleTimeout: defaultPoolIdle}, nil
 }
 
+// popIdle removes and returns the idle connection that was used last, nil if there
+// is none.
 func (p *connPool) popIdle() *targetConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +69,8 @@
 	return c
 }
 
-// release keeps a connection for the next request, or closes it.
+// release returns the connection to its pool, or closes it if it can't be reused. It
+// also closes connections that have been idle for too long.
 func (c *targetConn) release() {
 	c.idleSince = time.Now()
 	if !c.reusable || c.br.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
@@ -88,7 +91,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// close closes the kept connections, and those that come back.
+// close closes the idle connections, and makes release close the others.
 func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +102,7 @@
 	p.idle = nil
 }
 
-// readHints reads what an answer says of its connection and of the target's load.
+// readHints takes the keep-alive timeout and the target's load from a response.
 func (c *targetConn) readHints(f Fields) {
 	if text, n := f.Get("Keep-Alive"); n > 0 {
 		if _, after, ok := strings.Cut(text, "timeout="); ok {
@@ -114,8 +117,8 @@
 	}
 }
 
-// openAndQuiet tells that a kept connection is open and has nothing to read: bytes that
-// wait there belong to no request.
+// openAndQuiet reports whether an idle connection is open with nothing to read: bytes
+// that wait there belong to no request, so the connection must not be used.
 func openAndQuiet(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/bluebellport/proxy/prefill.go
+++ b/bluebellport/proxy/prefill.go
@@ -7,22 +7,23 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// prefillNotifier tells peers of large prompts as they are sent: a target reads one
-// after the other and holds up all streams meanwhile, and what it reports of
-// itself comes too late.
+// prefillNotifier tells peers of large prompts as they are sent. A target reads
+// prompts one after the other and holds up all its streams meanwhile, and the load
+// that it reports shows this too late.
 type prefillNotifier struct {
-	peers  PeerNetwork
-	shared *SharedState
-	now    func() time.Time
+	peers PeerNetwork
+	state *SharedState
+	now   func() time.Time
 }
 
-func newPrefillNotifier(peers PeerNetwork, shared *SharedState, now func() time.Time) *prefillNotifier {
-	p := &prefillNotifier{peers: peers, shared: shared, now: now}
+func newPrefillNotifier(peers PeerNetwork, state *SharedState, now func() time.Time) *prefillNotifier {
+	p := &prefillNotifier{peers: peers, state: state, now: now}
 	peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Prefill{}}, p.handlePrefill)
 	return p
 }
 
-// recordPrompt notes a prompt that goes to a target, and tells peers of a large one.
+// recordPrompt counts a prompt of which a target has to read n tokens, and tells
+// peers of a large one.
 func (p *prefillNotifier) recordPrompt(target *Target, n bbunit.Tokens) {
 	if n <= 0 {
 		return
@@ -35,13 +36,14 @@
 		Service: string(target.Service), Target: string(target.ID), Tokens: int64(n),
 	}}}
 	for _, id := range randomPeers(p.peers.View(), maxPrefillPeers) {
-		_ = p.peers.Send(id, e) // old news is worth nothing, so it is not sent again
+		_ = p.peers.Send(id, e) // not repeated if lost: late news is useless
 	}
 }
 
+// handlePrefill counts a prompt that a peer has sent to a target.
 func (p *prefillNotifier) handlePrefill(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	msg := e.GetPrefill()
-	service := p.shared.targetsOf(bbunit.ServiceID(msg.Service))
+	service := p.state.targetsOf(bbunit.ServiceID(msg.Service))
 	if service == nil || msg.Tokens <= 0 || msg.Tokens > maxPromptTokens {
 		return nil
 	}
--- a/bluebellport/proxy/proxy.go
+++ b/bluebellport/proxy/proxy.go
@@ -19,19 +19,21 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Proxy takes requests. Its controllers meet on the board:
+// Proxy takes clients' requests off the wire, forwards each to a target of its
+// service and returns the response. Its controllers publish what they know in
+// SharedState, where requests read it:
 //
-//	platform's store --> follower --> [ Board: plan, groups ] --> exchange
-//	       ^                                                        |
-//	       +---- money: shares by compare-and-swap <--- reserve ----+
-//	                                                                |
-//	client --> caller --> admit --> reserve --> choose --> attempt --> target
-//	   ^                                                     |
-//	   +------------------ answer, stream, refusal <---------+
+//	platform's store --> follower --> [ SharedState: plan, targets ] --> exchange
+//	       ^                                                               |
+//	       +------ shareController: compare-and-swap <----- reserve -------+
+//	                                                                       |
+//	client --> clientConn --> admit --> reserve --> choose --> attempt --> target
+//	   ^                                                          |
+//	   +------------- response, stream or refusal <---------------+
 type Proxy struct {
 	settings bbplatform.Settings
 	domain   bbunit.DomainID
-	shared   *SharedState
+	state    *SharedState
 	log      logrus.FieldLogger
 	shares   *shareController
 	prefills *prefillNotifier
@@ -43,28 +45,28 @@
 	metrics   *proxyMetrics
 	startedAt time.Time
 	closing   atomic.Bool
-	mu        sync.Mutex // guards callers
+	mu        sync.Mutex // guards conns
 	conns     map[*clientConn]bool
 	openConns sync.WaitGroup
 }
 
-// Serve runs the door until ctx ends, and then stops it without cutting a
-// request. It counts what it does in the registry.
+// Serve runs a proxy until ctx ends, then drains it: requests under way have until
+// the end of the grace period. It registers its metrics in registry.
 func Serve(ctx context.Context, settings bbplatform.Settings, peers PeerNetwork, registry metrics.Registry, log logrus.FieldLogger) error {
-	p := &Proxy{settings: settings, domain: settings.Domain, shared: &SharedState{}, log: log, metrics: newProxyMetrics(registry), startedAt: time.Now(), conns: map[*clientConn]bool{}}
-	p.shared.Instances.Store(defaultInstances)
+	p := &Proxy{settings: settings, domain: settings.Domain, state: &SharedState{}, log: log, metrics: newProxyMetrics(registry), startedAt: time.Now(), conns: map[*clientConn]bool{}}
+	p.state.Instances.Store(defaultInstances)
 	clientListener, err := net.Listen("tcp4", settings.Callers)
 	if err != nil {
-		return errors.Annotate(err, "address for callers")
+		return errors.Annotate(err, "listen for clients")
 	}
 	readyListener, err := net.Listen("tcp4", settings.Ready)
 	if err != nil {
 		_ = clientListener.Close()
-		return errors.Annotate(err, "address for readiness")
+		return errors.Annotate(err, "listen for readiness checks")
 	}
 	store, closeStore := bbplatform.NewStore(settings.Store)
 	defer closeStore()
-	p.shares = newShareController(store, p.shared, log, p.now, bbshare.NewHolderID(settings.Instance, bbunit.InstanceID(settings.Peers), newIncarnation()))
+	p.shares = newShareController(store, p.state, log, p.now, bbshare.NewHolderID(settings.Instance, bbunit.InstanceID(settings.Peers), newIncarnation()))
 
 	background, stopBackground := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
@@ -87,14 +89,15 @@
 	return nil
 }
 
-// startControllers starts the controllers.
+// startControllers starts the goroutines that follow the store, exchange messages
+// with peers and draw shares. They end with ctx.
 func (p *Proxy) startControllers(ctx context.Context, wg *conc.WaitGroup, store *bbplatform.Store, peers PeerNetwork) {
-	f := newFollower(store, p.shared, p.log, p.now, &p.traffic)
+	f := newFollower(store, p.state, p.log, p.now, &p.traffic)
 	r := newRelay(peers, f)
 	p.shares.loans = newPeerLoans(p.shares, peers)
-	p.prefills = newPrefillNotifier(peers, p.shared, p.now)
+	p.prefills = newPrefillNotifier(peers, p.state, p.now)
 	p.poison = newPoisonDetector(peers, p.now)
-	instances := newRegistry(store, peers, p.shared, p.log, p.settings, r.isWatcher)
+	instances := newRegistry(store, peers, p.state, p.log, p.settings, r.isWatcher)
 	wg.Go(func() { f.followPlan(ctx) })
 	wg.Go(func() { f.followTargets(ctx) })
 	wg.Go(func() { r.run(ctx) })
@@ -107,10 +110,11 @@
 	})
 }
 
-// now is a steady clock: a jump of the time of day does not move it.
+// now returns the time of a monotonic clock: a change of the system time does not
+// affect it.
 func (p *Proxy) now() time.Time { return p.startedAt.Add(time.Since(p.startedAt)) }
 
-// acceptConns takes clients' connections until the listener is closed.
+// acceptConns accepts and serves client connections until the listener is closed.
 func (p *Proxy) acceptConns(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -118,7 +122,7 @@
 			return
 		}
 		if err != nil {
-			p.log.WithError(err).Warn("connection not accepted")
+			p.log.WithError(err).Warn("accept failed; trying again")
 			time.Sleep(minStoreBackoff)
 			continue
 		}
@@ -141,10 +145,11 @@
 	}
 }
 
-// drain stops taking work: not ready at once, new connections a little longer,
-// and open requests to their end.
+// drain stops taking requests. It reports not ready at once, accepts connections
+// for lingerPeriod more, closes those without a request, and waits for the others
+// until the deadline.
 func (p *Proxy) drain(clientListener net.Listener, deadline time.Time) {
-	p.shared.Leaving.Store(true)
+	p.state.Leaving.Store(true)
 	p.shares.drain()
 	p.log.WithField("event", "leaving").Info("leaving")
 	time.Sleep(min(lingerPeriod, time.Until(deadline)))
@@ -163,11 +168,11 @@
 	}
 }
 
-// logCutRequests logs the requests that are still open at the end of the grace, up to
-// cutTold of them.
+// logCutRequests logs up to maxCutLogged of the requests that are still open at
+// the end of the grace period.
 func (p *Proxy) logCutRequests() {
 	requests := p.openRequests()
-	p.log.WithFields(logrus.Fields{"event": "cut", "open": len(requests)}).Warn("requests still open at the end of the grace")
+	p.log.WithFields(logrus.Fields{"event": "cut", "open": len(requests)}).Warn("requests still open at the end of the grace period")
 	for _, x := range requests[:min(len(requests), maxCutLogged)] {
 		fields := logrus.Fields{"request": x.req.AttemptID, "ms": time.Since(x.req.ReceivedAt).Milliseconds()}
 		if target := x.lastTarget.Load(); target != nil {
@@ -177,7 +182,7 @@
 	}
 }
 
-// openRequests returns the open requests.
+// openRequests returns the requests under way.
 func (p *Proxy) openRequests() []*exchange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,7 +195,8 @@
 	return requests
 }
 
-// closeIdleConns closes connections without a request.
+// closeIdleConns closes the connections that have no request under way, by ending
+// the read that waits for the next one.
 func (p *Proxy) closeIdleConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/bluebellport/proxy/ready.go
+++ b/bluebellport/proxy/ready.go
@@ -12,23 +12,24 @@
 	"bluebellport.example/platform"
 )
 
-// serveReady answers the platform's balancer, and collectors of metrics, until
-// the listener is closed.
+// serveReady answers readiness checks of the platform's balancer, and serves
+// metrics, until the listener is closed.
 func (p *Proxy) serveReady(ln net.Listener) {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true})
 	app.Get(bbplatform.PathReady, func(c *fiber.Ctx) error {
-		if p.shared.Ready() {
+		if p.state.Ready() {
 			return c.SendStatus(http.StatusOK)
 		}
 		return c.SendStatus(http.StatusServiceUnavailable)
 	})
 	app.Get(metricsPath, bbmetrics.Handler(p.metrics.registry))
-	if err := app.Listener(ln); err != nil && p.shared.Leaving.Load() == false {
-		p.log.WithError(err).Error("readiness not served")
+	if err := app.Listener(ln); err != nil && p.state.Leaving.Load() == false {
+		p.log.WithError(err).Error("serving readiness checks and metrics failed")
 	}
 }
 
-// newIncarnation names one life of an instance.
+// newIncarnation returns a random id that tells this run of the process from earlier
+// ones of the same instance.
 func newIncarnation() string {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
--- a/bluebellport/proxy/refusal.go
+++ b/bluebellport/proxy/refusal.go
@@ -9,23 +9,23 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Refusal is an answer of the fleet's own.
+// Refusal is an error response that the proxy itself gives.
 type Refusal struct {
 	Status int
-	// Reason tells people why.
+	// Reason is the explanation for people.
 	Reason string
-	// RetryAfter is when to come back; 0 gives no time.
+	// RetryAfter is sent as Retry-After; 0 omits it.
 	RetryAfter time.Duration
-	// Close ends the connection after the answer.
+	// Close closes the connection after the response.
 	Close bool
-	// LogFields are what decided it, for the log.
+	// LogFields are the values that decided it, for the log.
 	LogFields logrus.Fields
 }
 
-// Error makes a refusal an error.
+// Error returns the reason.
 func (r *Refusal) Error() string { return r.Reason }
 
-// outcome tells what is known of the request.
+// outcome returns "not-run" if no target can have run the request, else "unknown".
 func (r *Refusal) outcome() string {
 	switch r.Status {
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
@@ -41,7 +41,7 @@
 	Outcome string `json:"outcome"`
 }
 
-// encode returns the refusal as it goes over the wire.
+// encode returns the response, head and body.
 func (r *Refusal) encode(attemptID string, closeConn bool) []byte {
 	text := http.StatusText(r.Status)
 	body, err := json.Marshal(problemJSON{Title: text, Status: r.Status, Detail: r.Reason, Outcome: r.outcome()})
@@ -64,17 +64,17 @@
 	return append(b, body...)
 }
 
-// refuseNotRun refuses a request that has not run and never will.
+// refuseNotRun refuses a request that no target has run or will run.
 func refuseNotRun(reason string, retryAfter time.Duration) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter}
 }
 
-// refuseUnknown ends a request of which nothing certain is known.
+// refuseUnknown ends a request that a target may have run.
 func refuseUnknown(reason string) *Refusal {
 	return &Refusal{Status: http.StatusBadGateway, Reason: reason}
 }
 
-// refuseLate ends a request whose time is over.
+// refuseLate ends a request whose deadline has passed.
 func refuseLate(reason string) *Refusal {
 	return &Refusal{Status: http.StatusGatewayTimeout, Reason: reason}
 }
--- a/bluebellport/proxy/registry.go
+++ b/bluebellport/proxy/registry.go
@@ -16,10 +16,10 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// instancesPrefix is above the entries by which instances meet.
+// instancesPrefix is the key prefix of the list of instances in the platform's store.
 const instancesPrefix = "bluebellport/instances/"
 
-// RegistryStore is the part of the platform's store by which instances meet.
+// RegistryStore is the part of the platform's store that the registry uses.
 type RegistryStore interface {
 	WatchStore
 	CAS(ctx context.Context, key string, value []byte, prev bbstore.Revision, lease bbstore.LeaseID) (bbstore.Revision, error)
@@ -28,25 +28,25 @@
 	Revoke(ctx context.Context, id bbstore.LeaseID) error
 }
 
-// registry keeps this instance in the list of instances and tells the fleet who
-// else is in it.
+// registry keeps this instance's entry in the list of instances, and passes the list
+// to the peer network.
 type registry struct {
 	store     RegistryStore
 	peers     PeerNetwork
-	shared    *SharedState
+	state     *SharedState
 	log       logrus.FieldLogger
 	settings  bbplatform.Settings
-	isWatcher func() bool // tells whether this instance watches the store
-	instances map[string]bbmember.ListEntry
+	isWatcher func() bool                   // reports whether this instance watches the store
+	instances map[string]bbmember.ListEntry // by address
 }
 
-// instanceJSON is an instance in the list.
+// instanceJSON is the value of an entry in the list of instances.
 type instanceJSON struct {
 	Domain bbunit.DomainID `json:"domain"`
 }
 
-func newRegistry(store RegistryStore, peers PeerNetwork, shared *SharedState, log logrus.FieldLogger, settings bbplatform.Settings, isWatcher func() bool) *registry {
-	r := &registry{store: store, peers: peers, shared: shared, log: log, settings: settings, isWatcher: isWatcher, instances: map[string]bbmember.ListEntry{}}
+func newRegistry(store RegistryStore, peers PeerNetwork, state *SharedState, log logrus.FieldLogger, settings bbplatform.Settings, isWatcher func() bool) *registry {
+	r := &registry{store: store, peers: peers, state: state, log: log, settings: settings, isWatcher: isWatcher, instances: map[string]bbmember.ListEntry{}}
 	var seeds []bbmember.ListEntry
 	for _, address := range settings.Seeds {
 		if address != settings.Peers {
@@ -57,10 +57,11 @@
 	return r
 }
 
-// unknownDomain stands for the failure domain of a seed until it has spoken.
+// unknownDomain is the failure domain of a seed until it has sent a message.
 const unknownDomain bbunit.DomainID = "unknown"
 
-// keepRegistered registers and renews until ctx ends; then the entry goes.
+// keepRegistered registers this instance and renews the lease until ctx ends; then
+// it removes the entry.
 func (r *registry) keepRegistered(ctx context.Context) {
 	key := instancesPrefix + r.settings.Peers
 	value, err := json.Marshal(instanceJSON{Domain: r.settings.Domain})
@@ -75,7 +76,7 @@
 			}
 			if ctx.Err() != nil {
 				revokeCtx, cancel := context.WithTimeout(context.Background(), minStoreBackoff)
-				_ = r.store.Revoke(revokeCtx, lease) // it lapses by itself otherwise
+				_ = r.store.Revoke(revokeCtx, lease) // otherwise the lease expires
 				cancel()
 			}
 		}
@@ -83,7 +84,7 @@
 	}
 }
 
-// putEntry writes the entry over one of an earlier life.
+// putEntry writes this instance's entry, also over one that an earlier run left.
 func (r *registry) putEntry(ctx context.Context, key string, value []byte, lease bbstore.LeaseID) error {
 	_, err := r.store.CAS(ctx, key, value, 0, lease)
 	if !errors.Is(err, bbstore.ErrConflict) {
@@ -97,7 +98,7 @@
 	return err
 }
 
-// renewLease returns once the lease is gone or ctx ends.
+// renewLease renews the lease. It returns when the lease is lost or ctx ends.
 func (r *registry) renewLease(ctx context.Context, lease bbstore.LeaseID) {
 	for {
 		bbclock.Wait(ctx, leaseRenewInterval)
@@ -114,7 +115,7 @@
 func (r *registry) watchInstances(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !r.isWatcher() {
-			r.shared.Instances.Store(int64(max(len(r.peers.View().Members), 1)))
+			r.state.Instances.Store(int64(max(len(r.peers.View().Members), 1)))
 			bbclock.Wait(ctx, time.Second)
 			continue
 		}
@@ -131,7 +132,7 @@
 	}
 }
 
-// pollChanges returns when the list has to be read anew.
+// pollChanges applies changes. It returns when the list has to be read again.
 func (r *registry) pollChanges(ctx context.Context, from bbstore.Revision) {
 	for {
 		events, rev, err := r.store.Poll(ctx, instancesPrefix, from, instanceListWait)
@@ -145,13 +146,14 @@
 		if len(events) > 0 {
 			r.publish()
 		}
-		bbclock.Wait(ctx, 2*minStoreBackoff) // many join at once
+		bbclock.Wait(ctx, 2*minStoreBackoff) // batches instances that join together
 		if ctx.Err() != nil || !r.isWatcher() {
 			return
 		}
 	}
 }
 
+// applyEntry applies one entry of the list, without a value if it was deleted.
 func (r *registry) applyEntry(e bbstore.Entry) {
 	address := strings.TrimPrefix(e.Key, instancesPrefix)
 	if e.Value == nil {
@@ -160,17 +162,18 @@
 	}
 	var instance instanceJSON
 	if err := json.Unmarshal(e.Value, &instance); err != nil || !bbmember.ValidAddress(address) || instance.Domain == "" {
-		r.log.WithError(err).WithField("key", e.Key).Warn("entry of an instance left out")
+		r.log.WithError(err).WithField("key", e.Key).Warn("invalid entry of an instance ignored")
 		return
 	}
 	r.instances[address] = bbmember.ListEntry{ID: bbunit.InstanceID(address), Domain: instance.Domain, Address: address}
 }
 
+// publish passes the list to the peer network and counts its instances.
 func (r *registry) publish() {
 	list := make([]bbmember.ListEntry, 0, len(r.instances))
 	for _, l := range r.instances {
 		list = append(list, l)
 	}
 	r.peers.UpdateList(list)
-	r.shared.Instances.Store(int64(max(len(list), 1)))
+	r.state.Instances.Store(int64(max(len(list), 1)))
 }
--- a/bluebellport/proxy/relay.go
+++ b/bluebellport/proxy/relay.go
@@ -14,26 +14,26 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// PeerNetwork is how an instance speaks with the others.
+// PeerNetwork sends messages between this instance and its peers.
 type PeerNetwork interface {
 	Send(to bbunit.InstanceID, e *bbwire.Envelope) error
 	Call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope) (*bbwire.Envelope, error)
 	Handle(sample *bbwire.Envelope, fn func(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope)
 	View() *bbmember.View
-	// UpdateList takes the platform's list of instances.
+	// UpdateList passes on the instances that the platform's store lists.
 	UpdateList(list []bbmember.ListEntry)
 }
 
-// relay tells peers what the store says, so that an instance that has lost the
-// store still follows.
+// relay sends peers what the store says, so that an instance that can't reach the
+// store stays up to date.
 type relay struct {
 	peers          PeerNetwork
 	follower       *follower
-	askSlot        chan struct{} // holds one token while a peer is asked
-	wantedRevision atomic.Int64  // newest revision of the plan that was heard of
+	askSlot        chan struct{} // holds one token while a peer is being asked
+	wantedRevision atomic.Int64  // newest revision of the plan that a peer has announced
 	fetching       atomic.Bool
-	// watcherSeenAt is when the watcher of this failure domain last told of the
-	// store, in ns of the steady clock.
+	// watcherSeenAt is when a watcher of this failure domain last sent news, in ns of
+	// the monotonic clock.
 	watcherSeenAt atomic.Int64
 }
 
@@ -45,9 +45,9 @@
 	return r
 }
 
-// isWatcher tells whether this instance watches the store: it is the first of its
-// failure domain, or has not heard from one that watches. The second waits a
-// little less for that than the third, and so on.
+// isWatcher reports whether this instance watches the store: it ranks first in its
+// failure domain, or the watcher has been silent. The second instance in rank takes
+// over a little sooner than the third, and so on.
 func (r *relay) isWatcher() bool {
 	view := r.peers.View()
 	rank := view.Rank(watchKey, view.Self.Domain, maxWatcherRanks)
@@ -61,10 +61,12 @@
 	return r.follower.now().Sub(time.Unix(0, r.watcherSeenAt.Load())) > watcherSilence+time.Duration(index)*watcherSilenceStep
 }
 
-// watchKey ranks the instances of a failure domain for watching the store.
+// watchKey is the rendezvous hash key that ranks a failure domain's instances as
+// watchers.
 const watchKey = "watch"
 
-// tellDomain tells the failure domain what the store has just told.
+// tellDomain sends the peers of this failure domain what the store has just
+// answered.
 func (r *relay) tellDomain(changed []bbstore.Entry) {
 	view := r.peers.View()
 	tell := r.follower.digestNews()
@@ -76,8 +78,8 @@
 	}
 }
 
-// run tells one peer of the plan now and then, and asks one while the store is
-// out of reach, until ctx ends.
+// run sends one peer the plan's revision every other round, or asks one for plan
+// and targets while the store is unreachable. It returns when ctx ends.
 func (r *relay) run(ctx context.Context) {
 	for round := 0; ctx.Err() == nil; round++ {
 		bbclock.Wait(ctx, relayInterval)
@@ -95,13 +97,13 @@
 	}
 }
 
-// announcePlan tells the failure domain and several other peers that a newer plan is
-// in force.
+// announcePlan tells the failure domain and a few other peers of a newer plan.
 func (r *relay) announcePlan() {
 	r.tellDomain(nil)
 	r.tellRevision(r.pickPeers(announcePeers))
 }
 
+// tellRevision tells peers the revision of the plan in force here.
 func (r *relay) tellRevision(to []bbunit.InstanceID) {
 	rev := r.follower.planRevision()
 	if rev == 0 {
@@ -112,15 +114,15 @@
 	}
 }
 
-// handleNewsAsk tells a peer what it lacks.
+// handleNewsAsk answers with what the peer lacks.
 func (r *relay) handleNewsAsk(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	ask := e.GetNewsask()
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Newstell{Newstell: r.follower.newsSince(bbstore.Revision(ask.Revision), ask.Targets)}}
 }
 
-// handleNewsTell takes what a peer tells unasked. A newer plan is had from the peer, or
-// else from the store: at once when the peer watches, else if the store's own word
-// does not come first.
+// handleNewsTell applies news that a peer sent unasked. If the peer has a newer plan,
+// it is fetched from the peer, or else from the store: at once if the peer is a
+// watcher, otherwise after relayTimeout, in which it may arrive from the store.
 func (r *relay) handleNewsTell(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	tell := e.GetNewstell()
 	wait := relayTimeout
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// raiseWanted notes the newest revision of the plan that was heard of.
+// raiseWanted raises wantedRevision to rev.
 func (r *relay) raiseWanted(rev bbstore.Revision) {
 	for {
 		old := r.wantedRevision.Load()
@@ -149,7 +151,8 @@
 	}
 }
 
-// fetchPlan gets the newest plan that was heard of; one at a time does.
+// fetchPlan waits, then fetches plans until the wanted revision is in force. Only
+// one call runs at a time; others return.
 func (r *relay) fetchPlan(from bbunit.InstanceID, wait time.Duration) {
 	ctx := context.Background()
 	bbclock.Wait(ctx, wait)
@@ -168,7 +171,8 @@
 	}
 }
 
-// askPeer takes what a peer knows; only one is asked at a time.
+// askPeer asks a peer for its plan, and its targets if wanted, and applies them. If
+// a question is already open it does nothing.
 func (r *relay) askPeer(ctx context.Context, peer bbunit.InstanceID, targets bool) {
 	select {
 	case r.askSlot <- struct{}{}:
@@ -186,9 +190,10 @@
 	r.follower.applyNews(reply.GetNewstell())
 }
 
-// pickPeers returns up to n other instances at random.
+// pickPeers returns up to n other instances, chosen at random.
 func (r *relay) pickPeers(n int) []bbunit.InstanceID { return randomPeers(r.peers.View(), n) }
 
+// randomPeers returns up to n other instances of a view, chosen at random.
 func randomPeers(view *bbmember.View, n int) []bbunit.InstanceID {
 	var out []bbunit.InstanceID
 	for _, i := range rand.Perm(len(view.Members)) {
@@ -199,20 +204,23 @@
 	return out
 }
 
-// storeUnreachable tells that the store has been out of reach of late.
+// storeUnreachable reports whether plan or targets have never been read, or reading
+// targets failed within storeErrorWindow.
 func (f *follower) storeUnreachable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.shared.Plan.Load() == nil || f.shared.Services.Load() == nil || !f.lastErrorAt.IsZero() && f.now().Sub(f.lastErrorAt) < storeErrorWindow
+	return f.state.Plan.Load() == nil || f.state.Services.Load() == nil || !f.lastErrorAt.IsZero() && f.now().Sub(f.lastErrorAt) < storeErrorWindow
 }
 
+// planRevision returns the store's revision of the plan in force, 0 for none.
 func (f *follower) planRevision() bbstore.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.planEntry.Rev
 }
 
-// newsSince returns what a peer with that plan lacks.
+// newsSince returns what a peer lacks that has the plan of a revision: the plan, if
+// it is newer here, and all targets if asked for.
 func (f *follower) newsSince(have bbstore.Revision, targets bool) *bbwire.NewsTell {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -230,13 +238,15 @@
 	return tell
 }
 
-// digestNews returns what tells whether another instance knows the same.
+// digestNews returns the plan's revision and a digest of the targets, by which a
+// peer sees whether it has the same state.
 func (f *follower) digestNews() *bbwire.NewsTell {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return &bbwire.NewsTell{Revision: int64(f.planEntry.Rev), Digest: f.targets.Digest(), Watch: true}
 }
 
+// toKept converts entries to their form in messages.
 func toKept(entries []bbstore.Entry) []*bbwire.Kept {
 	out := make([]*bbwire.Kept, len(entries))
 	for i, e := range entries {
@@ -245,12 +255,12 @@
 	return out
 }
 
-// applyNews takes what a peer knows.
+// applyNews applies the plan and the targets that a peer sent.
 func (f *follower) applyNews(tell *bbwire.NewsTell) {
 	if len(tell.Plan) > 0 {
 		plan, err := decompressPlan(tell.Plan)
 		if err != nil {
-			f.log.WithError(err).Warn("plan of a peer not readable")
+			f.log.WithError(err).Warn("plan from a peer unreadable; ignored")
 			return
 		}
 		f.applyPlan(bbstore.Entry{Value: plan, Rev: bbstore.Revision(tell.Revision)})
--- a/bluebellport/proxy/request.go
+++ b/bluebellport/proxy/request.go
@@ -12,34 +12,38 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Request is one attempt of a client, read whole.
+// Request is one request as a client sent it, read whole. A client that retries
+// sends another one with a new attempt id.
 type Request struct {
 	Method, URI string
 	Host        string
 	Fields      Fields
 	Body        []byte
 	HasBody     bool
-	// Close tells that the client wants the connection closed after the answer.
+	// Close reports that the client wants the connection closed after the response.
 	Close bool
 
 	AttemptID string
 	APIKey    string
-	// ReceivedAt is when the request had been read; Wait is how long its client waits.
+	// ReceivedAt is when the whole request had been read, Timeout how long the client
+	// waits from then.
 	ReceivedAt time.Time
 	Timeout    time.Duration
-	// PromptTokens and Output are the tokens of the prompt and the most of the answer.
+	// PromptTokens is the size of the prompt, OutputTokens the most that the answer may
+	// have. Both are 0 unless HasUsage.
 	PromptTokens, OutputTokens bbunit.Tokens
 	HasUsage                   bool
 	LastEventID                string
 }
 
-// Path returns the target without its query.
+// Path returns the URI without its query.
 func (r *Request) Path() string {
 	path, _, _ := strings.Cut(r.URI, "?")
 	return path
 }
 
-// readRequest reads a request's head. The body is still to be read.
+// readRequest reads the head of a request. Its body is still unread. After an error
+// the request, if not nil, holds what could be read of it.
 func readRequest(br *bufio.Reader, limit int) (*Request, framing, error) {
 	line, fields, err := readHead(br, limit)
 	if err != nil {
@@ -63,6 +67,8 @@
 	return r, f, r.readFields()
 }
 
+// validURI reports whether s is an absolute path of printable ASCII, without a
+// fragment.
 func validURI(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f || s[i] == '#' {
@@ -72,23 +78,22 @@
 	return strings.HasPrefix(s, "/")
 }
 
-// singletonFields are the fields that may stand once only, since two could be read in two
-// ways.
+// singletonFields may occur only once: of two values, each reader could use another.
 var singletonFields = []string{
 	bbplatform.HeaderAttempt, bbplatform.HeaderDeadline, bbplatform.HeaderKey,
 	bbplatform.HeaderUsage, bbplatform.HeaderPrompt, "Model", bbplatform.HeaderLastEvent,
 }
 
-// readFields reads what the fleet needs of the fields.
+// readFields parses the fields that the proxy uses.
 func (r *Request) readFields() error {
 	for _, name := range singletonFields {
 		if _, n := r.Fields.Get(name); n > 1 {
-			return errors.Annotatef(ErrMalformed, "%s stands %d times", name, n)
+			return errors.Annotatef(ErrMalformed, "%s occurs %d times", name, n)
 		}
 	}
 	host, n := r.Fields.Get("Host")
 	if n != 1 {
-		return errors.Annotatef(ErrMalformed, "host stands %d times", n)
+		return errors.Annotatef(ErrMalformed, "host occurs %d times", n)
 	}
 	r.Host = host
 	r.AttemptID = r.Fields.Value(bbplatform.HeaderAttempt)
@@ -110,7 +115,7 @@
 	return nil
 }
 
-// Fingerprint is a hash by which a request that comes again is known.
+// Fingerprint returns a hash by which a repeated request is recognized.
 func (r *Request) Fingerprint(account bbunit.AccountID) uint64 {
 	h := xxhash.New()
 	for _, s := range []string{string(account), "\x00", r.Method, "\x00", r.URI, "\x00"} {
@@ -120,8 +125,8 @@
 	return h.Sum64()
 }
 
-// SharedPrefix returns a hash of what the prompt shares with others, and its tokens:
-// all parts but the last, which is the request's own.
+// SharedPrefix returns a hash of the parts of the prompt that other requests may
+// share, and their tokens: all parts but the last.
 func (r *Request) SharedPrefix() (uint64, bbunit.Tokens) {
 	text := r.Fields.Value(bbplatform.HeaderPrompt)
 	i := strings.LastIndexByte(text, ',')
--- a/bluebellport/proxy/response.go
+++ b/bluebellport/proxy/response.go
@@ -8,7 +8,7 @@
 	"bluebellport.example/platform"
 )
 
-// Response is the head of a target's answer.
+// Response is the head of a target's response.
 type Response struct {
 	Status  int
 	Reason  string
@@ -16,7 +16,8 @@
 	framing framing
 }
 
-// readResponseHead reads the head of an answer, past those of status 1xx.
+// readResponseHead reads the head of a response. It skips informational (1xx)
+// responses.
 func (c *targetConn) readResponseHead() (*Response, error) {
 	for {
 		line, fields, err := readHead(c.br, maxHead)
@@ -43,20 +44,20 @@
 	}
 }
 
-// saysNotRun tells that the target says it did not run the request.
+// saysNotRun reports whether the target states that it did not run the request.
 func (r *Response) saysNotRun() bool {
 	_, count := r.Fields.Get(bbplatform.HeaderNotRun)
 	return count > 0 || r.Status == 421
 }
 
-// isSigned tells that the answer bears the target's signature and is not altered
-// on its way.
+// isSigned reports whether the response has the target's signature and was not
+// changed on the way, which a content encoding would show.
 func (r *Response) isSigned() bool {
 	_, encodings := r.Fields.Get("Content-Encoding")
 	return r.Fields.Value(bbplatform.HeaderSignature) != "" && encodings == 0
 }
 
-// belongsTo tells whether the answer is that of an attempt.
+// belongsTo reports whether the response echoes the attempt's id.
 func (r *Response) belongsTo(attemptID string) bool {
 	id, n := r.Fields.Get(bbplatform.HeaderAttempt)
 	return n == 1 && id == attemptID
--- a/bluebellport/proxy/share.go
+++ b/bluebellport/proxy/share.go
@@ -17,10 +17,10 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// moneyPrefix is above the rows of the accounts in the platform's store.
+// moneyPrefix is the key prefix of the accounts' rows in the platform's store.
 const moneyPrefix = "bluebellport/money/"
 
-// ShareStore is the part of the platform's store that money uses.
+// ShareStore is the part of the platform's store that shareController uses.
 type ShareStore interface {
 	List(ctx context.Context, prefix string) ([]bbstore.Entry, bbstore.Revision, error)
 	Swap(ctx context.Context, rows []bbstore.Entry, lease bbstore.LeaseID) (bbstore.Revision, []bbstore.Entry, error)
@@ -28,36 +28,38 @@
 	Calls() map[string]int64
 }
 
-// shareController is the controller of this instance's shares.
+// shareController holds this instance's shares of the accounts' prepaid tokens. It
+// draws more from the store by compare-and-swap and reserves from them for
+// requests.
 type shareController struct {
 	store  ShareStore
-	shared *SharedState
+	state  *SharedState
 	log    logrus.FieldLogger
 	now    func() time.Time
 	wakeup chan struct{}
 
-	mu          sync.Mutex // guards book and drawn
+	mu          sync.Mutex // guards the fields down to lastWriteAt
 	allocator   *bbshare.Allocator
-	written     chan struct{} // closed after each write and replaced
-	lastReplyAt time.Time     // last answer of the store
-	plan        *bbplan.Plan
-	lastWriteAt time.Time     // last write
-	backoff     time.Duration // after the last write, which failed
+	written     chan struct{} // closed and replaced after each write
+	lastReplyAt time.Time     // when the store last answered a write
+	plan        *bbplan.Plan  // whose payments have been applied
+	lastWriteAt time.Time     // when the last write was begun
+	backoff     time.Duration // pause after the last write, 0 if it succeeded
 
-	lostAt   atomic.Int64 // since when the store does not answer, in ns of the steady clock; 0: it does
-	balances sync.Map     // bbunit.AccountID -> *bbshare.Purse
+	lostAt   atomic.Int64 // when the store stopped answering, in ns of the monotonic clock; 0 while it answers
+	balances sync.Map     // bbunit.AccountID -> *bbshare.Balance
 
 	loans *peerLoans
 }
 
-func newShareController(store ShareStore, shared *SharedState, log logrus.FieldLogger, now func() time.Time, holder bbunit.HolderID) *shareController {
+func newShareController(store ShareStore, state *SharedState, log logrus.FieldLogger, now func() time.Time, holder bbunit.HolderID) *shareController {
 	return &shareController{
-		store: store, shared: shared, log: log, now: now, wakeup: make(chan struct{}, 1),
+		store: store, state: state, log: log, now: now, wakeup: make(chan struct{}, 1),
 		allocator: bbshare.NewAllocator(holder, moneyPrefix, bbshare.DefaultPolicy()), written: make(chan struct{}),
 	}
 }
 
-// balance returns an account's purse.
+// balance returns what this instance may spend of an account.
 func (c *shareController) balance(id bbunit.AccountID) *bbshare.Balance {
 	if b, ok := c.balances.Load(id); ok {
 		return b.(*bbshare.Balance)
@@ -69,9 +71,9 @@
 	return b
 }
 
-// reserve sets n of an account aside, or says why not. While the store answers
-// it waits a little for a share, as long as gone stays open; while it does not,
-// the answer is given at once.
+// reserve reserves n tokens of an account, or returns why it can't. It waits for a
+// share up to shareTimeout or the deadline, and less if the client leaves or the store
+// does not answer.
 func (c *shareController) reserve(account *bbplan.Account, n bbunit.Tokens, deadline time.Time, clientGone <-chan struct{}) (*bbshare.Balance, *Refusal) {
 	balance := c.balance(account.ID)
 	if balance.Reserve(n) {
@@ -101,7 +103,7 @@
 			break
 		}
 		if remoteHome {
-			time.Sleep(shareTimeout / maxShareRounds / 4) // its home draws meanwhile
+			time.Sleep(shareTimeout / maxShareRounds / 4) // the account's home draws meanwhile
 		}
 	}
 	if c.loans.borrowFromPeers(account, n) && balance.Reserve(n) {
@@ -113,7 +115,8 @@
 	return nil, c.refuseNoShare(account, n)
 }
 
-// exhausted tells that a draw cannot bring n, as the store has just told.
+// exhausted reports that, by the latest reply of the store or of the account's
+// home, drawing again cannot bring n tokens.
 func (c *shareController) exhausted(account *bbplan.Account, n bbunit.Tokens) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +127,7 @@
 	return share.RowLoaded() && share.Free()+share.Balance.Available() < n
 }
 
-// wake makes the controller look at once.
+// wake makes run check the shares at once.
 func (c *shareController) wake() {
 	select {
 	case c.wakeup <- struct{}{}:
@@ -132,7 +135,7 @@
 	}
 }
 
-// outage returns for how long the store has not answered, 0 when it does.
+// outage returns for how long the store has not answered, 0 while it answers.
 func (c *shareController) outage() time.Duration {
 	lostAt := c.lostAt.Load()
 	if lostAt == 0 {
@@ -141,8 +144,9 @@
 	return max(c.now().Sub(time.Unix(0, lostAt)), 1)
 }
 
-// refuseNoShare refuses for want of a share. The store is expected to be away as long
-// again as it has been.
+// refuseNoShare refuses a request for which no share could be drawn. Retry-After is
+// as long as the outage has lasted so far, which is taken as the best guess of how
+// much longer it lasts.
 func (c *shareController) refuseNoShare(account *bbplan.Account, n bbunit.Tokens) *Refusal {
 	refusal := refuseNotRun("no share of the account's money at hand", min(max(c.outage(), defaultRetryAfter), maxRetryAfter))
 	c.mu.Lock()
@@ -151,8 +155,9 @@
 	return refusal
 }
 
-// refuseUncovered refuses what the account cannot cover, as the store has just told,
-// or what only other instances' shares could.
+// refuseUncovered refuses a request that the account can't cover, or that only
+// other instances' shares could cover, if what is known is recent enough to say so.
+// Otherwise it returns nil.
 func (c *shareController) refuseUncovered(account *bbplan.Account, n bbunit.Tokens) *Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,7 +174,7 @@
 	return refusal
 }
 
-// logFields are what decides whether a share is to be had.
+// logFields returns the values that decide whether a share is available.
 func (c *shareController) logFields(share *bbshare.AccountShare, n bbunit.Tokens) logrus.Fields {
 	return logrus.Fields{
 		"account": share.ID, "tokens": n, "here": share.Balance.Available(), "free": share.Free(), "others": share.UnspentByOthers(c.allocator.Holder),
@@ -188,11 +193,11 @@
 			return
 		case <-ticker.C:
 		case <-c.wakeup:
-			if c.shared.UsesHomes() {
-				bbclock.Wait(ctx, homeBatchDelay) // one write for what several members need
+			if c.state.UsesHomes() {
+				bbclock.Wait(ctx, homeBatchDelay) // one write serves several members' needs
 			}
 		}
-		if c.shared.Plan.Load() == nil {
+		if c.state.Plan.Load() == nil {
 			continue
 		}
 		c.mu.Lock()
@@ -209,9 +214,10 @@
 	}
 }
 
-// applyPayments tells the book what accounts have paid.
+// applyPayments tells the allocator what the accounts of a new plan have paid. The
+// caller holds mu.
 func (c *shareController) applyPayments() {
-	plan := c.shared.Plan.Load()
+	plan := c.state.Plan.Load()
 	if plan == nil || plan == c.plan {
 		return
 	}
@@ -223,11 +229,11 @@
 	}
 }
 
-// readAll reads all rows once, so that the first requests need no conflict.
+// readAll reads all rows once, so that the first writes do not conflict.
 func (c *shareController) readAll(ctx context.Context) {
 	entries, _, err := c.store.List(ctx, moneyPrefix)
 	if err != nil {
-		c.log.WithError(err).Warn("money rows not read; they are read with the first write")
+		c.log.WithError(err).Warn("account rows not read; the first write reads them")
 		return
 	}
 	c.mu.Lock()
@@ -235,15 +241,15 @@
 	c.logBadRows(c.allocator.ApplyRows(entries))
 }
 
-// draw writes what is due, and again after a conflict.
+// draw writes the shares that are needed, and tries again after a conflict.
 func (c *shareController) draw(ctx context.Context) {
 	for range maxDrawTries {
 		c.mu.Lock()
 		c.applyPayments()
 		holders := c.loans.updateHomes()
-		c.loans.borrowFromHomes(c.allocator.LoanRequests(bbshare.DefaultHomePolicy(), int(c.shared.Instances.Load())))
+		c.loans.borrowFromHomes(c.allocator.LoanRequests(bbshare.DefaultHomePolicy(), int(c.state.Instances.Load())))
 		now, interval := c.now(), prefetchInterval
-		if c.shared.UsesHomes() {
+		if c.state.UsesHomes() {
 			interval = homePrefetchInterval
 		}
 		rowWrite := c.allocator.NextWrite(holders, now.Sub(c.lastWriteAt) >= interval)
@@ -261,7 +267,8 @@
 	}
 }
 
-// write carries out one write and takes its outcome.
+// write performs one write and records its outcome. It backs off after an error
+// other than a conflict.
 func (c *shareController) write(ctx context.Context, rowWrite *bbshare.RowWrite) error {
 	callCtx, cancel := context.WithTimeout(ctx, swapTimeout)
 	rev, now, err := c.store.Swap(callCtx, rowWrite.Rows, 0)
@@ -287,7 +294,7 @@
 	return err
 }
 
-// notifyWaiters lets those that wait for a share look again.
+// notifyWaiters lets the requests that wait for a share try again.
 func (c *shareController) notifyWaiters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -295,13 +302,14 @@
 	c.written = make(chan struct{})
 }
 
+// logBadRows logs the rows that could not be read.
 func (c *shareController) logBadRows(errs []error) {
 	for _, err := range errs {
-		c.log.WithError(err).Error("money row not readable; nothing is drawn from it")
+		c.log.WithError(err).Error("account row unreadable; no share is drawn from it")
 	}
 }
 
-// drain gives back what lies unused; requests still find what they ask for.
+// drain returns unused shares to the store, except what requests still need.
 func (c *shareController) drain() {
 	c.mu.Lock()
 	c.allocator.Drain()
@@ -309,23 +317,23 @@
 	c.wake()
 }
 
-// close gives back what is unspent, and tries until ctx ends.
+// close returns all that is unspent to the store. It tries until ctx ends.
 func (c *shareController) close(ctx context.Context) {
 	for {
 		c.mu.Lock()
 		rowWrite := c.allocator.Close()
 		c.mu.Unlock()
 		if rowWrite == nil {
-			c.log.WithField("event", "money-closed").Info("nothing to give back")
+			c.log.WithField("event", "money-closed").Info("no shares to return")
 			return
 		}
 		err := c.write(ctx, rowWrite)
 		if err == nil {
-			c.log.WithFields(logrus.Fields{"event": "money-closed", "accounts": len(rowWrite.Rows)}).Info("shares given back")
+			c.log.WithFields(logrus.Fields{"event": "money-closed", "accounts": len(rowWrite.Rows)}).Info("shares returned")
 			return
 		}
 		if ctx.Err() != nil {
-			c.log.WithError(err).WithField("event", "money-stuck").Warn("shares not given back; they count as spent")
+			c.log.WithError(err).WithField("event", "money-stuck").Warn("shares not returned; they count as spent")
 			return
 		}
 	}
--- a/bluebellport/proxy/state.go
+++ b/bluebellport/proxy/state.go
@@ -1,6 +1,6 @@
-// Package bbproxy is the front door of an instance on the platform: it takes
-// requests as they come over the wire, checks them against what the operators
-// declared, reserves money, places them at targets and passes the answers back.
+// Package bbproxy is the reverse proxy that an instance runs on the platform. It
+// reads requests off the wire, admits them by the plan that the operators declared,
+// reserves the account's tokens, chooses a target and passes its response back.
 package bbproxy
 
 import (
@@ -11,41 +11,44 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// SharedState is what controllers write and requests read: immutable snapshots, each
-// replaced whole by the controller that owns it.
+// SharedState holds what the controllers publish and the requests read: immutable
+// snapshots, each replaced as a whole by the controller that owns it.
 type SharedState struct {
-	// Plan is what the operators declared; the plan follower owns it.
+	// Plan is what the operators declared. The follower owns it.
 	Plan atomic.Pointer[bbplan.Plan]
-	// Services are the targets by service; the target follower owns it.
+	// Services holds the targets by service. The follower owns it.
 	Services atomic.Pointer[map[bbunit.ServiceID]*ServiceTargets]
-	// Leaving is set once the instance was told to stop.
+	// Leaving is set once the instance has been told to stop.
 	Leaving atomic.Bool
-	// LinkSaturated is set while the instance has more traffic than its link carries.
+	// LinkSaturated is set while the traffic is close to what the instance's link
+	// carries.
 	LinkSaturated atomic.Bool
 	// Instances is how many instances share the accounts, at least 1.
 	Instances atomic.Int64
 }
 
-// ServiceTargets is the targets of one service.
+// ServiceTargets are the targets of one service.
 type ServiceTargets struct {
 	Targets []*Target
-	// Candidates are the same targets as decisions see them.
+	// Candidates are the same targets, in the same order, as package bbplace takes them.
 	Candidates []*bbplace.Target
 }
 
-// Ready tells whether requests can be served.
+// Ready reports whether new connections should come to this instance.
 func (s *SharedState) Ready() bool {
 	return s.Plan.Load() != nil && s.Services.Load() != nil && !s.closeConns()
 }
 
-// UsesHomes tells whether the fleet is so large that accounts have homes that draw
-// for the others of their failure domain.
+// UsesHomes reports whether the fleet is larger than maxDirectFleet. Then each
+// account has a home in each failure domain, which draws for the other instances
+// there.
 func (s *SharedState) UsesHomes() bool { return s.Instances.Load() > maxDirectFleet }
 
-// closeConns tells whether callers are asked to connect anew.
+// closeConns reports whether responses ask clients to connect again, which may take
+// them to another instance.
 func (s *SharedState) closeConns() bool { return s.Leaving.Load() || s.LinkSaturated.Load() }
 
-// targetsOf returns the targets of a service, nil when none is known.
+// targetsOf returns the targets of a service, nil if none is known.
 func (s *SharedState) targetsOf(id bbunit.ServiceID) *ServiceTargets {
 	services := s.Services.Load()
 	if services == nil {
--- a/bluebellport/proxy/stream.go
+++ b/bluebellport/proxy/stream.go
@@ -9,19 +9,19 @@
 	"github.com/juju/errors"
 )
 
-// streamState is what the caller has of a stream of events. The zero value has
-// nothing.
+// streamState is what a client has received of an event stream. The zero value is a
+// stream that has not started.
 type streamState struct {
 	started      bool
-	complete     bool
+	complete     bool // the whole answer was passed on
 	eventCount   int
 	firstEventAt time.Time     // when the first event came
-	lastEventAt  time.Time     // when the last one came
-	longestGap   time.Duration // the longest pause
+	lastEventAt  time.Time     // when the latest event came
+	longestGap   time.Duration // between two events
 	lastID       int64         // id of the last event passed on
 }
 
-// recordEvent notes the time of an event.
+// recordEvent records the time of an event.
 func (s *streamState) recordEvent(now time.Time) {
 	if s.firstEventAt.IsZero() {
 		s.firstEventAt = now
@@ -31,8 +31,8 @@
 	s.lastEventAt = now
 }
 
-// resumeID is the id after which another target has to go on; empty when the
-// stream has not begun.
+// resumeID returns the event id after which another target has to resume, empty if
+// the stream has not started.
 func (s *streamState) resumeID() string {
 	if !s.started || s.lastID == 0 {
 		return ""
@@ -40,14 +40,15 @@
 	return strconv.FormatInt(s.lastID, 10)
 }
 
-// errEventOrder means that an event is not the one that follows.
+// errEventOrder means that an event's id does not follow that of the previous one.
 var errEventOrder = errors.New("event out of order")
 
-// forwardStream passes events on as they come, each whole. A stream that breaks off
-// can go on at another target from the last whole event, under the first head.
+// forwardStream passes the events of a stream to the client as they arrive, each as
+// a whole. A stream that breaks off can be resumed at another target after the last
+// whole event; the client then sees one response with the first head.
 func (x *exchange) forwardStream(conn *targetConn, resp *Response) attemptResult {
 	b := responseBody(conn.br, resp.framing, resp.Status, x.req.Method)
-	closeConn := x.req.Close || x.proxy.shared.closeConns()
+	closeConn := x.req.Close || x.proxy.state.closeConns()
 	if !x.stream.started {
 		x.stream.started = true
 		x.stream.lastID = parseLastEventID(x.req.LastEventID)
@@ -71,7 +72,8 @@
 	return x.connFailure(err)
 }
 
-// parseLastEventID is the event that a caller has when it resumes a stream.
+// parseLastEventID returns the event after which a client resumes a stream, 0 if it
+// names none.
 func parseLastEventID(text string) int64 {
 	n, err := parseDigits(text, 10)
 	if err != nil {
@@ -80,10 +82,11 @@
 	return n
 }
 
-// errClient marks an error of the caller's connection.
+// errClient marks an error of the client's connection.
 const errClient = errors.ConstError("caller's connection")
 
-// forwardEvents reads events until the body ends whole, and returns nil then.
+// forwardEvents passes events to the client and returns nil when the body is
+// complete. It returns io.ErrUnexpectedEOF if the last event is not.
 func (x *exchange) forwardEvents(conn *targetConn, b *bodyReader) error {
 	buf := make([]byte, 0, bufferSize)
 	for {
@@ -115,8 +118,8 @@
 	}
 }
 
-// forwardComplete writes the whole events at the start of buf as one chunk, and
-// returns what is left.
+// forwardComplete writes the whole events at the start of buf as one chunk and
+// returns the rest.
 func (x *exchange) forwardComplete(buf []byte) ([]byte, error) {
 	events, rest, err := x.stream.splitEvents(buf, x.sentAttempts > 1)
 	if err != nil {
@@ -130,9 +133,9 @@
 	return rest, nil
 }
 
-// splitEvents returns the whole events at the start of buf that the caller has not yet,
-// and what is behind them. Only a resumed stream may begin with events that the
-// caller has; else an event that does not follow the last one is an error.
+// splitEvents returns the whole events at the start of buf that the client does not
+// have yet, and the bytes that follow them. Only a resumed stream may begin with
+// events that the client has; any other gap or repetition is errEventOrder.
 func (s *streamState) splitEvents(buf []byte, resumed bool) (events, rest []byte, err error) {
 	start, end := 0, 0
 	for {
@@ -156,7 +159,7 @@
 	}
 }
 
-// encodeChunk frames bytes for a chunked body.
+// encodeChunk frames data as one chunk of a chunked body.
 func encodeChunk(data []byte) []byte {
 	out := make([]byte, 0, len(data)+16)
 	out = strconv.AppendInt(out, int64(len(data)), 16)
@@ -165,7 +168,7 @@
 	return append(out, "\r\n"...)
 }
 
-// eventID returns the id of an event, 0 when it has none.
+// eventID returns the id of an event, 0 if it has none.
 func eventID(event []byte) int64 {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/bluebellport/proxy/target.go
+++ b/bluebellport/proxy/target.go
@@ -11,26 +11,26 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Target is a target as the door uses it: what is known of it, and the
-// connections to it.
+// Target is a target with its load, its health and the connections to it.
 type Target struct {
 	bbplace.Target
 	conns *connPool
 }
 
-// TargetSet holds the targets by id. The target follower owns it.
+// TargetSet holds the targets by id. The follower owns it.
 type TargetSet struct {
 	now     func() time.Time
 	traffic *trafficMeter
 	targets map[bbunit.TargetID]*Target
 }
 
-// NewTargetSet returns an empty roster.
+// NewTargetSet returns an empty set.
 func NewTargetSet(now func() time.Time, traffic *trafficMeter) *TargetSet {
 	return &TargetSet{now: now, traffic: traffic, targets: map[bbunit.TargetID]*Target{}}
 }
 
-// Put takes an entry. It tells whether anything changed that requests see.
+// Put adds or updates a target, and reports whether anything changed. A target with
+// another Address or StartedAtMillis is a new one, with new connections and statistics.
 func (set *TargetSet) Put(entry bbplan.Target) bool {
 	old := set.targets[entry.ID]
 	if old != nil && old.Target.Target == entry {
@@ -52,7 +52,7 @@
 	return true
 }
 
-// Remove forgets a target.
+// Remove removes a target and closes the connections to it.
 func (set *TargetSet) Remove(id bbunit.TargetID) {
 	if target := set.targets[id]; target != nil {
 		target.conns.close()
@@ -75,7 +75,7 @@
 	return &out
 }
 
-// Digest is a hash of all targets that two rosters share when they are equal.
+// Digest returns a hash that is equal for equal sets, whatever their order.
 func (set *TargetSet) Digest() uint64 {
 	var sum uint64
 	for _, target := range set.targets {
--- a/bluebellport/proxy/traffic.go
+++ b/bluebellport/proxy/traffic.go
@@ -14,13 +14,13 @@
 // trafficMeter counts the bytes that an instance reads and writes.
 type trafficMeter struct{ in, out atomic.Int64 }
 
-// countedConn is a connection whose bytes are counted.
+// countedConn is a TCP connection whose bytes are counted.
 type countedConn struct {
 	*net.TCPConn
 	meter *trafficMeter
 }
 
-// count returns the connection counted, if it is one over TCP.
+// count wraps a TCP connection so that its bytes are counted.
 func (m *trafficMeter) count(c net.Conn) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		return countedConn{tcp, m}
@@ -28,44 +28,46 @@
 	return c
 }
 
-// Read counts what it reads.
+// Read reads and counts the bytes.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.meter.in.Add(int64(n))
 	return n, err
 }
 
-// Write counts what it writes.
+// Write writes and counts the bytes.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
 	c.meter.out.Add(int64(n))
 	return n, err
 }
 
-// saturationDetector decides when an instance has more traffic than its link carries. Then it
-// asks the balancer for no new connections, and callers to connect anew, so that
-// others take a part. The zero value without a limit never does.
+// saturationDetector decides when the traffic is too close to what the instance's
+// link carries. The instance then reports not ready and asks clients to connect
+// again, so that other instances take part of the traffic. Without a limit it never
+// does.
 type saturationDetector struct {
-	limit      float64 // bytes a second, of each direction; 0: none
-	ticksAbove int     // ticks in a row above the high mark
+	limit      float64 // bytes a second in each direction; 0 for none
+	ticksAbove int     // consecutive ticks above saturationHigh
 	holdUntil  time.Time
 	saturated  bool
 }
 
 const (
-	// linkCheckInterval is the time between two looks at the traffic.
+	// linkCheckInterval is the time between two checks of the traffic.
 	linkCheckInterval = 250 * time.Millisecond
-	// saturationTicks is how many of them in a row must be above guardHigh.
+	// saturationTicks is how many consecutive checks must be above saturationHigh.
 	saturationTicks = 2
-	// saturationHigh and guardLow are parts of the link's rate.
+	// saturationHigh and saturationLow are the parts of the link's rate at which
+	// saturation begins and ends.
 	saturationHigh = 0.55
 	saturationLow  = 0.3
-	// saturationHold is the least time that an instance stays out.
+	// saturationHold is the least time that an instance counts as saturated.
 	saturationHold = 3 * time.Second
 )
 
-// update takes the traffic since the last one, in bytes a second of the busier
-// direction, and returns whether the instance is crowded.
+// update takes the traffic since the last call, in bytes a second of the busier
+// direction, and returns whether the link counts as saturated.
 func (d *saturationDetector) update(rate float64, now time.Time) bool {
 	if d.limit <= 0 {
 		return false
@@ -84,7 +86,7 @@
 	return d.saturated
 }
 
-// watchLink runs the guard until ctx ends.
+// watchLink checks the link for saturation until ctx ends.
 func (p *Proxy) watchLink(ctx context.Context) {
 	detector := saturationDetector{limit: p.settings.LinkMbps * 1e6 / 8}
 	in, out, last := p.traffic.in.Load(), p.traffic.out.Load(), p.now()
@@ -94,8 +96,8 @@
 		elapsed := max(now.Sub(last).Seconds(), linkCheckInterval.Seconds())
 		rate := float64(max(newIn-in, newOut-out)) / elapsed
 		in, out, last = newIn, newOut, now
-		if saturated := detector.update(rate, now); p.shared.LinkSaturated.Swap(saturated) != saturated {
-			p.log.WithFields(logrus.Fields{"event": "crowded", "crowded": saturated, "rate": int64(rate), "limit": int64(detector.limit)}).Info("traffic against the link")
+		if saturated := detector.update(rate, now); p.state.LinkSaturated.Swap(saturated) != saturated {
+			p.log.WithFields(logrus.Fields{"event": "crowded", "crowded": saturated, "rate": int64(rate), "limit": int64(detector.limit)}).Info("link saturation changed")
 		}
 	}
 }
