--- a/bluebellport/proxy/fuzz_test.go
+++ b/bluebellport/proxy/fuzz_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// FuzzRequest reads arbitrary bytes as a request. Whatever is taken for one must
-// be read the same way once it has been passed on.
+// FuzzRequest reads arbitrary bytes as a request. One that is accepted must be read the
+// same way after it has been forwarded.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET /a HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -35,23 +35,23 @@
 		br = bufio.NewReader(bytes.NewReader(sent))
 		again, frame, err := readRequest(br, 2*maxHead)
 		if err != nil {
-			t.Fatalf("passed on malformed: %v: %q", err, sent)
+			t.Fatalf("forwarded malformed: %v: %q", err, sent)
 		}
 		body, err := requestBody(br, frame).readAll(maxBody)
 		if err != nil || !bytes.Equal(body, q.Body) || again.Method != q.Method || again.URI != q.URI {
-			t.Fatalf("read in another way: %v: %q", err, sent)
+			t.Fatalf("forwarded request read differently: %v: %q", err, sent)
 		}
 		if rest, _ := io.ReadAll(br); len(rest) > 0 {
-			t.Fatalf("bytes behind the request: %q", rest)
+			t.Fatalf("bytes after the request: %q", rest)
 		}
 		if v, n := again.Fields.Get("Tenant"); n != 1 || v != "a" {
-			t.Fatalf("account %q stands %d times", v, n)
+			t.Fatalf("account %q occurs %d times", v, n)
 		}
 	})
 }
 
-// FuzzChunks reads arbitrary bytes as a chunked body: what comes out is never
-// more than what went in.
+// FuzzChunks reads arbitrary bytes as a chunked body: the body is never longer than
+// the bytes, and read without an error only if it is complete.
 func FuzzChunks(f *testing.F) {
 	for _, s := range []string{"0\r\n\r\n", "3\r\nabc\r\n0\r\nT: v\r\n\r\n", "ffffffff\r\n", "1;x\r\na\r\n", "-1\r\n", "3\r\nab"} {
 		f.Add([]byte(s))
@@ -60,16 +60,16 @@
 		b := requestBody(bufio.NewReader(bytes.NewReader(data)), framing{chunked: true, length: -1})
 		out, err := b.readAll(1 << 20)
 		if len(out) > len(data) {
-			t.Fatalf("%d bytes of %d", len(out), len(data))
+			t.Fatalf("body of %d bytes read from %d", len(out), len(data))
 		}
 		if err == nil && !b.complete {
-			t.Fatal("whole without its end")
+			t.Fatal("incomplete body read without an error")
 		}
 	})
 }
 
-// FuzzEvents passes arbitrary bytes of a stream on, in two parts: the events that
-// come out are whole, in order, and the same however the bytes were cut.
+// FuzzEvents splits arbitrary bytes of a stream into events, in two parts: the events
+// are whole and the same wherever the bytes are cut.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), 5)
 	f.Add([]byte(": comment\n\nid: 1\n\nid: x\n\n"), 11)
@@ -78,19 +78,19 @@
 		whole, werr := splitInTwo(data, len(data))
 		parts, perr := splitInTwo(data, min(max(cut, 0), len(data)))
 		if (werr == nil) != (perr == nil) {
-			t.Fatalf("%v and %v", werr, perr)
+			t.Fatalf("error %v in one part, %v in two", werr, perr)
 		}
 		if werr == nil && whole != parts {
-			t.Fatalf("%q and %q", whole, parts)
+			t.Fatalf("%q in one part, %q in two", whole, parts)
 		}
 		if werr == nil && whole != "" && !strings.HasSuffix(whole, "\n\n") {
-			t.Fatalf("not whole: %q", whole)
+			t.Fatalf("incomplete event passed on: %q", whole)
 		}
 	})
 }
 
-// splitInTwo runs the event splitter over data in two parts and returns what it would
-// have written.
+// splitInTwo splits data into events in two parts and returns the events that would be
+// passed on.
 func splitInTwo(data []byte, cut int) (string, error) {
 	s := streamState{}
 	var out strings.Builder
--- a/bluebellport/proxy/harness_test.go
+++ b/bluebellport/proxy/harness_test.go
@@ -32,7 +32,7 @@
 	testHost = "desk.example"
 )
 
-// noPeers is the fleet of an instance without peers.
+// noPeers is the network of an instance without peers.
 type noPeers struct{}
 
 func (noPeers) Send(bbunit.InstanceID, *bbwire.Envelope) error { return nil }
@@ -46,7 +46,7 @@
 
 func (noPeers) UpdateList([]bbmember.ListEntry) {}
 
-// harness is a platform's store, targets and one door, all on loopback.
+// harness runs a platform store, targets and one proxy on loopback.
 type harness struct {
 	t        *testing.T
 	mem      *bbstore.Mem
@@ -57,7 +57,7 @@
 	logs     logBuffer
 }
 
-// logBuffer are what the door has logged.
+// logBuffer collects the proxy's log lines.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -75,15 +75,16 @@
 	return l.text.String()
 }
 
+// freeAddress returns a loopback address with an unused port.
 func freeAddress(t *testing.T) string {
 	address, err := bbserve.FreeAddress()
 	is.New(t).NoErr(err)
 	return address
 }
 
-// newHarness starts a store and a door. The plan has a plain service with a route
-// of each kind, an engine service, and one account that has paid for so many
-// tokens.
+// newHarness starts a store and declares a plan with a plain service with a route of
+// each kind, an engine service, and one account that has paid for that many tokens.
+// The proxy is started by start.
 func newHarness(t *testing.T, paid int64) *harness {
 	is := is.New(t)
 	h := &harness{t: t, mem: bbstore.NewMem()}
@@ -104,7 +105,7 @@
 	return h
 }
 
-// declarePlan declares the state of a version.
+// declarePlan writes the plan of a version.
 func (h *harness) declarePlan(version int, paid int64) {
 	h.t.Helper()
 	route := func(prefix, kind, service string, more string) string {
@@ -127,7 +128,7 @@
 	is.New(h.t).NoErr(err)
 }
 
-// startTarget starts and registers a target.
+// startTarget starts a target and registers it in the store.
 func (h *harness) startTarget(o bbplatformstand.TargetOptions) *bbplatformstand.Target {
 	h.t.Helper()
 	if o.Domain == "" {
@@ -140,7 +141,7 @@
 	return t
 }
 
-// start runs the door until it says that it is ready.
+// start runs the proxy and waits until it reports ready.
 func (h *harness) start() {
 	h.t.Helper()
 	log := logrus.New()
@@ -155,14 +156,14 @@
 		select {
 		case <-h.served:
 		case <-time.After(10 * time.Second):
-			h.t.Error("the door did not stop")
+			h.t.Error("the proxy did not stop")
 		}
 	})
 	h.eventually("ready", func() bool {
 		select {
 		case err := <-h.served:
 			h.served <- err
-			h.t.Fatalf("the door ended: %v", err)
+			h.t.Fatalf("the proxy ended: %v", err)
 		default:
 		}
 		r, err := http.Get("http://" + h.settings.Ready + bbplatform.PathReady)
@@ -174,12 +175,13 @@
 	})
 }
 
+// eventually is await within five seconds.
 func (h *harness) eventually(what string, ok func() bool) {
 	h.t.Helper()
 	await(h.t, what, 5*time.Second, ok)
 }
 
-// await fails the test unless ok says so within a time.
+// await fails the test unless ok returns true in time.
 func await(t *testing.T, what string, within time.Duration, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -190,7 +192,7 @@
 	t.Fatalf("not within %s: %s", within, what)
 }
 
-// clientResult is what a caller got.
+// clientResult is what a client received.
 type clientResult struct {
 	status  int
 	body    string
@@ -199,7 +201,7 @@
 	outcome string
 }
 
-// call sends one request and reads its answer.
+// call sends one request and reads the response.
 func (h *harness) call(method, path, body string, fields ...string) clientResult {
 	h.t.Helper()
 	h.calls++
@@ -227,8 +229,8 @@
 	return out
 }
 
-// sendRaw sends bytes and returns the first status line, empty when none came. It
-// reads until the connection ends: closing it would give up what is under way.
+// sendRaw sends bytes and returns the first status line, empty if none came. It reads
+// until the connection ends, since closing it would abort the requests under way.
 func (h *harness) sendRaw(text string) string {
 	h.t.Helper()
 	c, err := net.Dial("tcp4", h.settings.Callers)
@@ -243,11 +245,11 @@
 	return strings.TrimSpace(line)
 }
 
-// States of the store.
+// Faults of the store.
 var (
 	storeDown = bbstore.Faults{Down: true}
 	storeUp   = bbstore.Faults{}
 )
 
-// testTarget is a plain target.
+// testTarget is a target of the plain service.
 var testTarget = bbplatformstand.TargetOptions{ID: "t1", Service: "desk"}
--- a/bluebellport/proxy/metrics_test.go
+++ b/bluebellport/proxy/metrics_test.go
@@ -15,7 +15,8 @@
 	"bluebellport.example/platform/stand"
 )
 
-// What the door registers and what docs/METRICS.md names must be the same.
+// The metrics that the proxy registers and those that docs/METRICS.md names are the
+// same.
 func TestDoorMetricsNamed(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/METRICS.md")
@@ -35,8 +36,8 @@
 	is.Equal(named, have)
 }
 
-// The page of metrics counts what callers got, and how long the instance's own
-// part took.
+// The metrics page counts the responses that clients got and the instance's own part of
+// their latency.
 func TestMetricsPage(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
--- a/bluebellport/proxy/proxy_test.go
+++ b/bluebellport/proxy/proxy_test.go
@@ -15,15 +15,15 @@
 	bbplatformstand "bluebellport.example/platform/stand"
 )
 
-// What a caller gets when the first of two targets misbehaves: who may be asked
-// again, and what may be said of a request that may have run.
+// The first of two targets misbehaves. A request is retried at the other one only
+// where it may be, and is answered "unknown" where it may have run.
 func TestTargetFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		fault  bbplatformstand.Fault
 		path   string
 		status int
-		runs   int // over both targets
+		runs   int // at both targets
 	}{
 		{"shed, idempotent", bbplatformstand.FaultShed, "/read/1", 200, 1},
 		{"shed, once", bbplatformstand.FaultShed, "/book/1", 200, 1},
@@ -46,7 +46,7 @@
 			is := is.New(t)
 			h := newHarness(t, 1000)
 			first := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-			second := h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "desk", Domain: "gavle"}) // the second choice
+			second := h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "desk", Domain: "gavle"}) // chosen second: another failure domain
 			first.Fail(c.fault, 1)
 			h.start()
 			r := h.call("POST", c.path, "body")
@@ -58,15 +58,16 @@
 			if c.status == 502 || c.status == 504 {
 				is.Equal(r.outcome, "unknown")
 			}
-			for range 3 { // nothing of the fault is left on the connections
+			for range 3 { // the fault leaves nothing on the connections
 				is.Equal(h.call("POST", "/book/2", "body").body, fmt.Sprintf("ran attempt-%d", h.calls))
 			}
 		})
 	}
 }
 
-// A target gets the request as the client sent it, with the account in place of
-// the key and a deadline no longer than the client's.
+// A target gets the request as the client sent it, except that the account replaces
+// the key, fields that only the proxy may set are replaced, and the deadline is no
+// later than the client's.
 func TestForwardedRequest(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -83,8 +84,8 @@
 	is.True(run.Left > 0 && run.Left <= 1500*time.Millisecond)
 }
 
-// A target that answers before it has the whole body gets no other bytes in
-// place of the rest.
+// A target that responds before it has read the whole body never gets bytes of another
+// request in place of the rest.
 func TestResponseBeforeWholeBody(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -96,8 +97,7 @@
 	is.Equal(target.Runs()[0].Body, "body")
 }
 
-// Requests that the declared state does not allow are refused and reach no
-// target.
+// Requests that the plan does not allow are refused and reach no target.
 func TestRefusals(t *testing.T) {
 	h := newHarness(t, 1000)
 	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
@@ -122,7 +122,8 @@
 	is.New(t).Equal(len(target.Runs()), 1)
 }
 
-// Bytes that could be read in two ways are refused, and nothing is passed on.
+// Bytes that two readers could take for different requests are refused, and nothing
+// is forwarded.
 func TestMalformedRequests(t *testing.T) {
 	h := newHarness(t, 1000)
 	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
@@ -154,7 +155,7 @@
 	is.New(t).Equal(len(target.Runs()), 0)
 }
 
-// A chunked body is passed on whole, and the connection serves the next request.
+// A chunked body is forwarded whole, and the connection then serves the next request.
 func TestPipelinedAndChunked(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -168,7 +169,7 @@
 	is.Equal(target.Runs()[1].Body, "f")
 }
 
-// eventIDs returns the ids of a stream in order.
+// eventIDs returns the ids of a stream's events in order.
 func eventIDs(body string) string {
 	var ids []string
 	for line := range strings.SplitSeq(body, "\n") {
@@ -179,9 +180,8 @@
 	return strings.Join(ids, " ")
 }
 
-// A stream that breaks in the middle of an event goes on at another target from
-// the last whole one where its route allows it, and ends without its end where
-// not.
+// A stream that breaks within an event is resumed at another target after the last
+// whole event if its route allows it; otherwise it ends without its last chunk.
 func TestBrokenStreams(t *testing.T) {
 	cases := []struct {
 		name, path string
@@ -211,8 +211,8 @@
 	}
 }
 
-// What a stream cost is spent, its reservation is not: the balance serves as many
-// as fit, and then says that it does not cover more.
+// A request is charged what its stream used, not its reservation. The balance serves
+// as many requests as it covers; the next one gets 402 until a top-up is in force.
 func TestMoney(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -227,14 +227,14 @@
 		}
 		is.Equal(r.status, 402)
 	}
-	is.Equal(served, 5) // 150 each, and 300 must be there at the start
+	is.Equal(served, 5) // 150 each, and 300 must be available to start one
 	h.declarePlan(2, 1200)
 	h.eventually("a top-up is in force", func() bool {
 		return h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200").status == 200
 	})
 }
 
-// A client that leaves ends the target's work.
+// A client that closes its connection cancels the request at the target.
 func TestClientLeaves(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -257,8 +257,8 @@
 	h.eventually("the target's connection is closed", func() bool { return target.Open() == 0 })
 }
 
-// A planned stop ends no request: an open stream comes to its end, and what the
-// instance held of money is given back.
+// A planned stop cuts no request: an open stream ends normally, and the unspent share
+// is returned to the store.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 100_000)
@@ -279,8 +279,8 @@
 	is.Equal(string(row.Value), `{"closed":300}`)
 }
 
-// While the store is away requests are served from what is known, and targets
-// that are leaving get nothing new once the store is back.
+// While the store is unreachable requests are served from the last known state. Once it
+// is back, targets that are leaving get no new requests.
 func TestStoreUnreachable(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -303,8 +303,8 @@
 	is.True(len(other.Runs()) >= 5)
 }
 
-// An instance that has lost the store refuses at once what its share does not
-// cover, and expects the store to be away as long again as it has been.
+// Without the store, a request that the share does not cover is refused at once, with a
+// Retry-After as long as the outage has lasted so far.
 func TestShareUsedUpWithStoreDown(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 100_000)
@@ -312,7 +312,7 @@
 	h.start()
 	h.mem.SetFaults(storeDown)
 	var last clientResult
-	h.eventually("the share is used up and the store known to be away", func() bool {
+	h.eventually("the share is used up and the store known to be down", func() bool {
 		last = h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "30000,200")
 		return last.status == http.StatusServiceUnavailable && !strings.Contains(last.body, "in other instances")
 	})
@@ -324,7 +324,7 @@
 	is.True(after >= 1 && after <= maxRetryAfter.Seconds())
 }
 
-// A stop that has to cut a request says which one, and whose answer it waited for.
+// A stop that cuts a request logs the request and the target whose answer it awaited.
 func TestCutRequestIsLogged(t *testing.T) {
 	h := newHarness(t, 100_000)
 	h.settings.Grace = 1500 * time.Millisecond
--- a/bluebellport/proxy/relay_test.go
+++ b/bluebellport/proxy/relay_test.go
@@ -18,14 +18,14 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// fakeNetwork carries envelopes between instances in one process.
+// fakeNetwork carries messages between instances in one process.
 type fakeNetwork struct {
 	mu     sync.Mutex
 	peers  map[bbunit.InstanceID]*fakePeer
-	silent map[bbunit.InstanceID]bool // sends nothing and answers nothing
+	silent map[bbunit.InstanceID]bool // neither sends nor answers
 }
 
-// fakePeer is one instance's side of it.
+// fakePeer is one instance's connection to the network.
 type fakePeer struct {
 	network  *fakeNetwork
 	self     bbmember.Member
@@ -82,7 +82,7 @@
 
 func (p *fakePeer) UpdateList([]bbmember.ListEntry) {}
 
-// startFollower runs the followers and the relay of one instance.
+// startFollower runs the follower and the relay of one instance.
 func startFollower(t *testing.T, peer *fakePeer, store WatchStore) (*follower, *relay) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -101,9 +101,9 @@
 	return f, r
 }
 
-// An instance whose store does not answer follows plan and targets through a
-// peer, whether that is of its failure domain or not, within what the platform
-// allows for a target that leaves.
+// An instance whose store does not answer follows plan and targets through a peer of
+// its own or of another failure domain. It learns of a leaving target within the time
+// that the platform allows.
 func TestFollowThroughPeer(t *testing.T) {
 	for _, domain := range []bbunit.DomainID{"uppsala", "gavle"} {
 		t.Run(string(domain), func(t *testing.T) {
@@ -117,23 +117,23 @@
 			h.declarePlan(1, 1000)
 			target := h.startTarget(testTarget)
 			await(t, "plan and target are known", 3*time.Second, func() bool {
-				service := isolated.shared.targetsOf("desk")
-				return isolated.shared.Plan.Load() != nil && service != nil && len(service.Targets) == 1
+				service := isolated.state.targetsOf("desk")
+				return isolated.state.Plan.Load() != nil && service != nil && len(service.Targets) == 1
 			})
 			h.declarePlan(2, 2000)
 			is.NoErr(target.Register(t.Context(), up, "draining"))
 			await(t, "the change is known", 2*time.Second, func() bool {
-				return isolated.shared.Plan.Load().Version == 2 && isolated.shared.targetsOf("desk").Targets[0].Leaving
+				return isolated.state.Plan.Load().Version == 2 && isolated.state.targetsOf("desk").Targets[0].Leaving
 			})
 			h.declarePlan(1, 1) // an older version never replaces a newer one
 			time.Sleep(300 * time.Millisecond)
-			is.Equal(int(isolated.shared.Plan.Load().Version), 2)
+			is.Equal(int(isolated.state.Plan.Load().Version), 2)
 		})
 	}
 }
 
-// Of the instances of a failure domain one watches the store; when it falls
-// silent, another one does within the time that a leaving target is allowed.
+// One instance of each failure domain watches the store. When it goes silent, another
+// one takes over within the time that a leaving target is allowed.
 func TestWatchHandover(t *testing.T) {
 	is := is.New(t)
 	mem := bbstore.NewMem()
@@ -158,16 +158,16 @@
 		}
 		return out
 	}
-	await(t, "one watches", 5*time.Second, func() bool { return len(watching()) == 1 })
+	await(t, "one instance watches", 5*time.Second, func() bool { return len(watching()) == 1 })
 	first := watching()[0]
 	is.Equal(first, peers["a"].View().Rank(watchKey, "uppsala", 1)[0].ID)
 	network.mu.Lock()
 	network.silent[first] = true
 	network.mu.Unlock()
-	await(t, "another one watches", 2*time.Second, func() bool { return len(watching()) >= 2 })
+	await(t, "another instance watches", 2*time.Second, func() bool { return len(watching()) >= 2 })
 }
 
-// The store is read when the peer that spoke of a plan does not answer.
+// A plan is read from the store if the peer that announced it does not answer.
 func TestPlanOfSilentPeer(t *testing.T) {
 	mem := bbstore.NewMem()
 	network := &fakeNetwork{peers: map[bbunit.InstanceID]*fakePeer{}, silent: map[bbunit.InstanceID]bool{}}
@@ -177,5 +177,5 @@
 	e, err := mem.Get(t.Context(), bbplatform.KeyPlan)
 	is.New(t).NoErr(err)
 	r.handleNewsTell("gone", &bbwire.Envelope{Body: &bbwire.Envelope_Newstell{Newstell: &bbwire.NewsTell{Revision: int64(e.Rev), Watch: true, Digest: f.digestNews().Digest}}})
-	await(t, "the plan is in force", 2*time.Second, func() bool { return f.shared.Plan.Load() != nil })
+	await(t, "the plan is in force", 2*time.Second, func() bool { return f.state.Plan.Load() != nil })
 }
--- a/bluebellport/proxy/traffic_test.go
+++ b/bluebellport/proxy/traffic_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// The load: a link of 1,000 bytes a second with a burst of traffic. The instance
-// steps back after two looks, stays back for a while, and returns once the
-// traffic has gone; one look above the mark does nothing.
+// A burst of traffic on a link of 1,000 bytes a second. The instance counts as saturated
+// after two checks above the mark, for saturationHold at least, and until the traffic is
+// low again; a single check above the mark does nothing.
 func TestSaturationDetector(t *testing.T) {
 	is := is.New(t)
 	detector := saturationDetector{limit: 1000}
@@ -25,7 +25,7 @@
 	for range int(saturationHold/linkCheckInterval) - 1 {
 		is.True(tick(100))
 	}
-	is.True(tick(400)) // the time is over, the traffic is not
+	is.True(tick(400)) // the hold time is over, the traffic is not low
 	is.True(tick(100) == false)
 	var unlimited saturationDetector
 	is.True(!unlimited.update(1e12, now))
