--- a/bluebellport/metrics/text.go
+++ b/bluebellport/metrics/text.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Text returns the metrics of a registry in the Prometheus text format, sorted by
-// line. Timers are in seconds.
+// Text returns the metrics of a registry in the Prometheus text format, sorted
+// by line. Timers are in seconds.
 func Text(r metrics.Registry) []byte {
 	var lines []string
 	add := func(name, label string, v any) {
@@ -64,8 +64,8 @@
 	return b.Bytes()
 }
 
-// addQuantiles adds the count and the quantiles of a distribution, whose values are
-// divided by unit.
+// addQuantiles adds the count and the quantiles of a distribution, whose values
+// are divided by unit.
 func addQuantiles(add func(name, label string, v any), name string, n int64, values []float64, unit float64) {
 	add(name+"_count", "", n)
 	for i, q := range quantiles {
--- a/bluebellport/proxy/body.go
+++ b/bluebellport/proxy/body.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// bodyReader reads the body of a message. It tells a body that is complete from one
-// that broke off.
+// bodyReader reads the body of a message. It tells a body that is complete from
+// one that broke off.
 type bodyReader struct {
 	br        *bufio.Reader
 	framing   framing
@@ -40,8 +40,8 @@
 	return b
 }
 
-// Read returns io.EOF only when the body is complete, and io.ErrUnexpectedEOF when
-// it broke off.
+// Read returns io.EOF only when the body is complete, and io.ErrUnexpectedEOF
+// when it broke off.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	if b.complete {
 		return 0, io.EOF
@@ -131,7 +131,8 @@
 	return string(line[:len(line)-2]), nil
 }
 
-// readAll reads the whole body. It returns ErrBodySize if that is above limit bytes.
+// readAll reads the whole body. It returns ErrBodySize if that is above limit
+// bytes.
 func (b *bodyReader) readAll(limit int) ([]byte, error) {
 	if b.complete {
 		return nil, nil
--- a/bluebellport/proxy/clientconn.go
+++ b/bluebellport/proxy/clientconn.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// awaitRequest waits for the first byte of the next request and reports whether one
-// came.
+// awaitRequest waits for the first byte of the next request and reports whether
+// one came.
 func (c *clientConn) awaitRequest() bool {
 	c.idle.Store(true)
 	_ = c.SetReadDeadline(time.Now().Add(c.limits().IdleTimeout))
@@ -63,8 +63,8 @@
 	return err == nil
 }
 
-// serveRequest reads and answers one request. It reports whether the connection can
-// be reused.
+// serveRequest reads and answers one request. It reports whether the connection
+// can be reused.
 func (c *clientConn) serveRequest() bool {
 	limits := c.limits()
 	_ = c.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
@@ -85,8 +85,8 @@
 	return c.handle(req)
 }
 
-// handle answers a request while a second goroutine watches for the client closing
-// the connection. It reports whether the connection can be reused.
+// handle answers a request while a second goroutine watches for the client
+// closing the connection. It reports whether the connection can be reused.
 func (c *clientConn) handle(req *Request) bool {
 	clientGone, watchDone := make(chan struct{}), make(chan struct{})
 	_ = c.SetReadDeadline(time.Time{})
@@ -118,8 +118,8 @@
 	}
 }
 
-// refuseUnreadable answers bytes that could not be read as a request. A connection
-// that broke gets no answer.
+// refuseUnreadable answers bytes that could not be read as a request. A
+// connection that broke gets no answer.
 func (c *clientConn) refuseUnreadable(req *Request, err error) bool {
 	r := &Refusal{Close: true, Reason: err.Error()}
 	switch {
@@ -145,8 +145,8 @@
 	return false
 }
 
-// write writes to the client. An error means that the client does not read within
-// clientWriteTimeout or has closed the connection.
+// write writes to the client. An error means that the client does not read
+// within clientWriteTimeout or has closed the connection.
 func (c *clientConn) write(b []byte) error {
 	_ = c.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	_, err := c.Conn.Write(b)
--- a/bluebellport/proxy/compress.go
+++ b/bluebellport/proxy/compress.go
@@ -11,8 +11,8 @@
 // maxPlan is the largest plan that a peer may send, in bytes when decompressed.
 const maxPlan = 8 << 20
 
-// compressPlan compresses a plan for peers: the links of instances are slow, and one
-// instance sends it to its whole failure domain.
+// compressPlan compresses a plan for peers: the links of instances are slow,
+// and one instance sends it to its whole failure domain.
 func compressPlan(plan []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -28,8 +28,8 @@
 	return out.Bytes(), nil
 }
 
-// decompressPlan reverses compressPlan. It returns ErrMalformed if the bytes are not
-// compressed or hold more than maxPlan bytes.
+// decompressPlan reverses compressPlan. It returns ErrMalformed if the bytes
+// are not compressed or hold more than maxPlan bytes.
 func decompressPlan(compressed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
--- a/bluebellport/proxy/constants.go
+++ b/bluebellport/proxy/constants.go
@@ -35,8 +35,9 @@
 	// defaultPoolIdle is how long an idle connection is kept if the target does not
 	// name its keep-alive timeout.
 	defaultPoolIdle = 4 * time.Second
-	// poolIdleMargin is how long before the target's keep-alive timeout a connection
-	// is given up, so that the target does not close it as a request is sent.
+	// poolIdleMargin is how long before the target's keep-alive timeout a
+	// connection is given up, so that the target does not close it as a request is
+	// sent.
 	poolIdleMargin = time.Second
 	// keepAliveIdle, keepAliveInterval and keepAliveCount are the TCP keep-alive of
 	// connections to targets. It finds those that have gone silent.
@@ -72,8 +73,8 @@
 	targetPollInterval = 700 * time.Millisecond
 	// planPollWait is how long one poll for a newer plan waits.
 	planPollWait = 4 * time.Second
-	// minStoreBackoff is the pause after a call to the store that failed. It doubles
-	// up to maxStoreBackoff.
+	// minStoreBackoff is the pause after a call to the store that failed. It
+	// doubles up to maxStoreBackoff.
 	minStoreBackoff = 250 * time.Millisecond
 	maxStoreBackoff = time.Second
 	// storeErrorWindow is how long after a failed call the store counts as
@@ -84,8 +85,8 @@
 	// storeRecoveryWindow is how long after a failed call entries of targets that
 	// are alive may be missing from the list.
 	storeRecoveryWindow = 2 * time.Second
-	// missingTargetGrace is how long a target is still used whose entry went missing
-	// together with many others.
+	// missingTargetGrace is how long a target is still used whose entry went
+	// missing together with many others.
 	missingTargetGrace = 1200 * time.Millisecond
 	// shareCheckInterval is the time between two checks of the shares.
 	shareCheckInterval = 250 * time.Millisecond
@@ -100,8 +101,8 @@
 	// shareReturnTimeout is how long shares are still returned after the last
 	// request.
 	shareReturnTimeout = 700 * time.Millisecond
-	// lingerPeriod is how long an instance that shuts down accepts connections, while
-	// the balancer learns that it is not ready.
+	// lingerPeriod is how long an instance that shuts down accepts connections,
+	// while the balancer learns that it is not ready.
 	lingerPeriod = 3500 * time.Millisecond
 	// graceMargin is how long before the platform kills it an instance that shuts
 	// down stops by itself.
@@ -166,8 +167,8 @@
 	// watcherSilence is how long the watcher of a failure domain may be silent
 	// before another instance there watches the store.
 	watcherSilence = 1000 * time.Millisecond
-	// watcherSilenceStep is how much longer each further instance in rank waits, for
-	// the first maxWatcherRanks.
+	// watcherSilenceStep is how much longer each further instance in rank waits,
+	// for the first maxWatcherRanks.
 	watcherSilenceStep = 300 * time.Millisecond
 	maxWatcherRanks    = 3
 	// watcherCheckInterval is how often an instance checks whether it has to watch.
@@ -214,6 +215,6 @@
 	maxPrefillPeers = 16
 )
 
-// maxSuspectPeers is how many peers are told of a request that may have crashed its
-// target.
+// maxSuspectPeers is how many peers are told of a request that may have crashed
+// its target.
 const maxSuspectPeers = 16
--- a/bluebellport/proxy/exchange.go
+++ b/bluebellport/proxy/exchange.go
@@ -124,8 +124,8 @@
 	x.balance.Settle(x.reserved, used)
 }
 
-// accountID returns the client account, empty if the request was admitted without a
-// key.
+// accountID returns the client account, empty if the request was admitted
+// without a key.
 func (x *exchange) accountID() bbunit.AccountID {
 	if x.account == nil {
 		return ""
@@ -133,7 +133,8 @@
 	return x.account.ID
 }
 
-// priority returns the account's priority, or the route's if the account has none.
+// priority returns the account's priority, or the route's if the account has
+// none.
 func (x *exchange) priority() int {
 	if x.account != nil && x.account.Priority >= 0 {
 		return x.account.Priority
@@ -167,9 +168,9 @@
 	return x.giveUp(refusal)
 }
 
-// afterAttempt handles an attempt that brought no answer. It returns how to refuse
-// the request, and whether another attempt may be made instead, which it takes from
-// the retry budget.
+// afterAttempt handles an attempt that brought no answer. It returns how to
+// refuse the request, and whether another attempt may be made instead, which it
+// takes from the retry budget.
 func (x *exchange) afterAttempt(result *attemptResult) (*Refusal, bool) {
 	switch result.kind {
 	case resultLate:
@@ -210,8 +211,8 @@
 	return x.sentAttempts < x.route.MaxAttempts && time.Now().Before(x.deadline) && x.proxy.takeRetry(x.service)
 }
 
-// chooseTarget returns the target for the next attempt, or the refusal if there is
-// none.
+// chooseTarget returns the target for the next attempt, or the refusal if there
+// is none.
 func (x *exchange) chooseTarget() (*Target, *Refusal) {
 	service := x.proxy.state.targetsOf(x.service)
 	if service == nil {
@@ -248,8 +249,8 @@
 	return func() { close(stopped) }
 }
 
-// abort closes the connection to the target, which cancels the request there, and
-// keeps further attempts from starting.
+// abort closes the connection to the target, which cancels the request there,
+// and keeps further attempts from starting.
 func (x *exchange) abort() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -259,8 +260,8 @@
 	}
 }
 
-// setConn sets the connection that abort closes. It returns false if the exchange
-// has already been aborted.
+// setConn sets the connection that abort closes. It returns false if the
+// exchange has already been aborted.
 func (x *exchange) setConn(conn *targetConn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/bluebellport/proxy/follower.go
+++ b/bluebellport/proxy/follower.go
@@ -22,9 +22,9 @@
 	Poll(ctx context.Context, prefix string, after bbstore.Revision, wait time.Duration) ([]bbstore.Event, bbstore.Revision, error)
 }
 
-// follower keeps the plan and the targets in SharedState in step with the store. They
-// only move forward: an older version never replaces a newer one, whether the store
-// or a peer sent it.
+// follower keeps the plan and the targets in SharedState in step with the
+// store. They only move forward: an older version never replaces a newer one,
+// whether the store or a peer sent it.
 type follower struct {
 	store WatchStore
 	state *SharedState
@@ -90,8 +90,8 @@
 	return err == nil
 }
 
-// watchPlan applies new plans. It returns when the plan has to be read again, with
-// an error if a call failed.
+// watchPlan applies new plans. It returns when the plan has to be read again,
+// with an error if a call failed.
 func (f *follower) watchPlan(ctx context.Context, from bbstore.Revision) error {
 	for {
 		wait := planPollWait
@@ -117,8 +117,8 @@
 	}
 }
 
-// applyPlan puts a plan in force and reports true, unless it is unreadable or not
-// newer than the one in force.
+// applyPlan puts a plan in force and reports true, unless it is unreadable or
+// not newer than the one in force.
 func (f *follower) applyPlan(e bbstore.Entry) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,8 +157,9 @@
 	f.storeLost = err != nil
 }
 
-// logHandover logs that another instance took over watching a store that was lost
-// here: the store's return is then not noticed, or logged, by this instance.
+// logHandover logs that another instance took over watching a store that was
+// lost here: the store's return is then not noticed, or logged, by this
+// instance.
 func (f *follower) logHandover() {
 	if f.storeLost {
 		f.log.WithField("event", "watch-handed").Info("another instance of the failure domain watches the store")
@@ -190,9 +191,9 @@
 	}
 }
 
-// watchTargets polls for changes every targetPollInterval. It returns false when
-// the list has to be read again, and true when another instance watches or ctx has
-// ended.
+// watchTargets polls for changes every targetPollInterval. It returns false
+// when the list has to be read again, and true when another instance watches or
+// ctx has ended.
 func (f *follower) watchTargets(ctx context.Context, from bbstore.Revision) bool {
 	for {
 		events, rev, err := f.store.Poll(ctx, bbplatform.PrefixTargets, from, targetPollWait)
@@ -212,8 +213,8 @@
 	}
 }
 
-// applyTargetList applies the whole list of targets as of a revision. Targets that
-// are not in it have been deleted.
+// applyTargetList applies the whole list of targets as of a revision. Targets
+// that are not in it have been deleted.
 func (f *follower) applyTargetList(list []bbstore.Entry, rev bbstore.Revision) []bbstore.Entry {
 	listed := map[string]bool{}
 	events := make([]bbstore.Event, 0, len(list))
@@ -280,9 +281,10 @@
 	return changed
 }
 
-// removeTarget removes a target whose entry is deleted, and reports whether it did.
-// Shortly after errors of the store, the entries of most targets of a service can be
-// missing though the targets are alive; those are kept for missingTargetGrace.
+// removeTarget removes a target whose entry is deleted, and reports whether it
+// did. Shortly after errors of the store, the entries of most targets of a
+// service can be missing though the targets are alive; those are kept for
+// missingTargetGrace.
 func (f *follower) removeTarget(id bbunit.TargetID) bool {
 	target := f.targets.targets[id]
 	if target == nil {
@@ -300,9 +302,10 @@
 	return true
 }
 
-// isMassLoss reports whether a missing entry of the service is more likely a fault
-// of the store than of the target: the store failed within storeRecoveryWindow, and
-// about half of the service's entries or more are missing.
+// isMassLoss reports whether a missing entry of the service is more likely a
+// fault of the store than of the target: the store failed within
+// storeRecoveryWindow, and about half of the service's entries or more are
+// missing.
 func (f *follower) isMassLoss(service bbunit.ServiceID) bool {
 	if f.lastErrorAt.IsZero() || f.now().Sub(f.lastErrorAt) > storeRecoveryWindow {
 		return false
--- a/bluebellport/proxy/forward.go
+++ b/bluebellport/proxy/forward.go
@@ -10,7 +10,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// endToEndFields are passed on even if a client lists them in its Connection field.
+// endToEndFields are passed on even if a client lists them in its Connection
+// field.
 var endToEndFields = map[string]bool{
 	"attempt-id": true, "model": true, "token-usage": true, "prompt-prefix": true, "host": true, "last-event-id": true,
 	"length-hint": true,
@@ -22,8 +23,8 @@
 	return strings.ReplaceAll(strings.ToLower(name), "_", "-")
 }
 
-// connectionFields returns the names that the Connection fields list, in lower case.
-// They concern this connection only, except those in endToEndFields.
+// connectionFields returns the names that the Connection fields list, in lower
+// case. They concern this connection only, except those in endToEndFields.
 func (f Fields) connectionFields() map[string]bool {
 	var out map[string]bool
 	for token := range f.tokens("Connection") {
--- a/bluebellport/proxy/fuzz_test.go
+++ b/bluebellport/proxy/fuzz_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// FuzzRequest reads arbitrary bytes as a request. One that is accepted must be read the
-// same way after it has been forwarded.
+// FuzzRequest reads arbitrary bytes as a request. One that is accepted must be
+// read the same way after it has been forwarded.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET /a HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -50,8 +50,8 @@
 	})
 }
 
-// FuzzChunks reads arbitrary bytes as a chunked body: the body is never longer than
-// the bytes, and read without an error only if it is complete.
+// FuzzChunks reads arbitrary bytes as a chunked body: the body is never longer
+// than the bytes, and read without an error only if it is complete.
 func FuzzChunks(f *testing.F) {
 	for _, s := range []string{"0\r\n\r\n", "3\r\nabc\r\n0\r\nT: v\r\n\r\n", "ffffffff\r\n", "1;x\r\na\r\n", "-1\r\n", "3\r\nab"} {
 		f.Add([]byte(s))
@@ -68,8 +68,8 @@
 	})
 }
 
-// FuzzEvents splits arbitrary bytes of a stream into events, in two parts: the events
-// are whole and the same wherever the bytes are cut.
+// FuzzEvents splits arbitrary bytes of a stream into events, in two parts: the
+// events are whole and the same wherever the bytes are cut.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), 5)
 	f.Add([]byte(": comment\n\nid: 1\n\nid: x\n\n"), 11)
@@ -89,8 +89,8 @@
 	})
 }
 
-// splitInTwo splits data into events in two parts and returns the events that would be
-// passed on.
+// splitInTwo splits data into events in two parts and returns the events that
+// would be passed on.
 func splitInTwo(data []byte, cut int) (string, error) {
 	s := streamState{}
 	var out strings.Builder
--- a/bluebellport/proxy/harness_test.go
+++ b/bluebellport/proxy/harness_test.go
@@ -82,9 +82,9 @@
 	return address
 }
 
-// newHarness starts a store and declares a plan with a plain service with a route of
-// each kind, an engine service, and one account that has paid for that many tokens.
-// The proxy is started by start.
+// newHarness starts a store and declares a plan with a plain service with a
+// route of each kind, an engine service, and one account that has paid for that
+// many tokens. The proxy is started by start.
 func newHarness(t *testing.T, paid int64) *harness {
 	is := is.New(t)
 	h := &harness{t: t, mem: bbstore.NewMem()}
@@ -229,8 +229,9 @@
 	return out
 }
 
-// sendRaw sends bytes and returns the first status line, empty if none came. It reads
-// until the connection ends, since closing it would abort the requests under way.
+// sendRaw sends bytes and returns the first status line, empty if none came. It
+// reads until the connection ends, since closing it would abort the requests
+// under way.
 func (h *harness) sendRaw(text string) string {
 	h.t.Helper()
 	c, err := net.Dial("tcp4", h.settings.Callers)
--- a/bluebellport/proxy/head.go
+++ b/bluebellport/proxy/head.go
@@ -46,9 +46,9 @@
 	return v
 }
 
-// readHead reads up to the empty line and returns the first line and the fields.
-// Errors of the connection are passed through; io.EOF without an annotation means
-// that no byte came.
+// readHead reads up to the empty line and returns the first line and the
+// fields. Errors of the connection are passed through; io.EOF without an
+// annotation means that no byte came.
 func readHead(br *bufio.Reader, limit int) (string, Fields, error) {
 	var buf []byte
 	for {
@@ -140,8 +140,9 @@
 	length  int64 // -1 if the head gives none
 }
 
-// bodyFraming returns the framing that a head declares. It returns ErrMalformed if
-// more than one is declared, since readers could then disagree where the body ends.
+// bodyFraming returns the framing that a head declares. It returns ErrMalformed
+// if more than one is declared, since readers could then disagree where the
+// body ends.
 func bodyFraming(f Fields) (framing, error) {
 	coding, codings := f.Get("Transfer-Encoding")
 	length, lengths := f.Get("Content-Length")
--- a/bluebellport/proxy/loan.go
+++ b/bluebellport/proxy/loan.go
@@ -15,9 +15,9 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// peerLoans lends parts of this instance's shares to peers and borrows from theirs.
-// Loans help when an account is nearly used up, and when one instance has lost the
-// store while another still reaches it.
+// peerLoans lends parts of this instance's shares to peers and borrows from
+// theirs. Loans help when an account is nearly used up, and when one instance
+// has lost the store while another still reaches it.
 type peerLoans struct {
 	shares       *shareController
 	peers        PeerNetwork
@@ -30,9 +30,9 @@
 	homes       homeMap
 }
 
-// homeMap holds the accounts' homes, computed from one view of the fleet and one
-// plan. The home of an account is the instance of the failure domain that draws its
-// shares for the others.
+// homeMap holds the accounts' homes, computed from one view of the fleet and
+// one plan. The home of an account is the instance of the failure domain that
+// draws its shares for the others.
 type homeMap struct {
 	view      *bbmember.View
 	plan      *bbplan.Plan
@@ -66,9 +66,9 @@
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Loantell{Loantell: tell}}
 }
 
-// updateHomes tells the allocator which accounts have a reachable home at another
-// instance, and returns how many instances draw from the store. In a small fleet
-// each instance draws for itself. The caller holds shares.mu.
+// updateHomes tells the allocator which accounts have a reachable home at
+// another instance, and returns how many instances draw from the store. In a
+// small fleet each instance draws for itself. The caller holds shares.mu.
 func (l *peerLoans) updateHomes() int {
 	shares := l.shares
 	view := l.peers.View()
@@ -107,16 +107,16 @@
 	}
 }
 
-// homeOf returns the home of an account in this instance's failure domain. Accounts
-// are hashed into accountHomeGroups groups that share a home, so that one write
-// draws for several of them.
+// homeOf returns the home of an account in this instance's failure domain.
+// Accounts are hashed into accountHomeGroups groups that share a home, so that
+// one write draws for several of them.
 func homeOf(view *bbmember.View, id bbunit.AccountID) (bbmember.Member, bool) {
 	group := xxhash.Sum64String(string(id)) % accountHomeGroups
-	return view.Home(moneyPrefix+strconv.FormatUint(group, 10), view.Self.Domain)
+	return view.Home(sharesPrefix+strconv.FormatUint(group, 10), view.Self.Domain)
 }
 
-// countDomains returns the number of failure domains with live instances, at least
-// 1.
+// countDomains returns the number of failure domains with live instances, at
+// least 1.
 func countDomains(view *bbmember.View) int {
 	seen := map[bbunit.DomainID]bool{}
 	for _, m := range view.Members {
@@ -125,8 +125,9 @@
 	return max(len(seen), 1)
 }
 
-// borrowFromHomes borrows what the allocator asks for, each account in a goroutine of
-// its own. The accounts' homes must be known. The caller holds shares.mu.
+// borrowFromHomes borrows what the allocator asks for, each account in a
+// goroutine of its own. The accounts' homes must be known. The caller holds
+// shares.mu.
 func (l *peerLoans) borrowFromHomes(requests []bbshare.LoanRequest) {
 	for _, request := range requests {
 		home, ok := l.homes.byAccount[request.Account]
@@ -160,8 +161,8 @@
 	l.shares.notifyWaiters()
 }
 
-// uncoveredByHome reports whether the account's home last said that the account does
-// not cover what was asked for. The caller holds shares.mu.
+// uncoveredByHome reports whether the account's home last said that the account
+// does not cover what was asked for. The caller holds shares.mu.
 func (l *peerLoans) uncoveredByHome(id bbunit.AccountID) bool { return !l.uncoveredAt[id].IsZero() }
 
 // uncoveredRecently reports the same if it was said within shareTimeout.
@@ -176,9 +177,9 @@
 	return ok && l.shares.now().Sub(at.(time.Time)) < unresponsivePeriod
 }
 
-// borrowFromPeers asks peers until n tokens are available here, and reports whether
-// they are. A loan is counted when its call returns, so that a duplicated message adds
-// no tokens.
+// borrowFromPeers asks peers until n tokens are available here, and reports
+// whether they are. A loan is counted when its call returns, so that a
+// duplicated message adds no tokens.
 func (l *peerLoans) borrowFromPeers(account *bbplan.Account, n bbunit.Tokens) bool {
 	shares := l.shares
 	shares.mu.Lock()
@@ -206,8 +207,8 @@
 	return share.Balance.Available() >= n
 }
 
-// borrowFrom asks one peer for a loan, unless it is unresponsive, and returns what
-// it lent.
+// borrowFrom asks one peer for a loan, unless it is unresponsive, and returns
+// what it lent.
 func (l *peerLoans) borrowFrom(peer bbunit.InstanceID, account bbunit.AccountID, n bbunit.Tokens) bbunit.Tokens {
 	if l.unresponsive(peer) {
 		return 0
@@ -219,7 +220,8 @@
 	return bbunit.Tokens(reply.Tokens)
 }
 
-// call sends a question and returns the reply, nil if none came within loanTimeout.
+// call sends a question and returns the reply, nil if none came within
+// loanTimeout.
 func (l *peerLoans) call(peer bbunit.InstanceID, msg *bbwire.LoanAsk) *bbwire.LoanTell {
 	ctx, cancel := context.WithTimeout(context.Background(), loanTimeout)
 	defer cancel()
--- a/bluebellport/proxy/metrics.go
+++ b/bluebellport/proxy/metrics.go
@@ -12,9 +12,10 @@
 	registry metrics.Registry
 	// served counts the target responses passed to clients, failures included.
 	served metrics.Counter
-	// dispatchTime is the time from a complete request to its first attempt, which is
-	// the instance's own part of the latency. firstByteTime is the time to the first
-	// event of a stream, or to the whole response otherwise. Both in microseconds.
+	// dispatchTime is the time from a complete request to its first attempt, which
+	// is the instance's own part of the latency. firstByteTime is the time to the
+	// first event of a stream, or to the whole response otherwise. Both in
+	// microseconds.
 	dispatchTime, firstByteTime metrics.Histogram
 }
 
--- a/bluebellport/proxy/metrics_test.go
+++ b/bluebellport/proxy/metrics_test.go
@@ -15,8 +15,8 @@
 	"bluebellport.example/platform/stand"
 )
 
-// The metrics that the proxy registers and those that docs/METRICS.md names are the
-// same.
+// The metrics that the proxy registers and those that docs/METRICS.md names are
+// the same.
 func TestDoorMetricsNamed(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/METRICS.md")
@@ -36,8 +36,8 @@
 	is.Equal(named, have)
 }
 
-// The metrics page counts the responses that clients got and the instance's own part of
-// their latency.
+// The metrics page counts the responses that clients got and the instance's own
+// part of their latency.
 func TestMetricsPage(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
--- a/bluebellport/proxy/outcome.go
+++ b/bluebellport/proxy/outcome.go
@@ -49,8 +49,9 @@
 	p.log.WithFields(x.logFields(target, result)).Info("attempt failed")
 }
 
-// logServed logs one in servedLogSample of the complete answers. The sample depends
-// on the request's id alone, so that all instances log the same requests.
+// logServed logs one in servedLogSample of the complete answers. The sample
+// depends on the request's id alone, so that all instances log the same
+// requests.
 func (p *Proxy) logServed(x *exchange, target *Target) {
 	if xxhash.Sum64String(x.req.AttemptID)%servedLogSample != 0 {
 		return
@@ -77,13 +78,14 @@
 	return b.(*bbroute.RetryBudget)
 }
 
-// takeRetry takes one retry from a service's budget and reports whether there was
-// one.
+// takeRetry takes one retry from a service's budget and reports whether there
+// was one.
 func (p *Proxy) takeRetry(id bbunit.ServiceID) bool {
 	return p.retryBudget(id).Spend(p.now(), p.retryPolicy())
 }
 
-// retryPolicy returns this instance's part of the retries that the fleet may make.
+// retryPolicy returns this instance's part of the retries that the fleet may
+// make.
 func (p *Proxy) retryPolicy() *bbroute.RetryPolicy {
 	n := float64(max(p.state.Instances.Load(), 1))
 	return &bbroute.RetryPolicy{
--- a/bluebellport/proxy/poison.go
+++ b/bluebellport/proxy/poison.go
@@ -14,7 +14,8 @@
 var poisonPolicy = bbroute.PoisonPolicy{CrashThreshold: 2, SuspectTTL: 20 * time.Second, MaxFingerprints: 512}
 
 // poisonDetector remembers the requests that were under way at a target when it
-// crashed. A client may repeat such a request at any instance, so peers are told.
+// crashed. A client may repeat such a request at any instance, so peers are
+// told.
 type poisonDetector struct {
 	peers     PeerNetwork
 	now       func() time.Time
@@ -29,17 +30,19 @@
 	return d
 }
 
-// isPoison reports whether a request has crashed too many targets to be run again.
+// isPoison reports whether a request has crashed too many targets to be run
+// again.
 func (d *poisonDetector) isPoison(fingerprint uint64) bool {
 	return d.table.Load().CrashCount(fingerprint) >= poisonPolicy.CrashThreshold
 }
 
-// recordSuccess records that a request was answered, so it does not crash targets.
+// recordSuccess records that a request was answered, so it does not crash
+// targets.
 func (d *poisonDetector) recordSuccess(fingerprint uint64) { d.knownGood.Add(fingerprint) }
 
-// checkCrash is called after a target broke the connection during a request. If the
-// target no longer accepts connections, the request may have crashed it and becomes
-// a suspect. It blocks for up to dialTimeout.
+// checkCrash is called after a target broke the connection during a request. If
+// the target no longer accepts connections, the request may have crashed it and
+// becomes a suspect. It blocks for up to dialTimeout.
 func (d *poisonDetector) checkCrash(fingerprint uint64, target *Target) {
 	if d.knownGood.Contains(fingerprint) {
 		return
--- a/bluebellport/proxy/pool.go
+++ b/bluebellport/proxy/pool.go
@@ -55,8 +55,8 @@
 	return &targetConn{Conn: conn, br: bufio.NewReaderSize(conn, bufferSize), pool: p, idleTimeout: defaultPoolIdle}, nil
 }
 
-// popIdle removes and returns the idle connection that was used last, nil if there
-// is none.
+// popIdle removes and returns the idle connection that was used last, nil if
+// there is none.
 func (p *connPool) popIdle() *targetConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,8 +69,8 @@
 	return c
 }
 
-// release returns the connection to its pool, or closes it if it can't be reused. It
-// also closes connections that have been idle for too long.
+// release returns the connection to its pool, or closes it if it can't be
+// reused. It also closes connections that have been idle for too long.
 func (c *targetConn) release() {
 	c.idleSince = time.Now()
 	if !c.reusable || c.br.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
@@ -117,8 +117,9 @@
 	}
 }
 
-// openAndQuiet reports whether an idle connection is open with nothing to read: bytes
-// that wait there belong to no request, so the connection must not be used.
+// openAndQuiet reports whether an idle connection is open with nothing to read:
+// bytes that wait there belong to no request, so the connection must not be
+// used.
 func openAndQuiet(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/bluebellport/proxy/prefill.go
+++ b/bluebellport/proxy/prefill.go
@@ -8,8 +8,8 @@
 )
 
 // prefillNotifier tells peers of large prompts as they are sent. A target reads
-// prompts one after the other and holds up all its streams meanwhile, and the load
-// that it reports shows this too late.
+// prompts one after the other and holds up all its streams meanwhile, and the
+// load that it reports shows this too late.
 type prefillNotifier struct {
 	peers PeerNetwork
 	state *SharedState
--- a/bluebellport/proxy/proxy.go
+++ b/bluebellport/proxy/proxy.go
@@ -50,8 +50,8 @@
 	openConns sync.WaitGroup
 }
 
-// Serve runs a proxy until ctx ends, then drains it: requests under way have until
-// the end of the grace period. It registers its metrics in registry.
+// Serve runs a proxy until ctx ends, then drains it: requests under way have
+// until the end of the grace period. It registers its metrics in registry.
 func Serve(ctx context.Context, settings bbplatform.Settings, peers PeerNetwork, registry metrics.Registry, log logrus.FieldLogger) error {
 	p := &Proxy{settings: settings, domain: settings.Domain, state: &SharedState{}, log: log, metrics: newProxyMetrics(registry), startedAt: time.Now(), conns: map[*clientConn]bool{}}
 	p.state.Instances.Store(defaultInstances)
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// startControllers starts the goroutines that follow the store, exchange messages
-// with peers and draw shares. They end with ctx.
+// startControllers starts the goroutines that follow the store, exchange
+// messages with peers and draw shares. They end with ctx.
 func (p *Proxy) startControllers(ctx context.Context, wg *conc.WaitGroup, store *bbplatform.Store, peers PeerNetwork) {
 	f := newFollower(store, p.state, p.log, p.now, &p.traffic)
 	r := newRelay(peers, f)
@@ -110,11 +110,12 @@
 	})
 }
 
-// now returns the time of a monotonic clock: a change of the system time does not
-// affect it.
+// now returns the time of a monotonic clock: a change of the system time does
+// not affect it.
 func (p *Proxy) now() time.Time { return p.startedAt.Add(time.Since(p.startedAt)) }
 
-// acceptConns accepts and serves client connections until the listener is closed.
+// acceptConns accepts and serves client connections until the listener is
+// closed.
 func (p *Proxy) acceptConns(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -145,9 +146,9 @@
 	}
 }
 
-// drain stops taking requests. It reports not ready at once, accepts connections
-// for lingerPeriod more, closes those without a request, and waits for the others
-// until the deadline.
+// drain stops taking requests. It reports not ready at once, accepts
+// connections for lingerPeriod more, closes those without a request, and waits
+// for the others until the deadline.
 func (p *Proxy) drain(clientListener net.Listener, deadline time.Time) {
 	p.state.Leaving.Store(true)
 	p.shares.drain()
@@ -195,8 +196,8 @@
 	return requests
 }
 
-// closeIdleConns closes the connections that have no request under way, by ending
-// the read that waits for the next one.
+// closeIdleConns closes the connections that have no request under way, by
+// ending the read that waits for the next one.
 func (p *Proxy) closeIdleConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/bluebellport/proxy/proxy_test.go
+++ b/bluebellport/proxy/proxy_test.go
@@ -15,8 +15,8 @@
 	bbplatformstand "bluebellport.example/platform/stand"
 )
 
-// The first of two targets misbehaves. A request is retried at the other one only
-// where it may be, and is answered "unknown" where it may have run.
+// The first of two targets misbehaves. A request is retried at the other one
+// only where it may be, and is answered "unknown" where it may have run.
 func TestTargetFaults(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -65,9 +65,9 @@
 	}
 }
 
-// A target gets the request as the client sent it, except that the account replaces
-// the key, fields that only the proxy may set are replaced, and the deadline is no
-// later than the client's.
+// A target gets the request as the client sent it, except that the account
+// replaces the key, fields that only the proxy may set are replaced, and the
+// deadline is no later than the client's.
 func TestForwardedRequest(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -84,8 +84,8 @@
 	is.True(run.Left > 0 && run.Left <= 1500*time.Millisecond)
 }
 
-// A target that responds before it has read the whole body never gets bytes of another
-// request in place of the rest.
+// A target that responds before it has read the whole body never gets bytes of
+// another request in place of the rest.
 func TestResponseBeforeWholeBody(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -122,8 +122,8 @@
 	is.New(t).Equal(len(target.Runs()), 1)
 }
 
-// Bytes that two readers could take for different requests are refused, and nothing
-// is forwarded.
+// Bytes that two readers could take for different requests are refused, and
+// nothing is forwarded.
 func TestMalformedRequests(t *testing.T) {
 	h := newHarness(t, 1000)
 	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
@@ -155,7 +155,8 @@
 	is.New(t).Equal(len(target.Runs()), 0)
 }
 
-// A chunked body is forwarded whole, and the connection then serves the next request.
+// A chunked body is forwarded whole, and the connection then serves the next
+// request.
 func TestPipelinedAndChunked(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -180,8 +181,9 @@
 	return strings.Join(ids, " ")
 }
 
-// A stream that breaks within an event is resumed at another target after the last
-// whole event if its route allows it; otherwise it ends without its last chunk.
+// A stream that breaks within an event is resumed at another target after the
+// last whole event if its route allows it; otherwise it ends without its last
+// chunk.
 func TestBrokenStreams(t *testing.T) {
 	cases := []struct {
 		name, path string
@@ -211,9 +213,10 @@
 	}
 }
 
-// A request is charged what its stream used, not its reservation. The balance serves
-// as many requests as it covers; the next one gets 402 until a top-up is in force.
-func TestMoney(t *testing.T) {
+// A request is charged what its stream used, not its reservation. The balance
+// serves as many requests as it covers; the next one gets 402 until a top-up is
+// in force.
+func TestBalanceIsCharged(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
 	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 5})
@@ -257,8 +260,8 @@
 	h.eventually("the target's connection is closed", func() bool { return target.Open() == 0 })
 }
 
-// A planned stop cuts no request: an open stream ends normally, and the unspent share
-// is returned to the store.
+// A planned stop cuts no request: an open stream ends normally, and the unspent
+// share is returned to the store.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 100_000)
@@ -274,13 +277,13 @@
 	is.Equal(eventIDs(r.body), "1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19 20")
 	is.NoErr(<-h.served)
 	h.served <- nil
-	row, err := h.mem.Get(t.Context(), moneyPrefix+"a")
+	row, err := h.mem.Get(t.Context(), sharesPrefix+"a")
 	is.NoErr(err)
 	is.Equal(string(row.Value), `{"closed":300}`)
 }
 
-// While the store is unreachable requests are served from the last known state. Once it
-// is back, targets that are leaving get no new requests.
+// While the store is unreachable requests are served from the last known state.
+// Once it is back, targets that are leaving get no new requests.
 func TestStoreUnreachable(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
@@ -303,8 +306,8 @@
 	is.True(len(other.Runs()) >= 5)
 }
 
-// Without the store, a request that the share does not cover is refused at once, with a
-// Retry-After as long as the outage has lasted so far.
+// Without the store, a request that the share does not cover is refused at
+// once, with a Retry-After as long as the outage has lasted so far.
 func TestShareUsedUpWithStoreDown(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 100_000)
@@ -324,7 +327,8 @@
 	is.True(after >= 1 && after <= maxRetryAfter.Seconds())
 }
 
-// A stop that cuts a request logs the request and the target whose answer it awaited.
+// A stop that cuts a request logs the request and the target whose answer it
+// awaited.
 func TestCutRequestIsLogged(t *testing.T) {
 	h := newHarness(t, 100_000)
 	h.settings.Grace = 1500 * time.Millisecond
--- a/bluebellport/proxy/ready.go
+++ b/bluebellport/proxy/ready.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// newIncarnation returns a random id that tells this run of the process from earlier
-// ones of the same instance.
+// newIncarnation returns a random id that tells this run of the process from
+// earlier ones of the same instance.
 func newIncarnation() string {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
--- a/bluebellport/proxy/refusal.go
+++ b/bluebellport/proxy/refusal.go
@@ -25,7 +25,8 @@
 // Error returns the reason.
 func (r *Refusal) Error() string { return r.Reason }
 
-// outcome returns "not-run" if no target can have run the request, else "unknown".
+// outcome returns "not-run" if no target can have run the request, else
+// "unknown".
 func (r *Refusal) outcome() string {
 	switch r.Status {
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
--- a/bluebellport/proxy/registry.go
+++ b/bluebellport/proxy/registry.go
@@ -16,7 +16,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// instancesPrefix is the key prefix of the list of instances in the platform's store.
+// instancesPrefix is the key prefix of the list of instances in the platform's
+// store.
 const instancesPrefix = "bluebellport/instances/"
 
 // RegistryStore is the part of the platform's store that the registry uses.
@@ -28,8 +29,8 @@
 	Revoke(ctx context.Context, id bbstore.LeaseID) error
 }
 
-// registry keeps this instance's entry in the list of instances, and passes the list
-// to the peer network.
+// registry keeps this instance's entry in the list of instances, and passes the
+// list to the peer network.
 type registry struct {
 	store     RegistryStore
 	peers     PeerNetwork
@@ -60,8 +61,8 @@
 // unknownDomain is the failure domain of a seed until it has sent a message.
 const unknownDomain bbunit.DomainID = "unknown"
 
-// keepRegistered registers this instance and renews the lease until ctx ends; then
-// it removes the entry.
+// keepRegistered registers this instance and renews the lease until ctx ends;
+// then it removes the entry.
 func (r *registry) keepRegistered(ctx context.Context) {
 	key := instancesPrefix + r.settings.Peers
 	value, err := json.Marshal(instanceJSON{Domain: r.settings.Domain})
--- a/bluebellport/proxy/relay.go
+++ b/bluebellport/proxy/relay.go
@@ -24,16 +24,16 @@
 	UpdateList(list []bbmember.ListEntry)
 }
 
-// relay sends peers what the store says, so that an instance that can't reach the
-// store stays up to date.
+// relay sends peers what the store says, so that an instance that can't reach
+// the store stays up to date.
 type relay struct {
 	peers          PeerNetwork
 	follower       *follower
 	askSlot        chan struct{} // holds one token while a peer is being asked
 	wantedRevision atomic.Int64  // newest revision of the plan that a peer has announced
 	fetching       atomic.Bool
-	// watcherSeenAt is when a watcher of this failure domain last sent news, in ns of
-	// the monotonic clock.
+	// watcherSeenAt is when a watcher of this failure domain last sent news, in ns
+	// of the monotonic clock.
 	watcherSeenAt atomic.Int64
 }
 
@@ -45,9 +45,9 @@
 	return r
 }
 
-// isWatcher reports whether this instance watches the store: it ranks first in its
-// failure domain, or the watcher has been silent. The second instance in rank takes
-// over a little sooner than the third, and so on.
+// isWatcher reports whether this instance watches the store: it ranks first in
+// its failure domain, or the watcher has been silent. The second instance in
+// rank takes over a little sooner than the third, and so on.
 func (r *relay) isWatcher() bool {
 	view := r.peers.View()
 	rank := view.Rank(watchKey, view.Self.Domain, maxWatcherRanks)
@@ -120,9 +120,10 @@
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Newstell{Newstell: r.follower.newsSince(bbstore.Revision(ask.Revision), ask.Targets)}}
 }
 
-// handleNewsTell applies news that a peer sent unasked. If the peer has a newer plan,
-// it is fetched from the peer, or else from the store: at once if the peer is a
-// watcher, otherwise after relayTimeout, in which it may arrive from the store.
+// handleNewsTell applies news that a peer sent unasked. If the peer has a newer
+// plan, it is fetched from the peer, or else from the store: at once if the
+// peer is a watcher, otherwise after relayTimeout, in which it may arrive from
+// the store.
 func (r *relay) handleNewsTell(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	tell := e.GetNewstell()
 	wait := relayTimeout
@@ -151,8 +152,8 @@
 	}
 }
 
-// fetchPlan waits, then fetches plans until the wanted revision is in force. Only
-// one call runs at a time; others return.
+// fetchPlan waits, then fetches plans until the wanted revision is in force.
+// Only one call runs at a time; others return.
 func (r *relay) fetchPlan(from bbunit.InstanceID, wait time.Duration) {
 	ctx := context.Background()
 	bbclock.Wait(ctx, wait)
@@ -171,8 +172,8 @@
 	}
 }
 
-// askPeer asks a peer for its plan, and its targets if wanted, and applies them. If
-// a question is already open it does nothing.
+// askPeer asks a peer for its plan, and its targets if wanted, and applies
+// them. If a question is already open it does nothing.
 func (r *relay) askPeer(ctx context.Context, peer bbunit.InstanceID, targets bool) {
 	select {
 	case r.askSlot <- struct{}{}:
@@ -204,8 +205,8 @@
 	return out
 }
 
-// storeUnreachable reports whether plan or targets have never been read, or reading
-// targets failed within storeErrorWindow.
+// storeUnreachable reports whether plan or targets have never been read, or
+// reading targets failed within storeErrorWindow.
 func (f *follower) storeUnreachable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,8 +220,8 @@
 	return f.planEntry.Rev
 }
 
-// newsSince returns what a peer lacks that has the plan of a revision: the plan, if
-// it is newer here, and all targets if asked for.
+// newsSince returns what a peer lacks that has the plan of a revision: the
+// plan, if it is newer here, and all targets if asked for.
 func (f *follower) newsSince(have bbstore.Revision, targets bool) *bbwire.NewsTell {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/bluebellport/proxy/relay_test.go
+++ b/bluebellport/proxy/relay_test.go
@@ -101,9 +101,9 @@
 	return f, r
 }
 
-// An instance whose store does not answer follows plan and targets through a peer of
-// its own or of another failure domain. It learns of a leaving target within the time
-// that the platform allows.
+// An instance whose store does not answer follows plan and targets through a
+// peer of its own or of another failure domain. It learns of a leaving target
+// within the time that the platform allows.
 func TestFollowThroughPeer(t *testing.T) {
 	for _, domain := range []bbunit.DomainID{"uppsala", "gavle"} {
 		t.Run(string(domain), func(t *testing.T) {
@@ -132,8 +132,8 @@
 	}
 }
 
-// One instance of each failure domain watches the store. When it goes silent, another
-// one takes over within the time that a leaving target is allowed.
+// One instance of each failure domain watches the store. When it goes silent,
+// another one takes over within the time that a leaving target is allowed.
 func TestWatchHandover(t *testing.T) {
 	is := is.New(t)
 	mem := bbstore.NewMem()
--- a/bluebellport/proxy/request.go
+++ b/bluebellport/proxy/request.go
@@ -25,12 +25,12 @@
 
 	AttemptID string
 	APIKey    string
-	// ReceivedAt is when the whole request had been read, Timeout how long the client
-	// waits from then.
+	// ReceivedAt is when the whole request had been read, Timeout how long the
+	// client waits from then.
 	ReceivedAt time.Time
 	Timeout    time.Duration
-	// PromptTokens is the size of the prompt, OutputTokens the most that the answer may
-	// have. Both are 0 unless HasUsage.
+	// PromptTokens is the size of the prompt, OutputTokens the most that the
+	// answer may have. Both are 0 unless HasUsage.
 	PromptTokens, OutputTokens bbunit.Tokens
 	HasUsage                   bool
 	LastEventID                string
@@ -42,8 +42,8 @@
 	return path
 }
 
-// readRequest reads the head of a request. Its body is still unread. After an error
-// the request, if not nil, holds what could be read of it.
+// readRequest reads the head of a request. Its body is still unread. After an
+// error the request, if not nil, holds what could be read of it.
 func readRequest(br *bufio.Reader, limit int) (*Request, framing, error) {
 	line, fields, err := readHead(br, limit)
 	if err != nil {
@@ -78,7 +78,8 @@
 	return strings.HasPrefix(s, "/")
 }
 
-// singletonFields may occur only once: of two values, each reader could use another.
+// singletonFields may occur only once: of two values, each reader could use
+// another.
 var singletonFields = []string{
 	bbplatform.HeaderAttempt, bbplatform.HeaderDeadline, bbplatform.HeaderKey,
 	bbplatform.HeaderUsage, bbplatform.HeaderPrompt, "Model", bbplatform.HeaderLastEvent,
--- a/bluebellport/proxy/share.go
+++ b/bluebellport/proxy/share.go
@@ -17,8 +17,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// moneyPrefix is the key prefix of the accounts' rows in the platform's store.
-const moneyPrefix = "bluebellport/money/"
+// sharesPrefix is the key prefix of the accounts' rows in the platform's store.
+const sharesPrefix = "bluebellport/money/"
 
 // ShareStore is the part of the platform's store that shareController uses.
 type ShareStore interface {
@@ -28,8 +28,8 @@
 	Calls() map[string]int64
 }
 
-// shareController holds this instance's shares of the accounts' prepaid tokens. It
-// draws more from the store by compare-and-swap and reserves from them for
+// shareController holds this instance's shares of the accounts' prepaid tokens.
+// It draws more from the store by compare-and-swap and reserves from them for
 // requests.
 type shareController struct {
 	store  ShareStore
@@ -55,7 +55,7 @@
 func newShareController(store ShareStore, state *SharedState, log logrus.FieldLogger, now func() time.Time, holder bbunit.HolderID) *shareController {
 	return &shareController{
 		store: store, state: state, log: log, now: now, wakeup: make(chan struct{}, 1),
-		allocator: bbshare.NewAllocator(holder, moneyPrefix, bbshare.DefaultPolicy()), written: make(chan struct{}),
+		allocator: bbshare.NewAllocator(holder, sharesPrefix, bbshare.DefaultPolicy()), written: make(chan struct{}),
 	}
 }
 
@@ -71,9 +71,9 @@
 	return b
 }
 
-// reserve reserves n tokens of an account, or returns why it can't. It waits for a
-// share up to shareTimeout or the deadline, and less if the client leaves or the store
-// does not answer.
+// reserve reserves n tokens of an account, or returns why it can't. It waits
+// for a share up to shareTimeout or the deadline, and less if the client leaves
+// or the store does not answer.
 func (c *shareController) reserve(account *bbplan.Account, n bbunit.Tokens, deadline time.Time, clientGone <-chan struct{}) (*bbshare.Balance, *Refusal) {
 	balance := c.balance(account.ID)
 	if balance.Reserve(n) {
@@ -144,9 +144,9 @@
 	return max(c.now().Sub(time.Unix(0, lostAt)), 1)
 }
 
-// refuseNoShare refuses a request for which no share could be drawn. Retry-After is
-// as long as the outage has lasted so far, which is taken as the best guess of how
-// much longer it lasts.
+// refuseNoShare refuses a request for which no share could be drawn.
+// Retry-After is as long as the outage has lasted so far, which is taken as the
+// best guess of how much longer it lasts.
 func (c *shareController) refuseNoShare(account *bbplan.Account, n bbunit.Tokens) *Refusal {
 	refusal := refuseNotRun("no share of the account's money at hand", min(max(c.outage(), defaultRetryAfter), maxRetryAfter))
 	c.mu.Lock()
@@ -156,8 +156,8 @@
 }
 
 // refuseUncovered refuses a request that the account can't cover, or that only
-// other instances' shares could cover, if what is known is recent enough to say so.
-// Otherwise it returns nil.
+// other instances' shares could cover, if what is known is recent enough to say
+// so. Otherwise it returns nil.
 func (c *shareController) refuseUncovered(account *bbplan.Account, n bbunit.Tokens) *Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,8 +214,8 @@
 	}
 }
 
-// applyPayments tells the allocator what the accounts of a new plan have paid. The
-// caller holds mu.
+// applyPayments tells the allocator what the accounts of a new plan have paid.
+// The caller holds mu.
 func (c *shareController) applyPayments() {
 	plan := c.state.Plan.Load()
 	if plan == nil || plan == c.plan {
@@ -231,7 +231,7 @@
 
 // readAll reads all rows once, so that the first writes do not conflict.
 func (c *shareController) readAll(ctx context.Context) {
-	entries, _, err := c.store.List(ctx, moneyPrefix)
+	entries, _, err := c.store.List(ctx, sharesPrefix)
 	if err != nil {
 		c.log.WithError(err).Warn("account rows not read; the first write reads them")
 		return
--- a/bluebellport/proxy/state.go
+++ b/bluebellport/proxy/state.go
@@ -1,6 +1,7 @@
-// Package bbproxy is the reverse proxy that an instance runs on the platform. It
-// reads requests off the wire, admits them by the plan that the operators declared,
-// reserves the account's tokens, chooses a target and passes its response back.
+// Package bbproxy is the reverse proxy that an instance runs on the platform.
+// It reads requests off the wire, admits them by the plan that the operators
+// declared, reserves the account's tokens, chooses a target and passes its
+// response back.
 package bbproxy
 
 import (
@@ -11,8 +12,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// SharedState holds what the controllers publish and the requests read: immutable
-// snapshots, each replaced as a whole by the controller that owns it.
+// SharedState holds what the controllers publish and the requests read:
+// immutable snapshots, each replaced as a whole by the controller that owns it.
 type SharedState struct {
 	// Plan is what the operators declared. The follower owns it.
 	Plan atomic.Pointer[bbplan.Plan]
@@ -30,7 +31,8 @@
 // ServiceTargets are the targets of one service.
 type ServiceTargets struct {
 	Targets []*Target
-	// Candidates are the same targets, in the same order, as package bbplace takes them.
+	// Candidates are the same targets, in the same order, as package bbplace takes
+	// them.
 	Candidates []*bbplace.Target
 }
 
@@ -44,8 +46,8 @@
 // there.
 func (s *SharedState) UsesHomes() bool { return s.Instances.Load() > maxDirectFleet }
 
-// closeConns reports whether responses ask clients to connect again, which may take
-// them to another instance.
+// closeConns reports whether responses ask clients to connect again, which may
+// take them to another instance.
 func (s *SharedState) closeConns() bool { return s.Leaving.Load() || s.LinkSaturated.Load() }
 
 // targetsOf returns the targets of a service, nil if none is known.
--- a/bluebellport/proxy/stream.go
+++ b/bluebellport/proxy/stream.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// streamState is what a client has received of an event stream. The zero value is a
-// stream that has not started.
+// streamState is what a client has received of an event stream. The zero value
+// is a stream that has not started.
 type streamState struct {
 	started      bool
 	complete     bool // the whole answer was passed on
@@ -31,8 +31,8 @@
 	s.lastEventAt = now
 }
 
-// resumeID returns the event id after which another target has to resume, empty if
-// the stream has not started.
+// resumeID returns the event id after which another target has to resume, empty
+// if the stream has not started.
 func (s *streamState) resumeID() string {
 	if !s.started || s.lastID == 0 {
 		return ""
@@ -40,12 +40,14 @@
 	return strconv.FormatInt(s.lastID, 10)
 }
 
-// errEventOrder means that an event's id does not follow that of the previous one.
+// errEventOrder means that an event's id does not follow that of the previous
+// one.
 var errEventOrder = errors.New("event out of order")
 
-// forwardStream passes the events of a stream to the client as they arrive, each as
-// a whole. A stream that breaks off can be resumed at another target after the last
-// whole event; the client then sees one response with the first head.
+// forwardStream passes the events of a stream to the client as they arrive,
+// each as a whole. A stream that breaks off can be resumed at another target
+// after the last whole event; the client then sees one response with the first
+// head.
 func (x *exchange) forwardStream(conn *targetConn, resp *Response) attemptResult {
 	b := responseBody(conn.br, resp.framing, resp.Status, x.req.Method)
 	closeConn := x.req.Close || x.proxy.state.closeConns()
@@ -72,8 +74,8 @@
 	return x.connFailure(err)
 }
 
-// parseLastEventID returns the event after which a client resumes a stream, 0 if it
-// names none.
+// parseLastEventID returns the event after which a client resumes a stream, 0
+// if it names none.
 func parseLastEventID(text string) int64 {
 	n, err := parseDigits(text, 10)
 	if err != nil {
@@ -133,9 +135,10 @@
 	return rest, nil
 }
 
-// splitEvents returns the whole events at the start of buf that the client does not
-// have yet, and the bytes that follow them. Only a resumed stream may begin with
-// events that the client has; any other gap or repetition is errEventOrder.
+// splitEvents returns the whole events at the start of buf that the client does
+// not have yet, and the bytes that follow them. Only a resumed stream may begin
+// with events that the client has; any other gap or repetition is
+// errEventOrder.
 func (s *streamState) splitEvents(buf []byte, resumed bool) (events, rest []byte, err error) {
 	start, end := 0, 0
 	for {
--- a/bluebellport/proxy/target.go
+++ b/bluebellport/proxy/target.go
@@ -29,8 +29,9 @@
 	return &TargetSet{now: now, traffic: traffic, targets: map[bbunit.TargetID]*Target{}}
 }
 
-// Put adds or updates a target, and reports whether anything changed. A target with
-// another Address or StartedAtMillis is a new one, with new connections and statistics.
+// Put adds or updates a target, and reports whether anything changed. A target
+// with another Address or StartedAtMillis is a new one, with new connections
+// and statistics.
 func (set *TargetSet) Put(entry bbplan.Target) bool {
 	old := set.targets[entry.ID]
 	if old != nil && old.Target.Target == entry {
--- a/bluebellport/proxy/traffic.go
+++ b/bluebellport/proxy/traffic.go
@@ -42,10 +42,10 @@
 	return n, err
 }
 
-// saturationDetector decides when the traffic is too close to what the instance's
-// link carries. The instance then reports not ready and asks clients to connect
-// again, so that other instances take part of the traffic. Without a limit it never
-// does.
+// saturationDetector decides when the traffic is too close to what the
+// instance's link carries. The instance then reports not ready and asks clients
+// to connect again, so that other instances take part of the traffic. Without a
+// limit it never does.
 type saturationDetector struct {
 	limit      float64 // bytes a second in each direction; 0 for none
 	ticksAbove int     // consecutive ticks above saturationHigh
--- a/bluebellport/proxy/traffic_test.go
+++ b/bluebellport/proxy/traffic_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A burst of traffic on a link of 1,000 bytes a second. The instance counts as saturated
-// after two checks above the mark, for saturationHold at least, and until the traffic is
-// low again; a single check above the mark does nothing.
+// A burst of traffic on a link of 1,000 bytes a second. The instance counts as
+// saturated after two checks above the mark, for saturationHold at least, and
+// until the traffic is low again; a single check above the mark does nothing.
 func TestSaturationDetector(t *testing.T) {
 	is := is.New(t)
 	detector := saturationDetector{limit: 1000}
