--- a/bluebellport/proxy/body.go
+++ b/bluebellport/proxy/body.go
@@ -84,7 +84,7 @@
 		return unexpectedEOF(err)
 	}
 	if string(crlf[:]) != "\r\n" {
-		return errors.Annotate(ErrMalformed, "no line end after a chunk")
+		return errors.Annotate(ErrMalformed, "end of chunk")
 	}
 	return nil
 }
@@ -121,12 +121,12 @@
 	line, err := b.br.ReadSlice('\n')
 	if err != nil {
 		if err == bufio.ErrBufferFull {
-			return "", errors.Annotate(ErrMalformed, "chunk size or trailer line")
+			return "", errors.Annotate(ErrMalformed, "chunk line")
 		}
 		return "", unexpectedEOF(err)
 	}
 	if len(line) > maxChunkLine || !bytes.HasSuffix(line, []byte("\r\n")) || !isFieldValue(string(line[:len(line)-2])) {
-		return "", errors.Annotate(ErrMalformed, "chunk size or trailer line")
+		return "", errors.Annotate(ErrMalformed, "chunk line")
 	}
 	return string(line[:len(line)-2]), nil
 }
--- a/bluebellport/proxy/request.go
+++ b/bluebellport/proxy/request.go
@@ -89,12 +89,12 @@
 func (r *Request) readFields() error {
 	for _, name := range singletonFields {
 		if _, n := r.Fields.Get(name); n > 1 {
-			return errors.Annotatef(ErrMalformed, "%s occurs %d times", name, n)
+			return errors.Annotatef(ErrMalformed, "%s stands %d times", name, n)
 		}
 	}
 	host, n := r.Fields.Get("Host")
 	if n != 1 {
-		return errors.Annotatef(ErrMalformed, "host occurs %d times", n)
+		return errors.Annotatef(ErrMalformed, "host stands %d times", n)
 	}
 	r.Host = host
 	r.AttemptID = r.Fields.Value(bbplatform.HeaderAttempt)
