--- a/bluebellport/proxy/body.go
+++ b/bluebellport/proxy/body.go
@@ -113,7 +113,7 @@
 			return nil
 		}
 	}
-	return errors.Annotate(ErrMalformed, "trailer has too many lines")
+	return errors.Annotate(ErrMalformed, "trailer")
 }
 
 // readLine reads a chunk-size or trailer line, without its line end.
