--- a/bluebellport/src/order.go
+++ b/bluebellport/src/order.go
@@ -22,14 +22,14 @@
 const (
 	// ErrSuperseded means that a later order took the place of this one.
 	ErrSuperseded = bbroute.ErrSuperseded
-	// ErrFence means that the target has seen a higher fencing number.
-	ErrFence = errors.ConstError("stale fencing number")
-	// ErrOrder means that the target refused the order or could not be reached.
-	ErrOrder = errors.ConstError("order not acknowledged")
+	// ErrStaleFence means that the target has seen a higher fencing number.
+	ErrStaleFence = errors.ConstError("stale fencing number")
+	// ErrNotAcknowledged means that the target refused the order or could not be reached.
+	ErrNotAcknowledged = errors.ConstError("order not acknowledged")
 )
 
-// orderBody is the body of POST /v1/orders.
-type orderBody struct {
+// orderRequest is the body of POST /v1/orders.
+type orderRequest struct {
 	Fence  bbunit.Fence `json:"fence"`
 	Action string       `json:"action"`
 	Model  string       `json:"model"`
@@ -45,22 +45,22 @@
 // or to change their role. The last order to a target stands in the key-value
 // service, and that one is sent.
 type Orders struct {
-	p      Parts
-	sender orderSender
-	sleep  func(ctx context.Context, d time.Duration) error
-	failed metrics.Counter
-	resent map[bbunit.TargetID]*bbroute.Resender // of the home's goroutine
+	deps      Deps
+	sender    orderSender
+	sleep     func(ctx context.Context, d time.Duration) error
+	failed    metrics.Counter
+	resenders map[bbunit.TargetID]*bbroute.Resender // of the home's goroutine
 }
 
 // NewOrders returns the orders of an instance, and a function that stops it.
 // The home of the orders in each failure domain sends again what must be.
-func NewOrders(p Parts) (*Orders, func()) {
-	o := newOrders(p, &httpOrders{client: fasthttp.Client{MaxConnsPerHost: 2, MaxResponseBodySize: orderAnswerMost}})
+func NewOrders(p Deps) (*Orders, func()) {
+	o := newOrders(p, &httpOrderSender{client: fasthttp.Client{MaxConnsPerHost: 2, MaxResponseBodySize: maxOrderResponseBytes}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		for o.sleep(ctx, reissueEvery) == nil {
-			o.reissue(ctx)
+		for o.sleep(ctx, orderResendInterval) == nil {
+			o.resendAll(ctx)
 		}
 	})
 	return o, func() {
@@ -69,11 +69,11 @@
 	}
 }
 
-func newOrders(p Parts, sender orderSender) *Orders {
+func newOrders(p Deps, sender orderSender) *Orders {
 	return &Orders{
-		p: p, sender: sender, sleep: sleepFor,
-		resent: make(map[bbunit.TargetID]*bbroute.Resender),
-		failed: metrics.GetOrRegisterCounter("order.failed", p.Metrics),
+		deps: p, sender: sender, sleep: sleepFor,
+		resenders: make(map[bbunit.TargetID]*bbroute.Resender),
+		failed:    metrics.GetOrRegisterCounter("order.failed", p.Metrics),
 	}
 }
 
@@ -82,37 +82,37 @@
 // (ErrSuperseded), the target saw a higher number (ErrFence) or ctx ended; the
 // order then stands, and is sent on.
 func (o *Orders) Order(ctx context.Context, t bbticket.Target, action, model string) (bbunit.Fence, error) {
-	order := bbroute.NewOrder(action, model, string(o.p.Opts.Self.ID())+"/"+uuid.NewString())
+	order := bbroute.NewOrder(action, model, string(o.deps.Opts.Self.ID())+"/"+uuid.NewString())
 	for ctx.Err() == nil {
-		began := o.p.Now()
-		top, rev, err := o.read(ctx, t.ID)
+		began := o.deps.Now()
+		top, rev, err := o.readIntent(ctx, t.ID)
 		if err != nil {
 			return order.Intent.Fence, errors.Trace(err)
 		}
-		done, err := o.step(ctx, t, order, top, rev, began)
+		done, err := o.runStep(ctx, t, order, top, rev, began)
 		if done || err != nil {
 			return order.Intent.Fence, err
 		}
 	}
-	return order.Intent.Fence, errors.Annotate(ErrOrder, ctx.Err().Error())
+	return order.Intent.Fence, errors.Annotate(ErrNotAcknowledged, ctx.Err().Error())
 }
 
-// step does the order's next step and tells whether it is over.
-func (o *Orders) step(ctx context.Context, t bbticket.Target, order *bbroute.Order, top bbroute.Intent, rev bbstore.Revision, began time.Time) (bool, error) {
-	switch order.OnRead(o.p.Now(), top, t.Fence, orderCall) {
+// runStep does the order's next step and tells whether it is over.
+func (o *Orders) runStep(ctx context.Context, t bbticket.Target, order *bbroute.Order, top bbroute.Intent, rev bbstore.Revision, began time.Time) (bool, error) {
+	switch order.OnRead(o.deps.Now(), top, t.Fence, orderCallTimeout) {
 	case bbroute.OrderStepWrite:
-		err := o.write(ctx, t.ID, order.Intent, rev)
+		err := o.writeIntent(ctx, t.ID, order.Intent, rev)
 		if err == nil {
-			order.OnWritten(o.p.Now(), orderCall)
+			order.OnWritten(o.deps.Now(), orderCallTimeout)
 		}
-		return false, maybeWritten(err)
+		return false, ignoreUncertainWrite(err)
 	case bbroute.OrderStepMark:
-		return false, maybeWritten(o.write(ctx, t.ID, order.Intent, rev))
+		return false, ignoreUncertainWrite(o.writeIntent(ctx, t.ID, order.Intent, rev))
 	case bbroute.OrderStepWait:
-		_ = o.sleep(ctx, order.WaitUntil.Sub(o.p.Now()))
+		_ = o.sleep(ctx, order.WaitUntil.Sub(o.deps.Now()))
 	case bbroute.OrderStepSend:
-		err := o.sender.Send(t, order.Intent, began.Add(orderCall))
-		if errors.Is(err, ErrFence) {
+		err := o.sender.Send(t, order.Intent, began.Add(orderCallTimeout))
+		if errors.Is(err, ErrStaleFence) {
 			return true, errors.Trace(err)
 		}
 		if err == nil {
@@ -120,8 +120,8 @@
 			return false, nil
 		}
 		o.failed.Inc(1)
-		o.p.Log.WithError(err).WithField("target", t.ID).Warn("order not acknowledged")
-		_ = o.sleep(ctx, orderPause)
+		o.deps.Log.WithError(err).WithField("target", t.ID).Warn("order not acknowledged")
+		_ = o.sleep(ctx, orderRetryDelay)
 	case bbroute.OrderStepSuperseded:
 		return true, errors.Trace(ErrSuperseded)
 	case bbroute.OrderStepEnd:
@@ -130,96 +130,96 @@
 	return false, nil
 }
 
-// maybeWritten passes over the errors after which a reading tells what stands.
-func maybeWritten(err error) error {
+// ignoreUncertainWrite passes over the errors after which a reading tells what stands.
+func ignoreUncertainWrite(err error) error {
 	if errors.Is(err, bbstore.ErrConflict) || errors.Is(err, bbstore.ErrUnknown) {
 		return nil
 	}
 	return errors.Trace(err)
 }
 
-// reissue sends last orders again where needed, if this instance is home to the
+// resendAll sends last orders again where needed, if this instance is home to the
 // orders of its failure domain. It reads all of them with one call.
-func (o *Orders) reissue(ctx context.Context) {
-	home, ok := o.p.Board.View.Load().Home("orders", bbunit.DomainID(o.p.Opts.Self.Domain))
-	if !ok || home.ID != o.p.Opts.Self.ID() {
+func (o *Orders) resendAll(ctx context.Context) {
+	home, ok := o.deps.Board.View.Load().Home("orders", bbunit.DomainID(o.deps.Opts.Self.Domain))
+	if !ok || home.ID != o.deps.Opts.Self.ID() {
 		return
 	}
-	began := o.p.Now()
-	entries, _, err := o.p.Store.List(ctx, fencePrefix)
+	began := o.deps.Now()
+	entries, _, err := o.deps.Store.List(ctx, orderKeyPrefix)
 	if err != nil {
-		o.p.Log.WithError(err).Warn("orders not read")
+		o.deps.Log.WithError(err).Warn("orders not read")
 		return
 	}
-	state := o.p.Board.State.Load()
+	state := o.deps.Board.State.Load()
 	for _, e := range entries {
-		id := bbunit.TargetID(strings.TrimPrefix(e.Key, fencePrefix))
+		id := bbunit.TargetID(strings.TrimPrefix(e.Key, orderKeyPrefix))
 		t, ok := state.Targets[id]
-		if !ok || t.Object.Deleted || string(t.Object.Domain) != o.p.Opts.Self.Domain {
+		if !ok || t.Object.Deleted || string(t.Object.Domain) != o.deps.Opts.Self.Domain {
 			continue
 		}
-		o.resend(ctx, t.Object, e, began)
+		o.resendIfDue(ctx, t.Object, e, began)
 	}
 }
 
-// resend sends the order that was read at began, and marks it done. What could
+// resendIfDue sends the order that was read at began, and marks it done. What could
 // not be sent in the time of a call is left for the next round.
-func (o *Orders) resend(ctx context.Context, t bbticket.Target, e bbstore.Entry, began time.Time) {
+func (o *Orders) resendIfDue(ctx context.Context, t bbticket.Target, e bbstore.Entry, began time.Time) {
 	var top bbroute.Intent
 	if err := json.Unmarshal(e.Value, &top); err != nil {
-		o.p.Log.WithError(err).WithField("target", t.ID).Error("order unreadable")
+		o.deps.Log.WithError(err).WithField("target", t.ID).Error("order unreadable")
 		return
 	}
-	again, ok := o.resent[t.ID]
+	again, ok := o.resenders[t.ID]
 	if !ok {
 		again = &bbroute.Resender{}
-		o.resent[t.ID] = again
+		o.resenders[t.ID] = again
 	}
-	now := o.p.Now()
-	if !again.ShouldSend(now, top, t.Fence, orderCall) || now.After(began.Add(orderCall)) {
+	now := o.deps.Now()
+	if !again.ShouldSend(now, top, t.Fence, orderCallTimeout) || now.After(began.Add(orderCallTimeout)) {
 		return
 	}
-	if err := o.sender.Send(t, top, began.Add(orderCall)); err != nil {
+	if err := o.sender.Send(t, top, began.Add(orderCallTimeout)); err != nil {
 		o.failed.Inc(1)
-		o.p.Log.WithError(err).WithField("target", t.ID).Warn("order not acknowledged")
+		o.deps.Log.WithError(err).WithField("target", t.ID).Warn("order not acknowledged")
 		return
 	}
 	if !top.Done {
 		top.Done = true
-		_ = o.write(ctx, t.ID, top, e.Rev) // a conflict means that a later order counts
+		_ = o.writeIntent(ctx, t.ID, top, e.Rev) // a conflict means that a later order counts
 	}
 }
 
-// read returns the last order to the target, an empty one when there is none.
-func (o *Orders) read(ctx context.Context, id bbunit.TargetID) (bbroute.Intent, bbstore.Revision, error) {
+// readIntent returns the last order to the target, an empty one when there is none.
+func (o *Orders) readIntent(ctx context.Context, id bbunit.TargetID) (bbroute.Intent, bbstore.Revision, error) {
 	var top bbroute.Intent
-	e, err := o.p.Store.Get(ctx, fencePrefix+string(id))
+	e, err := o.deps.Store.Get(ctx, orderKeyPrefix+string(id))
 	if err != nil || e.Rev == 0 {
 		return top, 0, errors.Trace(err)
 	}
 	return top, e.Rev, errors.Annotatef(json.Unmarshal(e.Value, &top), "order to %s", id)
 }
 
-func (o *Orders) write(ctx context.Context, id bbunit.TargetID, i bbroute.Intent, prev bbstore.Revision) error {
+func (o *Orders) writeIntent(ctx context.Context, id bbunit.TargetID, i bbroute.Intent, prev bbstore.Revision) error {
 	b, err := json.Marshal(i)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	_, err = o.p.Store.CAS(ctx, fencePrefix+string(id), b, prev, 0)
+	_, err = o.deps.Store.CAS(ctx, orderKeyPrefix+string(id), b, prev, 0)
 	return errors.Trace(err)
 }
 
-// httpOrders sends orders by POST /v1/orders.
-type httpOrders struct {
+// httpOrderSender sends orders by POST /v1/orders.
+type httpOrderSender struct {
 	client fasthttp.Client
 }
 
 // Send posts the order and waits for the answer.
-func (h *httpOrders) Send(t bbticket.Target, i bbroute.Intent, deadline time.Time) error {
+func (h *httpOrderSender) Send(t bbticket.Target, i bbroute.Intent, deadline time.Time) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	b, err := json.Marshal(orderBody{Fence: i.Fence, Action: i.Action, Model: i.Model})
+	b, err := json.Marshal(orderRequest{Fence: i.Fence, Action: i.Action, Model: i.Model})
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -228,13 +228,13 @@
 	req.SetRequestURI("http://" + t.Address + "/v1/orders")
 	req.SetBody(b)
 	if err := h.client.DoDeadline(req, resp, deadline); err != nil {
-		return errors.WithType(err, ErrOrder)
+		return errors.WithType(err, ErrNotAcknowledged)
 	}
 	switch code := resp.StatusCode(); {
 	case code == fasthttp.StatusConflict:
-		return errors.Annotatef(ErrFence, "%d at %s", i.Fence, t.ID)
+		return errors.Annotatef(ErrStaleFence, "%d at %s", i.Fence, t.ID)
 	case code < 200 || code > 299:
-		return errors.Annotatef(ErrOrder, "status %d", code)
+		return errors.Annotatef(ErrNotAcknowledged, "status %d", code)
 	}
 	return nil
 }
--- a/bluebellport/src/order_test.go
+++ b/bluebellport/src/order_test.go
@@ -17,31 +17,33 @@
 	"bluebellport.example/shared/bbticket"
 )
 
-// orderStore is a key-value service of one key. Fault, if set, gets each write
+// singleKeyStore is a key-value service of one key. Fault, if set, gets each write
 // before it takes effect and may end it with an error; it then tells whether the
 // write takes effect.
-type orderStore struct {
+type singleKeyStore struct {
 	bbstore.Store
-	entry bbstore.Entry
-	fault func(n int) (bool, error)
-	n     int
-	down  error
+	entry   bbstore.Entry
+	onWrite func(writes int) (bool, error)
+	writes  int
+	readErr error
 }
 
-func (s *orderStore) Get(context.Context, string) (bbstore.Entry, error) { return s.entry, s.down }
+func (s *singleKeyStore) Get(context.Context, string) (bbstore.Entry, error) {
+	return s.entry, s.readErr
+}
 
-func (s *orderStore) List(context.Context, string) ([]bbstore.Entry, bbstore.Revision, error) {
-	return []bbstore.Entry{s.entry}, s.entry.Rev, s.down
+func (s *singleKeyStore) List(context.Context, string) ([]bbstore.Entry, bbstore.Revision, error) {
+	return []bbstore.Entry{s.entry}, s.entry.Rev, s.readErr
 }
 
-func (s *orderStore) CAS(_ context.Context, key string, value []byte, prev bbstore.Revision, _ bbstore.LeaseID) (bbstore.Revision, error) {
-	s.n++
+func (s *singleKeyStore) CAS(_ context.Context, key string, value []byte, prev bbstore.Revision, _ bbstore.LeaseID) (bbstore.Revision, error) {
+	s.writes++
 	if prev != s.entry.Rev {
 		return 0, bbstore.ErrConflict
 	}
 	effect, err := true, error(nil)
-	if s.fault != nil {
-		effect, err = s.fault(s.n)
+	if s.onWrite != nil {
+		effect, err = s.onWrite(s.writes)
 	}
 	if effect {
 		s.entry = bbstore.Entry{Key: key, Value: value, Rev: prev + 1}
@@ -55,10 +57,10 @@
 func (f senderFunc) Send(_ bbticket.Target, i bbroute.Intent, _ time.Time) error { return f(i) }
 
 // newTestOrders returns orders whose waits pass at once and are summed up.
-func newTestOrders(t *testing.T, s *orderStore, f senderFunc) (*Orders, *time.Duration) {
-	rig := newRouterRig(t, bbticket.Target{ID: "a", Domain: "d1"})
-	rig.p.Store = s
-	o := newOrders(rig.p, f)
+func newTestOrders(t *testing.T, s *singleKeyStore, f senderFunc) (*Orders, *time.Duration) {
+	rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
+	rig.deps.Store = s
+	o := newOrders(rig.deps, f)
 	waited := new(time.Duration)
 	o.sleep = func(_ context.Context, d time.Duration) error {
 		rig.now = rig.now.Add(d)
@@ -77,10 +79,10 @@
 			return true, nil
 		}
 	}
-	before := bbstore.Entry{Key: fencePrefix + "a", Rev: 3, Value: []byte(`{"fence":4,"by":"other","done":true}`)}
+	before := bbstore.Entry{Key: orderKeyPrefix + "a", Rev: 3, Value: []byte(`{"fence":4,"by":"other","done":true}`)}
 	for _, c := range []struct {
 		name   string
-		store  orderStore
+		store  singleKeyStore
 		checks bool
 		send   func(n int) error
 		err    error
@@ -89,15 +91,15 @@
 		waited time.Duration
 	}{
 		{name: "first order", fence: 1, sent: 1},
-		{name: "over another", store: orderStore{entry: before}, checks: true, fence: 5, sent: 1},
-		{name: "over another, unchecked", store: orderStore{entry: before}, fence: 5, sent: 1, waited: orderCall},
-		{name: "answer lost, took effect", store: orderStore{fault: unknown(true)}, fence: 1, sent: 1},
-		{name: "answer lost, no effect", store: orderStore{fault: unknown(false)}, fence: 1, sent: 1},
-		{name: "service down", store: orderStore{down: bbstore.ErrDown}, err: bbstore.ErrDown},
-		{name: "stale at the target", send: func(int) error { return ErrFence }, err: ErrFence, fence: 1, sent: 1},
-		{name: "call fails twice", fence: 1, sent: 3, waited: 2 * orderPause, send: func(n int) error {
+		{name: "over another", store: singleKeyStore{entry: before}, checks: true, fence: 5, sent: 1},
+		{name: "over another, unchecked", store: singleKeyStore{entry: before}, fence: 5, sent: 1, waited: orderCallTimeout},
+		{name: "answer lost, took effect", store: singleKeyStore{onWrite: unknown(true)}, fence: 1, sent: 1},
+		{name: "answer lost, no effect", store: singleKeyStore{onWrite: unknown(false)}, fence: 1, sent: 1},
+		{name: "service down", store: singleKeyStore{readErr: bbstore.ErrDown}, err: bbstore.ErrDown},
+		{name: "stale at the target", send: func(int) error { return ErrStaleFence }, err: ErrStaleFence, fence: 1, sent: 1},
+		{name: "call fails twice", fence: 1, sent: 3, waited: 2 * orderRetryDelay, send: func(n int) error {
 			if n < 3 {
-				return ErrOrder
+				return ErrNotAcknowledged
 			}
 			return nil
 		}},
@@ -125,7 +127,7 @@
 
 func TestOrderIsSuperseded(t *testing.T) {
 	is := is.New(t)
-	s := &orderStore{}
+	s := &singleKeyStore{}
 	o, _ := newTestOrders(t, s, func(bbroute.Intent) error {
 		s.entry = bbstore.Entry{Rev: s.entry.Rev + 1, Value: []byte(`{"fence":9,"by":"later"}`)}
 		return nil
@@ -137,17 +139,17 @@
 
 func TestReissue(t *testing.T) {
 	is := is.New(t)
-	s := &orderStore{entry: bbstore.Entry{Key: fencePrefix + "a", Rev: 1, Value: []byte(`{"fence":4,"model":"m","by":"gone"}`)}}
+	s := &singleKeyStore{entry: bbstore.Entry{Key: orderKeyPrefix + "a", Rev: 1, Value: []byte(`{"fence":4,"model":"m","by":"gone"}`)}}
 	var got []bbroute.Intent
 	o, _ := newTestOrders(t, s, func(i bbroute.Intent) error {
 		got = append(got, i)
 		return nil
 	})
-	o.reissue(context.Background()) // calls of the order before may be under way
+	o.resendAll(context.Background()) // calls of the order before may be under way
 	is.Equal(len(got), 0)
-	_ = o.sleep(context.Background(), reissueEvery)
-	o.reissue(context.Background()) // its orderer died before it was done
-	o.reissue(context.Background()) // the target does not check, so ever again
+	_ = o.sleep(context.Background(), orderResendInterval)
+	o.resendAll(context.Background()) // its orderer died before it was done
+	o.resendAll(context.Background()) // the target does not check, so ever again
 	is.Equal(len(got), 2)
 	is.Equal(got[0].Model, "m")
 	is.True(got[1].Done)
@@ -155,7 +157,7 @@
 
 // TestOrderAtTheTarget is the contract of POST /v1/orders.
 func TestOrderAtTheTarget(t *testing.T) {
-	for status, want := range map[int]error{200: nil, 204: nil, 409: ErrFence, 400: ErrOrder, 503: ErrOrder} {
+	for status, want := range map[int]error{200: nil, 204: nil, 409: ErrStaleFence, 400: ErrNotAcknowledged, 503: ErrNotAcknowledged} {
 		is := is.New(t)
 		var mu sync.Mutex
 		var body string
@@ -167,7 +169,7 @@
 			body = r.Method + " " + r.URL.Path + " " + string(b[:n])
 			w.WriteHeader(status)
 		}))
-		err := (&httpOrders{}).Send(bbticket.Target{ID: "a", Address: s.Listener.Addr().String()},
+		err := (&httpOrderSender{}).Send(bbticket.Target{ID: "a", Address: s.Listener.Addr().String()},
 			bbroute.Intent{Fence: 3, Action: "load", Model: "m", OrderID: "x"}, time.Now().Add(time.Second))
 		is.True(errors.Is(err, want) || err == want)
 		mu.Lock()
--- a/bluebellport/src/peer.go
+++ b/bluebellport/src/peer.go
@@ -22,18 +22,18 @@
 type Peers struct {
 	dispatcher
 	dropper
-	parts   Parts
-	tls     *tls.Config // nil: off
-	ln      net.Listener
-	links   sync.Map // bbunit.InstanceID -> *link
-	streams sync.Map // kind -> func(from, net.Conn)
+	deps      Deps
+	tlsConfig *tls.Config // nil: off
+	ln        net.Listener
+	links     sync.Map // bbunit.InstanceID -> *link
+	streams   sync.Map // kind -> func(from, net.Conn)
 
 	mu     sync.Mutex // guards the making and forgetting of links
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     conc.WaitGroup
 
-	full, unsent      metrics.Counter
+	queueFull, unsent metrics.Counter
 	bytesIn, bytesOut metrics.Counter
 	members           *membership
 }
@@ -41,24 +41,24 @@
 // NewPeers listens for other instances and keeps Board.View. The clean-up
 // function tells the peers that this instance leaves, closes all sessions and
 // waits for what it started.
-func NewPeers(p Parts) (*Peers, func(), error) {
+func NewPeers(p Deps) (*Peers, func(), error) {
 	cfg, err := p.Opts.Peer.tlsConfig()
 	if err != nil {
 		return nil, nil, err
 	}
-	ln, err := net.Listen("tcp", p.Opts.Peer.Listen)
+	ln, err := net.Listen("tcp", p.Opts.Peer.ListenAddress)
 	if err != nil {
 		return nil, nil, errors.Annotate(err, "--peer")
 	}
-	ps := &Peers{parts: p, tls: cfg, ln: ln}
-	ps.dropper = dropper{log: p.Log, count: metrics.GetOrRegisterCounter("peer.dropped", p.Metrics)}
-	ps.full = metrics.GetOrRegisterCounter("peer.queue.full", p.Metrics)
+	ps := &Peers{deps: p, tlsConfig: cfg, ln: ln}
+	ps.dropper = dropper{log: p.Log, dropped: metrics.GetOrRegisterCounter("peer.dropped", p.Metrics)}
+	ps.queueFull = metrics.GetOrRegisterCounter("peer.queue.full", p.Metrics)
 	ps.unsent = metrics.GetOrRegisterCounter("peer.unsent", p.Metrics)
 	ps.bytesIn = metrics.GetOrRegisterCounter("peer.bytes.in", p.Metrics)
 	ps.bytesOut = metrics.GetOrRegisterCounter("peer.bytes.out", p.Metrics)
 	ps.ctx, ps.cancel = context.WithCancel(context.Background())
 	ps.members = newMembership(ps, p)
-	ps.wg.Go(ps.accept)
+	ps.wg.Go(ps.acceptConnections)
 	ps.wg.Go(ps.members.run)
 	return ps, ps.close, nil
 }
@@ -79,10 +79,10 @@
 
 // flush waits until what is queued has been sent, up to leaveFlush.
 func (p *Peers) flush() {
-	for end := time.Now().Add(leaveFlush); time.Now().Before(end); time.Sleep(leaveFlush / 50) {
+	for end := time.Now().Add(leaveFlushTimeout); time.Now().Before(end); time.Sleep(leaveFlushTimeout / 50) {
 		waiting := 0
 		p.links.Range(func(_, l any) bool {
-			waiting += int(l.(*link).waiting.Load())
+			waiting += int(l.(*link).pending.Load())
 			return true
 		})
 		if waiting == 0 {
@@ -91,11 +91,11 @@
 	}
 }
 
-// heard returns the members that were heard since the last call.
-func (p *Peers) heard() []bbmember.Member {
+// recentContacts returns the members that were heard since the last call.
+func (p *Peers) recentContacts() []bbmember.Member {
 	var out []bbmember.Member
 	p.links.Range(func(_, l any) bool {
-		if m, ok := l.(*link).heard(); ok {
+		if m, ok := l.(*link).takeContact(); ok {
 			out = append(out, m)
 		}
 		return true
@@ -103,9 +103,9 @@
 	return out
 }
 
-// probe connects to an instance, and tells the membership when that fails.
-func (p *Peers) probe(id bbunit.InstanceID) {
-	l, err := p.link(id)
+// probeInBackground connects to an instance, and tells the membership when that fails.
+func (p *Peers) probeInBackground(id bbunit.InstanceID) {
+	l, err := p.getOrCreateLink(id)
 	if err != nil {
 		return
 	}
@@ -119,17 +119,17 @@
 // Address returns the address listened on.
 func (p *Peers) Address() string { return p.ln.Addr().String() }
 
-func (p *Peers) self() bbmember.Member { return p.parts.Board.View.Load().Self }
+func (p *Peers) self() bbmember.Member { return p.deps.Board.View.Load().Self }
 
 // Send queues e for the instance; it does not block, and e must not change
 // after. ErrPeer when the instance is unknown or out of reach, or when too much
 // is queued.
 func (p *Peers) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
-	l, err := p.link(to)
+	l, err := p.getOrCreateLink(to)
 	if err != nil {
 		return err
 	}
-	return l.push(e)
+	return l.enqueue(e)
 }
 
 // Call sends e and waits for its answer up to the deadline of ctx; ErrPeer when
@@ -137,22 +137,22 @@
 func (p *Peers) Call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope) (*bbwire.Envelope, error) {
 	r, err := p.call(ctx, to, e, func(q *bbwire.Envelope) error { return p.Send(to, q) })
 	if err != nil && ctx.Err() != nil {
-		p.doubt(to)
+		p.checkSession(to)
 	}
 	return r, err
 }
 
-// doubt checks the session with an instance that left a question unanswered: it
+// checkSession checks the session with an instance that left a question unanswered: it
 // may have gone silent while new ones work.
-func (p *Peers) doubt(id bbunit.InstanceID) {
+func (p *Peers) checkSession(id bbunit.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v, ok := p.links.Load(id)
 	if !ok || p.ctx.Err() != nil {
 		return
 	}
-	if s := v.(*link).current(); s != nil {
-		v.(*link).check(s)
+	if s := v.(*link).preferredSession(); s != nil {
+		v.(*link).probeInBackground(s)
 	}
 }
 
@@ -165,17 +165,17 @@
 // It blocks up to the deadline of ctx while a session is opened; ErrPeer when
 // none could be, and then nothing was sent.
 func (p *Peers) OpenStream(ctx context.Context, to bbunit.InstanceID, kind string) (net.Conn, error) {
-	l, err := p.link(to)
+	l, err := p.getOrCreateLink(to)
 	if err != nil {
 		return nil, err
 	}
-	s, err := l.session(ctx)
+	s, err := l.getSession(ctx)
 	if err != nil {
 		return nil, err
 	}
-	st, err := openKind(s.mux, kind)
+	st, err := openStream(s.mux, kind)
 	if err != nil {
-		return nil, errors.Annotatef(ErrPeer, "stream to %s: %v", to, err)
+		return nil, errors.Annotatef(ErrPeerUnreachable, "stream to %s: %v", to, err)
 	}
 	s.touch()
 	return st, nil
@@ -187,23 +187,23 @@
 	p.streams.Store(kind, fn)
 }
 
-// link returns the link to an instance, and makes one when its address is
+// getOrCreateLink returns the link to an instance, and makes one when its address is
 // known.
-func (p *Peers) link(to bbunit.InstanceID) (*link, error) {
+func (p *Peers) getOrCreateLink(to bbunit.InstanceID) (*link, error) {
 	if l, ok := p.links.Load(to); ok {
 		return l.(*link), nil
 	}
 	if _, ok := p.members.address(to); !ok && to != p.self().ID {
-		return nil, errors.Annotatef(ErrPeer, "%s is not known", to)
+		return nil, errors.Annotatef(ErrPeerUnreachable, "%s is not known", to)
 	}
-	return p.makeLink(to)
+	return p.createLink(to)
 }
 
-func (p *Peers) makeLink(to bbunit.InstanceID) (*link, error) {
+func (p *Peers) createLink(to bbunit.InstanceID) (*link, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ctx.Err() != nil {
-		return nil, errors.Annotate(ErrPeer, "closed")
+		return nil, errors.Annotate(ErrPeerUnreachable, "closed")
 	}
 	v, stood := p.links.LoadOrStore(to, newLink(p, to))
 	l := v.(*link)
@@ -211,43 +211,43 @@
 		return l, nil
 	}
 	if to == p.self().ID {
-		p.wg.Go(func() { p.loop(l) })
+		p.wg.Go(func() { p.deliverToSelf(l) })
 		return l, nil
 	}
 	p.wg.Go(func() { l.run(p.ctx) })
 	return l, nil
 }
 
-// forget drops an idle link, unless something was queued meanwhile.
-func (p *Peers) forget(l *link) bool {
+// removeIdleLink drops an idle link, unless something was queued meanwhile.
+func (p *Peers) removeIdleLink(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(l.queue) > 0 || l.current() != nil {
+	if len(l.queue) > 0 || l.preferredSession() != nil {
 		return false
 	}
 	p.links.Delete(l.id)
 	return true
 }
 
-// loop delivers what this instance sends to itself.
-func (p *Peers) loop(l *link) {
+// deliverToSelf delivers what this instance sends to itself.
+func (p *Peers) deliverToSelf(l *link) {
 	for {
 		select {
 		case e := <-l.queue:
 			self := p.self()
 			e = &bbwire.Envelope{From: string(self.ID), Inc: uint64(self.Inc), Seq: e.Seq, Reply: e.Reply, Error: e.Error, Body: e.Body}
-			p.take(self.ID, e)
-			l.waiting.Add(-1)
+			p.receive(self.ID, e)
+			l.pending.Add(-1)
 		case <-p.ctx.Done():
 			return
 		}
 	}
 }
 
-// take hands a received envelope to its handler or waiter.
-func (p *Peers) take(from bbunit.InstanceID, e *bbwire.Envelope) {
+// receive hands a received envelope to its handler or waiter.
+func (p *Peers) receive(from bbunit.InstanceID, e *bbwire.Envelope) {
 	err := p.deliver(from, e, func(r *bbwire.Envelope) { _ = p.Send(from, r) })
-	if err != nil && !errors.Is(err, errNoWaiter) {
+	if err != nil && !errors.Is(err, errUnexpectedReply) {
 		p.drop(from, err)
 	}
 }
--- a/bluebellport/src/peer_connect.go
+++ b/bluebellport/src/peer_connect.go
@@ -28,10 +28,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.tls != nil {
-		conn = tls.Client(conn, p.tls)
+	if p.tlsConfig != nil {
+		conn = tls.Client(conn, p.tlsConfig)
 	}
-	s, err := p.open(ctx, conn, true)
+	s, err := p.handshake(ctx, conn, true)
 	if err != nil {
 		return nil, err
 	}
@@ -39,11 +39,11 @@
 		s.close()
 		return nil, errors.Errorf("%s answers at %s", s.peer(), address)
 	}
-	return s, p.start(s)
+	return s, p.startSession(s)
 }
 
-// accept takes connections until the listener is closed.
-func (p *Peers) accept() {
+// acceptConnections takes connections until the listener is closed.
+func (p *Peers) acceptConnections() {
 	for {
 		conn, err := p.ln.Accept()
 		if p.ctx.Err() != nil {
@@ -51,29 +51,29 @@
 		}
 		if err != nil {
 			p.drop("", err)
-			time.Sleep(dialPause)
+			time.Sleep(dialBackoff)
 			continue
 		}
-		p.wg.Go(func() { p.accepted(conn) })
+		p.wg.Go(func() { p.handleConnection(conn) })
 	}
 }
 
-func (p *Peers) accepted(conn net.Conn) {
+func (p *Peers) handleConnection(conn net.Conn) {
 	remote := conn.RemoteAddr().String()
-	if p.tls != nil {
-		conn = tls.Server(conn, p.tls)
+	if p.tlsConfig != nil {
+		conn = tls.Server(conn, p.tlsConfig)
 	}
-	s, err := p.open(p.ctx, conn, false)
+	s, err := p.handshake(p.ctx, conn, false)
 	if err == nil {
-		err = p.start(s)
+		err = p.startSession(s)
 	}
 	if err != nil {
 		p.drop("", errors.Annotatef(err, "connection from %s", remote))
 	}
 }
 
-// open shakes hands on a connection, which it closes when that fails.
-func (p *Peers) open(ctx context.Context, conn net.Conn, dialed bool) (*session, error) {
+// handshake shakes hands on a connection, which it closes when that fails.
+func (p *Peers) handshake(ctx context.Context, conn net.Conn, dialed bool) (*session, error) {
 	if c, ok := conn.(*tls.Conn); ok {
 		hctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
@@ -83,7 +83,7 @@
 		}
 	}
 	counted := &countedConn{Conn: conn, in: p.bytesIn, out: p.bytesOut}
-	return newSession(ctx, counted, dialed, p.hello(), muxLog{p.log})
+	return newSession(ctx, counted, dialed, p.hello(), yamuxLog{p.log})
 }
 
 // hello says who this instance is.
@@ -91,39 +91,39 @@
 	m := p.self()
 	return &bbwire.Hello{
 		Instance: string(m.ID), Inc: uint64(m.Inc), Domain: string(m.Domain), Address: m.Address,
-		Number: uint64(p.parts.Board.State.Load().Number),
+		Number: uint64(p.deps.Board.State.Load().Number),
 	}
 }
 
-// start serves a new session on goroutines of its own.
-func (p *Peers) start(s *session) error {
+// startSession serves a new session on goroutines of its own.
+func (p *Peers) startSession(s *session) error {
 	if s.peer() == p.self().ID {
 		s.close()
-		return errors.Annotatef(errHello, "%s is this instance", s.peer())
+		return errors.Annotatef(errBadHello, "%s is this instance", s.peer())
 	}
-	l, err := p.makeLink(s.peer())
+	l, err := p.createLink(s.peer())
 	if err != nil {
 		s.close()
 		return err
 	}
-	l.add(s)
-	p.members.greeted(s.hello)
-	p.wg.Go(func() { p.serve(l, s) })
+	l.addSession(s)
+	p.members.handleHello(s.hello)
+	p.wg.Go(func() { p.serveEnvelopes(l, s) })
 	p.wg.Go(func() { p.acceptStreams(s) })
 	return nil
 }
 
-// serve reads envelopes until the session ends.
-func (p *Peers) serve(l *link, s *session) {
+// serveEnvelopes reads envelopes until the session ends.
+func (p *Peers) serveEnvelopes(l *link, s *session) {
 	stop := context.AfterFunc(p.ctx, s.close)
 	defer stop()
 	s.read(
-		func(e *bbwire.Envelope) { p.take(l.id, e) },
+		func(e *bbwire.Envelope) { p.receive(l.id, e) },
 		func(err error) { p.drop(l.id, err) },
 	)
-	l.remove(s)
-	if l.current() == nil {
-		p.lost(l.id)
+	l.removeSession(s)
+	if l.preferredSession() == nil {
+		p.failCalls(l.id)
 	}
 }
 
@@ -134,7 +134,7 @@
 		if err != nil {
 			return
 		}
-		if s.mux.NumStreams() > maxStreams {
+		if s.mux.NumStreams() > maxStreamsPerSession {
 			p.drop(s.peer(), errors.New("too many streams"))
 			_ = st.Close()
 			continue
@@ -146,7 +146,7 @@
 func (p *Peers) serveStream(s *session, st *yamux.Stream) {
 	defer func() { _ = st.Close() }()
 	_ = st.SetReadDeadline(time.Now().Add(dialTimeout))
-	kind, err := readKind(st)
+	kind, err := readStreamKind(st)
 	if err != nil {
 		p.drop(s.peer(), errors.Annotate(err, "stream header"))
 		return
@@ -154,7 +154,7 @@
 	_ = st.SetReadDeadline(time.Time{})
 	fn, ok := p.streams.Load(kind)
 	if !ok {
-		p.drop(s.peer(), errors.Annotatef(errKind, "%.40q", kind))
+		p.drop(s.peer(), errors.Annotatef(errUnknownStreamKind, "%.40q", kind))
 		return
 	}
 	s.touch()
@@ -183,11 +183,11 @@
 	return n, err
 }
 
-// muxLog turns yamux's log lines into debug entries.
-type muxLog struct{ log logrus.FieldLogger }
+// yamuxLog turns yamux's log lines into debug entries.
+type yamuxLog struct{ log logrus.FieldLogger }
 
 // Write logs one line.
-func (l muxLog) Write(b []byte) (int, error) {
+func (l yamuxLog) Write(b []byte) (int, error) {
 	l.log.WithField("lib", "yamux").Debug(string(b))
 	return len(b), nil
 }
--- a/bluebellport/src/peer_node_test.go
+++ b/bluebellport/src/peer_instance_test.go
@@ -19,16 +19,16 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// listFake is the platform's list of instances, set by the test.
-type listFake struct {
+// fakeList is the platform's list of instances, set by the test.
+type fakeList struct {
 	mu      sync.Mutex
 	entries []map[string]any
 	down    bool
 	srv     *httptest.Server
 }
 
-func newListFake(t testing.TB) *listFake {
-	l := &listFake{entries: []map[string]any{}}
+func newFakeList(t testing.TB) *fakeList {
+	l := &fakeList{entries: []map[string]any{}}
 	l.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -42,65 +42,65 @@
 	return l
 }
 
-func (l *listFake) add(id, domain, address string) {
+func (l *fakeList) add(id, domain, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entries = append(l.entries, map[string]any{"id": id, "domain": domain, "address": address, "state": "live", "zone": "ignored"})
 }
 
-func (l *listFake) setDown(down bool) {
+func (l *fakeList) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// testNode is one instance's peers and follower on loopback.
-type testNode struct {
+// testInstance is one instance's peers and follower on loopback.
+type testInstance struct {
 	id       bbunit.InstanceID
-	parts    Parts
+	deps     Deps
 	peers    *Peers
 	follower *Follower
 	stop     func()
 }
 
-var testInc atomic.Uint64
+var lastTestIncarnation atomic.Uint64
 
 const (
-	testPeriod    = 50 * time.Millisecond
-	testSuspicion = 400 * time.Millisecond
+	testGossipPeriod     = 50 * time.Millisecond
+	testSuspicionTimeout = 400 * time.Millisecond
 )
 
-func testParts(id, domain, list string, store bbstore.Store) Parts {
+func testDeps(id, domain, list string, store bbstore.Store) Deps {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	self := bbmember.Member{ID: bbunit.InstanceID(id), Inc: bbunit.Incarnation(testInc.Add(1)), Domain: bbunit.DomainID(domain)}
-	return Parts{
+	self := bbmember.Member{ID: bbunit.InstanceID(id), Inc: bbunit.Incarnation(lastTestIncarnation.Add(1)), Domain: bbunit.DomainID(domain)}
+	return Deps{
 		Board: NewBoard(self), Store: store, Log: log, Metrics: metrics.NewRegistry(), Now: time.Now,
 		Opts: &Options{
-			Self: SelfOptions{Instance: id, Domain: domain, List: list},
-			Peer: PeerOptions{Listen: "127.0.0.1:0", Period: testPeriod, Suspicion: testSuspicion},
+			Self: SelfOptions{Instance: id, Domain: domain, ListAddress: list},
+			Peer: PeerOptions{ListenAddress: "127.0.0.1:0", GossipPeriod: testGossipPeriod, SuspicionTimeout: testSuspicionTimeout},
 		},
 	}
 }
 
-// startNode starts an instance, puts it on the list and stops it at the end.
-func startNode(t testing.TB, id, domain string, l *listFake, store bbstore.Store) *testNode {
+// startInstance starts an instance, puts it on the list and stops it at the end.
+func startInstance(t testing.TB, id, domain string, l *fakeList, store bbstore.Store) *testInstance {
 	t.Helper()
-	n := startParts(t, testParts(id, domain, l.srv.Listener.Addr().String(), store))
+	n := startInstanceWith(t, testDeps(id, domain, l.srv.Listener.Addr().String(), store))
 	l.add(id, domain, n.address())
 	return n
 }
 
-// startParts starts an instance and stops it at the end.
-func startParts(t testing.TB, p Parts) *testNode {
+// startInstanceWith starts an instance and stops it at the end.
+func startInstanceWith(t testing.TB, p Deps) *testInstance {
 	t.Helper()
-	n := &testNode{id: p.Opts.Self.ID(), parts: p}
-	peers, stopPeers, err := NewPeers(n.parts)
+	n := &testInstance{id: p.Opts.Self.ID(), deps: p}
+	peers, stopPeers, err := NewPeers(n.deps)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.peers, n.parts.Bus = peers, peers
-	follower, stopFollower := NewFollower(n.parts, peers)
+	n.peers, n.deps.Bus = peers, peers
+	follower, stopFollower := NewFollower(n.deps, peers)
 	n.follower = follower
 	var once sync.Once
 	n.stop = func() {
@@ -113,22 +113,22 @@
 	return n
 }
 
-func (n *testNode) address() string { return n.view().Self.Address }
+func (n *testInstance) address() string { return n.view().Self.Address }
 
 // kill stops the instance without a word to the others.
-func (n *testNode) kill() {
+func (n *testInstance) kill() {
 	n.peers.members.mu.Lock()
-	n.peers.members.left = true
+	n.peers.members.leaveSent = true
 	n.peers.members.mu.Unlock()
 	n.stop()
 }
 
-func (n *testNode) view() *bbmember.View { return n.parts.Board.View.Load() }
+func (n *testInstance) view() *bbmember.View { return n.deps.Board.View.Load() }
 
-func (n *testNode) number() bbunit.TicketNumber { return n.parts.Board.State.Load().Number }
+func (n *testInstance) number() bbunit.TicketNumber { return n.deps.Board.State.Load().Number }
 
 // sees tells whether the instance has another in its view, not leaving.
-func (n *testNode) sees(id bbunit.InstanceID) bool {
+func (n *testInstance) sees(id bbunit.InstanceID) bool {
 	m, ok := n.view().Find(id)
 	return ok && !m.Leaving
 }
@@ -156,7 +156,7 @@
 	conns  []net.Conn
 }
 
-func newProxy(t testing.TB) *tcpProxy {
+func newTCPProxy(t testing.TB) *tcpProxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -192,12 +192,12 @@
 		frozen := p.frozen
 		p.conns = append(p.conns, in, out)
 		p.mu.Unlock()
-		go pass(in, out, frozen)
-		go pass(out, in, frozen)
+		go forward(in, out, frozen)
+		go forward(out, in, frozen)
 	}
 }
 
-func pass(from, to net.Conn, frozen *atomic.Bool) {
+func forward(from, to net.Conn, frozen *atomic.Bool) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
--- a/bluebellport/src/peer_link.go
+++ b/bluebellport/src/peer_link.go
@@ -19,53 +19,53 @@
 // the sessions that stand. Two instances that connect to each other at once
 // have two sessions for a while; the one not preferred goes idle and is closed.
 type link struct {
-	peers   *Peers
-	id      bbunit.InstanceID
-	queue   chan *bbwire.Envelope
-	dial    chan struct{} // held by the one who connects
-	waiting atomic.Int64  // envelopes queued or being written
-	failed  atomic.Int64  // last failed attempt, in ns since the epoch
+	peers           *Peers
+	id              bbunit.InstanceID
+	queue           chan *bbwire.Envelope
+	dialLock        chan struct{} // held by the one who connects
+	pending         atomic.Int64  // envelopes queued or being written
+	lastDialFailure atomic.Int64  // last failed attempt, in ns since the epoch
 
 	mu       sync.Mutex
 	sessions []*session
 }
 
 func newLink(p *Peers, id bbunit.InstanceID) *link {
-	return &link{peers: p, id: id, queue: make(chan *bbwire.Envelope, linkQueue), dial: make(chan struct{}, 1)}
+	return &link{peers: p, id: id, queue: make(chan *bbwire.Envelope, linkQueueSize), dialLock: make(chan struct{}, 1)}
 }
 
-// push queues e; ErrPeer when the queue is full or the peer out of reach.
-func (l *link) push(e *bbwire.Envelope) error {
-	if l.paused() && l.current() == nil {
-		return errors.Annotatef(ErrPeer, "no session with %s", l.id)
+// enqueue queues e; ErrPeer when the queue is full or the peer out of reach.
+func (l *link) enqueue(e *bbwire.Envelope) error {
+	if l.inDialBackoff() && l.preferredSession() == nil {
+		return errors.Annotatef(ErrPeerUnreachable, "no session with %s", l.id)
 	}
-	l.waiting.Add(1)
+	l.pending.Add(1)
 	select {
 	case l.queue <- e:
 		return nil
 	default:
-		l.waiting.Add(-1)
-		l.peers.full.Inc(1)
-		return errors.Annotatef(ErrPeer, "queue to %s is full", l.id)
+		l.pending.Add(-1)
+		l.peers.queueFull.Inc(1)
+		return errors.Annotatef(ErrPeerUnreachable, "queue to %s is full", l.id)
 	}
 }
 
-func (l *link) paused() bool {
-	return time.Since(time.Unix(0, l.failed.Load())) < dialPause
+func (l *link) inDialBackoff() bool {
+	return time.Since(time.Unix(0, l.lastDialFailure.Load())) < dialBackoff
 }
 
 // run sends what is queued until the link has been idle or ctx ends.
 func (l *link) run(ctx context.Context) {
-	tick := time.NewTicker(linkIdle / 4)
+	tick := time.NewTicker(sessionIdleTimeout / 4)
 	defer tick.Stop()
 	defer l.closeAll()
 	for {
 		select {
 		case e := <-l.queue:
 			l.send(ctx, e)
-			l.waiting.Add(-1)
+			l.pending.Add(-1)
 		case <-tick.C:
-			if l.closeIdle() && l.peers.forget(l) {
+			if l.closeIdle() && l.peers.removeIdleLink(l) {
 				return
 			}
 		case <-ctx.Done():
@@ -77,7 +77,7 @@
 // send writes e, over a fresh session when the one at hand turns out broken.
 func (l *link) send(ctx context.Context, e *bbwire.Envelope) {
 	for range 2 {
-		s, err := l.session(ctx)
+		s, err := l.getSession(ctx)
 		if err == nil && s.write(e) == nil {
 			return
 		}
@@ -87,64 +87,64 @@
 	}
 	l.peers.unsent.Inc(1)
 	if e.Seq != 0 && !e.Reply {
-		l.peers.lost(l.id)
+		l.peers.failCalls(l.id)
 	}
 }
 
-// session returns a live session and opens one when there is none. It blocks
+// getSession returns a live session and opens one when there is none. It blocks
 // up to the deadline of ctx and to dialTimeout.
-func (l *link) session(ctx context.Context) (*session, error) {
-	if s := l.current(); s != nil {
+func (l *link) getSession(ctx context.Context) (*session, error) {
+	if s := l.preferredSession(); s != nil {
 		return s, nil
 	}
 	select {
-	case l.dial <- struct{}{}:
+	case l.dialLock <- struct{}{}:
 	case <-ctx.Done():
-		return nil, errors.Annotate(ErrPeer, ctx.Err().Error())
+		return nil, errors.Annotate(ErrPeerUnreachable, ctx.Err().Error())
 	}
-	defer func() { <-l.dial }()
-	if s := l.current(); s != nil {
+	defer func() { <-l.dialLock }()
+	if s := l.preferredSession(); s != nil {
 		return s, nil
 	}
-	if l.paused() {
-		return nil, errors.Annotatef(ErrPeer, "%s was out of reach just now", l.id)
+	if l.inDialBackoff() {
+		return nil, errors.Annotatef(ErrPeerUnreachable, "%s was out of reach just now", l.id)
 	}
 	s, err := l.peers.connect(ctx, l.id)
 	if err != nil {
 		if ctx.Err() == nil {
-			l.failed.Store(time.Now().UnixNano())
-			l.peers.members.unreachable(l.id)
+			l.lastDialFailure.Store(time.Now().UnixNano())
+			l.peers.members.recordFailure(l.id)
 		}
-		return nil, errors.Annotatef(ErrPeer, "connect to %s: %v", l.id, err)
+		return nil, errors.Annotatef(ErrPeerUnreachable, "connect to %s: %v", l.id, err)
 	}
 	return s, nil
 }
 
-// add takes a new session in; the older ones are in doubt until a probe shows
+// addSession takes a new session in; the older ones are in doubt until a probe shows
 // that they still carry traffic.
-func (l *link) add(s *session) {
+func (l *link) addSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, o := range l.sessions {
-		l.check(o)
+		l.probeInBackground(o)
 	}
 	l.sessions = append(l.sessions, s)
 }
 
-// check probes a session beside the caller, unless that is under way.
-func (l *link) check(s *session) {
-	if s.closed() || s.doubt.Swap(true) {
+// probeInBackground probes a session beside the caller, unless that is under way.
+func (l *link) probeInBackground(s *session) {
+	if s.closed() || s.suspect.Swap(true) {
 		return
 	}
 	l.peers.wg.Go(func() {
 		if s.probe() {
-			s.doubt.Store(false)
+			s.suspect.Store(false)
 		}
 	})
 }
 
-// remove drops a session that ended.
-func (l *link) remove(s *session) {
+// removeSession drops a session that ended.
+func (l *link) removeSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, o := range l.sessions {
@@ -155,29 +155,29 @@
 	}
 }
 
-// current returns the preferred live session, or nil. A session that another
+// preferredSession returns the preferred live session, or nil. A session that another
 // life of the instance than the one in the view opened is not used: an earlier
 // life may have resumed.
-func (l *link) current() *session {
-	known := l.known()
+func (l *link) preferredSession() *session {
+	known := l.viewIncarnation()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var best *session
 	for _, s := range l.sessions {
-		stranger := known != 0 && s.inc() != known
+		stranger := known != 0 && s.incarnation() != known
 		if s.closed() || (stranger && !s.dialed) {
 			continue
 		}
-		if best == nil || l.prefer(s, best, known) {
+		if best == nil || l.preferred(s, best, known) {
 			best = s
 		}
 	}
 	return best
 }
 
-// known returns the incarnation in the view, or 0.
-func (l *link) known() bbunit.Incarnation {
-	members := l.peers.parts.Board.View.Load().Members
+// viewIncarnation returns the incarnation in the view, or 0.
+func (l *link) viewIncarnation() bbunit.Incarnation {
+	members := l.peers.deps.Board.View.Load().Members
 	i, ok := slices.BinarySearchFunc(members, l.id, func(m bbmember.Member, id bbunit.InstanceID) int {
 		return cmp.Compare(m.ID, id)
 	})
@@ -187,14 +187,14 @@
 	return members[i].Inc
 }
 
-// prefer tells whether the later session b goes before a. Both ends choose the
+// preferred tells whether the later session b goes before a. Both ends choose the
 // same one: that which the instance with the lower id opened.
-func (l *link) prefer(b, a *session, known bbunit.Incarnation) bool {
+func (l *link) preferred(b, a *session, known bbunit.Incarnation) bool {
 	switch {
-	case a.inc() != b.inc():
-		return a.inc() != known
-	case a.doubt.Load() != b.doubt.Load():
-		return a.doubt.Load()
+	case a.incarnation() != b.incarnation():
+		return a.incarnation() != known
+	case a.suspect.Load() != b.suspect.Load():
+		return a.suspect.Load()
 	case a.dialed != b.dialed:
 		return b.dialed == (l.peers.self().ID < l.id)
 	}
@@ -206,7 +206,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.sessions {
-		if s.idle(linkIdle) {
+		if s.idle(sessionIdleTimeout) {
 			l.peers.wg.Go(s.close)
 		}
 	}
@@ -222,22 +222,22 @@
 	}
 }
 
-// heard returns the member whose traffic came in since the last call.
-func (l *link) heard() (bbmember.Member, bool) {
-	s := l.current()
-	if s == nil || !s.heard.Swap(false) {
+// takeContact returns the member whose traffic came in since the last call.
+func (l *link) takeContact() (bbmember.Member, bool) {
+	s := l.preferredSession()
+	if s == nil || !s.received.Swap(false) {
 		return bbmember.Member{}, false
 	}
-	return bbmember.Member{ID: l.id, Inc: s.inc()}, true
+	return bbmember.Member{ID: l.id, Inc: s.incarnation()}, true
 }
 
 // probe tells whether the peer can be reached, by the session at hand or by a
 // fresh connection.
 func (l *link) probe(ctx context.Context) bool {
-	if s := l.current(); s != nil && s.probe() {
-		s.heard.Store(true)
+	if s := l.preferredSession(); s != nil && s.probe() {
+		s.received.Store(true)
 		return true
 	}
-	_, err := l.session(ctx)
+	_, err := l.getSession(ctx)
 	return err == nil
 }
--- a/bluebellport/src/peer_test.go
+++ b/bluebellport/src/peer_test.go
@@ -18,12 +18,12 @@
 
 func TestPeersContract(t *testing.T) {
 	busContract(t, func(t *testing.T) busPair {
-		l := newListFake(t)
-		a, _, err := NewPeers(testParts("a", "d1", l.srv.Listener.Addr().String(), nil))
+		l := newFakeList(t)
+		a, _, err := NewPeers(testDeps("a", "d1", l.srv.Listener.Addr().String(), nil))
 		if err != nil {
 			t.Fatal(err)
 		}
-		pb := testParts("b", "d1", l.srv.Listener.Addr().String(), nil)
+		pb := testDeps("b", "d1", l.srv.Listener.Addr().String(), nil)
 		self := *pb.Board.View.Load()
 		self.Self.Inc = 2
 		pb.Board.View.Store(&self)
@@ -40,7 +40,7 @@
 		})
 		l.add("a", "d1", a.Address())
 		l.add("b", "d1", b.Address())
-		within(t, 5*time.Second, "a sees b", func() bool { _, ok := a.parts.Board.View.Load().Find("b"); return ok })
+		within(t, 5*time.Second, "a sees b", func() bool { _, ok := a.deps.Board.View.Load().Find("b"); return ok })
 		return busPair{a: a, b: b, sever: func() {
 			severed = true
 			stopB()
@@ -50,9 +50,9 @@
 
 func TestStreams(t *testing.T) {
 	is := is.New(t)
-	l := newListFake(t)
+	l := newFakeList(t)
 	store := bbstore.NewMem()
-	a, b := startNode(t, "a", "d1", l, store), startNode(t, "b", "d2", l, store)
+	a, b := startInstance(t, "a", "d1", l, store), startInstance(t, "b", "d2", l, store)
 	within(t, 5*time.Second, "a sees b", func() bool { return a.sees("b") })
 	b.peers.HandleStream("echo", func(from bbunit.InstanceID, conn net.Conn) {
 		_, _ = io.WriteString(conn, string(from)+":")
@@ -72,11 +72,11 @@
 	is.NoErr(err)
 	_, err = io.ReadAll(conn)
 	is.NoErr(err) // an unknown kind is closed, and the session stands
-	is.True(b.peers.count.Count() > 0)
-	is.True(a.peers.linkTo("b").current() != nil)
+	is.True(b.peers.dropped.Count() > 0)
+	is.True(a.peers.existingLink("b").preferredSession() != nil)
 }
 
-func (p *Peers) linkTo(id bbunit.InstanceID) *link {
+func (p *Peers) existingLink(id bbunit.InstanceID) *link {
 	v, ok := p.links.Load(id)
 	if !ok {
 		return nil
@@ -84,58 +84,58 @@
 	return v.(*link)
 }
 
-// pairOf starts two instances that see each other.
-func pairOf(t *testing.T) (a, b *testNode, l *listFake) {
-	l = newListFake(t)
+// startPair starts two instances that see each other.
+func startPair(t *testing.T) (a, b *testInstance, l *fakeList) {
+	l = newFakeList(t)
 	store := bbstore.NewMem()
-	a, b = startNode(t, "a", "d1", l, store), startNode(t, "b", "d1", l, store)
+	a, b = startInstance(t, "a", "d1", l, store), startInstance(t, "b", "d1", l, store)
 	within(t, 5*time.Second, "a and b see each other", func() bool { return a.sees("b") && b.sees("a") })
 	b.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") })
 	return a, b, l
 }
 
-func answers(from *testNode, to bbunit.InstanceID) bool {
+func canCall(from *testInstance, to bbunit.InstanceID) bool {
 	_, err := busCall(from.peers, to, askEnvelope(1), 300*time.Millisecond)
 	return err == nil
 }
 
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
-	l, store := newListFake(t), bbstore.NewMem()
-	proxies := map[string]*tcpProxy{"a": newProxy(t), "b": newProxy(t)}
-	start := func(id string) *testNode {
-		p := testParts(id, "d1", l.srv.Listener.Addr().String(), store)
-		p.Opts.Peer.Suspicion = time.Minute // no probe finds the silence
+	l, store := newFakeList(t), bbstore.NewMem()
+	proxies := map[string]*tcpProxy{"a": newTCPProxy(t), "b": newTCPProxy(t)}
+	start := func(id string) *testInstance {
+		p := testDeps(id, "d1", l.srv.Listener.Addr().String(), store)
+		p.Opts.Peer.SuspicionTimeout = time.Minute // no probe finds the silence
 		v := *p.Board.View.Load()
 		v.Self.Address = proxies[id].ln.Addr().String()
 		p.Board.View.Store(&v)
-		n := startParts(t, p)
+		n := startInstanceWith(t, p)
 		proxies[id].setTarget(n.peers.Address())
 		l.add(id, "d1", v.Self.Address)
 		n.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") })
 		return n
 	}
 	a, _ := start("a"), start("b")
-	within(t, 5*time.Second, "an answer through the proxy", func() bool { return answers(a, "b") })
+	within(t, 5*time.Second, "an answer through the proxy", func() bool { return canCall(a, "b") })
 	for range 2 {
 		for _, p := range proxies {
 			p.freeze()
 		}
-		is.True(!answers(a, "b"))
-		took := within(t, keepAliveTimeout, "an answer over a fresh connection", func() bool { return answers(a, "b") })
+		is.True(!canCall(a, "b"))
+		took := within(t, keepAliveTimeout, "an answer over a fresh connection", func() bool { return canCall(a, "b") })
 		t.Logf("answered again %s after the connection went silent", took.Round(10*time.Millisecond))
 		is.True(a.sees("b")) // the instance itself is not suspected
 	}
 }
 
-func TestLeavingIsToldAtOnceAndDeathIsSeen(t *testing.T) {
+func TestLeaveAndCrashAreDetected(t *testing.T) {
 	is := is.New(t)
-	l, store := newListFake(t), bbstore.NewMem()
-	var nodes []*testNode
+	l, store := newFakeList(t), bbstore.NewMem()
+	var nodes []*testInstance
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		nodes = append(nodes, startNode(t, id, "d"+string('1'+id[0]%2), l, store))
+		nodes = append(nodes, startInstance(t, id, "d"+string('1'+id[0]%2), l, store))
 	}
-	all := func(ok func(n *testNode) bool) func() bool {
+	all := func(ok func(n *testInstance) bool) func() bool {
 		return func() bool {
 			for _, n := range nodes {
 				if !ok(n) {
@@ -145,30 +145,30 @@
 			return true
 		}
 	}
-	within(t, 5*time.Second, "six members", all(func(n *testNode) bool { return len(n.view().Members) == 6 }))
+	within(t, 5*time.Second, "six members", all(func(n *testInstance) bool { return len(n.view().Members) == 6 }))
 	leaver := nodes[0]
 	leaver.peers.Leave()
 	is.True(!leaver.sees("a")) // Self is not home to anything any more
 	nodes = nodes[1:]
-	took := within(t, 2*time.Second, "leaving known", all(func(n *testNode) bool { return !n.sees("a") }))
+	took := within(t, 2*time.Second, "leaving known", all(func(n *testInstance) bool { return !n.sees("a") }))
 	t.Logf("leaving known everywhere after %s, with the list unchanged", took)
 	nodes[0].kill()
 	nodes = nodes[1:]
-	took = within(t, 15*testSuspicion, "death known", all(func(n *testNode) bool { return !n.sees("b") }))
+	took = within(t, 15*testSuspicionTimeout, "death known", all(func(n *testInstance) bool { return !n.sees("b") }))
 	t.Logf("death known everywhere after %s, with the list unchanged", took)
 	l.setDown(true)
-	time.Sleep(2 * testSuspicion)
+	time.Sleep(2 * testSuspicionTimeout)
 	is.True(nodes[0].sees("f")) // the list's outage changes nothing
 }
 
-func TestNewLifeOfAnInstance(t *testing.T) {
+func TestInstanceRestart(t *testing.T) {
 	is := is.New(t)
-	a, b, l := pairOf(t)
+	a, b, l := startPair(t)
 	old := b.view().Self.Inc
 	b.kill()
-	p := testParts("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem())
-	p.Opts.Peer.Listen = b.peers.Address() // the same name at the same address
-	n := startParts(t, p)
+	p := testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem())
+	p.Opts.Peer.ListenAddress = b.peers.Address() // the same name at the same address
+	n := startInstanceWith(t, p)
 	n.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("new") })
 	within(t, 5*time.Second, "the new life in view", func() bool {
 		m, ok := a.view().Find("b")
@@ -180,9 +180,9 @@
 	is.True(r.Inc != uint64(old))
 }
 
-func TestAnotherInstanceAtTheAddress(t *testing.T) {
+func TestAddressTakenByAnotherInstance(t *testing.T) {
 	is := is.New(t)
-	a, b, l := pairOf(t)
+	a, b, l := startPair(t)
 	var mistaken atomic.Int64
 	b.peers.Handle(tellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
 		mistaken.Add(1)
@@ -196,14 +196,14 @@
 	}
 	within(t, 5*time.Second, "c is found to be gone", func() bool { return !a.sees("c") && a.sees("b") })
 	_, err := busCall(a.peers, "c", askEnvelope(1), time.Second)
-	is.True(errors.Is(err, ErrPeer))
-	is.True(answers(a, "b"))
+	is.True(errors.Is(err, ErrPeerUnreachable))
+	is.True(canCall(a, "b"))
 	is.Equal(mistaken.Load(), int64(0))
 }
 
 func TestSendDoesNotBlock(t *testing.T) {
 	is := is.New(t)
-	a, b, _ := pairOf(t)
+	a, b, _ := startPair(t)
 	stall := make(chan struct{})
 	b.peers.Handle(tellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
 		<-stall
@@ -213,43 +213,43 @@
 	big := tellEnvelope(string(make([]byte, 1<<20)))
 	start := time.Now()
 	refused := 0
-	for range 4 * linkQueue {
+	for range 4 * linkQueueSize {
 		if a.peers.Send("b", big) != nil {
 			refused++
 		}
 	}
 	is.True(time.Since(start) < time.Second)
 	is.True(refused > 0)
-	is.True(a.peers.full.Count() > 0)
+	is.True(a.peers.queueFull.Count() > 0)
 }
 
-func TestBothConnectAtOnce(t *testing.T) {
+func TestSimultaneousConnect(t *testing.T) {
 	is := is.New(t)
-	a, b, _ := pairOf(t)
+	a, b, _ := startPair(t)
 	for range 20 {
-		for _, n := range []*testNode{a, b} {
-			if l := n.peers.linkTo("a"); n == b && l != nil {
+		for _, n := range []*testInstance{a, b} {
+			if l := n.peers.existingLink("a"); n == b && l != nil {
 				l.closeAll()
 			}
 		}
 		done := make(chan bool, 2)
-		go func() { done <- within(t, 3*time.Second, "a asks b", func() bool { return answers(a, "b") }) > 0 }()
+		go func() { done <- within(t, 3*time.Second, "a asks b", func() bool { return canCall(a, "b") }) > 0 }()
 		go func() { done <- b.peers.Send("a", tellEnvelope("x")) == nil }()
 		is.True(<-done)
 		<-done
 	}
 	within(t, 5*time.Second, "both prefer one session", func() bool {
-		x, y := a.peers.linkTo("b").current(), b.peers.linkTo("a").current()
+		x, y := a.peers.existingLink("b").preferredSession(), b.peers.existingLink("a").preferredSession()
 		return x != nil && y != nil && x.mux.RemoteAddr().String() == y.mux.LocalAddr().String()
 	})
 }
 
-// TestTwoInstancesOfOneName has an earlier life resume beside the later one:
+// TestDuplicateInstanceName has an earlier life resume beside the later one:
 // what is sent to the name reaches the later.
-func TestTwoInstancesOfOneName(t *testing.T) {
+func TestDuplicateInstanceName(t *testing.T) {
 	is := is.New(t)
-	a, old, l := pairOf(t)
-	young := startParts(t, testParts("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem()))
+	a, old, l := startPair(t)
+	young := startInstanceWith(t, testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem()))
 	young.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("young") })
 	within(t, 5*time.Second, "the later life in view", func() bool {
 		m, ok := a.view().Find("b")
@@ -257,7 +257,7 @@
 	})
 	for range 20 {
 		_ = old.peers.Send("a", tellEnvelope("from the earlier life"))
-		if l := old.peers.linkTo("a"); l != nil {
+		if l := old.peers.existingLink("a"); l != nil {
 			l.closeAll() // it connects afresh each time
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/bluebellport/src/peer_tls_test.go
+++ b/bluebellport/src/peer_tls_test.go
@@ -30,7 +30,7 @@
 	key  *ecdsa.PrivateKey
 }
 
-func newCA(t *testing.T) *testCA {
+func newTestCA(t *testing.T) *testCA {
 	ca := &testCA{dir: t.TempDir()}
 	ca.key, ca.cert = ca.issue(t, "ca", &x509.Certificate{IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign})
 	return ca
@@ -66,48 +66,48 @@
 	}
 }
 
-// peer issues a certificate for a DNS name and returns the options for it.
-func (ca *testCA) peer(t *testing.T, name, dns string) PeerOptions {
+// peerOptions issues a certificate for a DNS name and returns the options for it.
+func (ca *testCA) peerOptions(t *testing.T, name, dns string) PeerOptions {
 	ca.issue(t, name, &x509.Certificate{
 		DNSNames:    []string{dns},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	})
 	file := func(s string) string { return filepath.Join(ca.dir, s) }
 	return PeerOptions{
-		Listen: "127.0.0.1:0", Period: testPeriod, Suspicion: testSuspicion,
+		ListenAddress: "127.0.0.1:0", GossipPeriod: testGossipPeriod, SuspicionTimeout: testSuspicionTimeout,
 		Cert: file(name + ".pem"), Key: file(name + ".key"), CA: file("ca.pem"),
 	}
 }
 
 func TestMutualTLS(t *testing.T) {
 	is := is.New(t)
-	ca, other := newCA(t), newCA(t)
-	l, store := newListFake(t), bbstore.NewMem()
-	start := func(id string, o PeerOptions) *testNode {
-		p := testParts(id, "d1", l.srv.Listener.Addr().String(), store)
+	ca, other := newTestCA(t), newTestCA(t)
+	l, store := newFakeList(t), bbstore.NewMem()
+	start := func(id string, o PeerOptions) *testInstance {
+		p := testDeps(id, "d1", l.srv.Listener.Addr().String(), store)
 		p.Opts.Peer = o
-		n := startParts(t, p)
+		n := startInstanceWith(t, p)
 		n.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") })
 		l.add(id, "d1", n.address())
 		return n
 	}
-	a := start("a", ca.peer(t, "a", peerName))
-	start("b", ca.peer(t, "b", peerName))
-	within(t, 5*time.Second, "a asks b", func() bool { return answers(a, "b") })
+	a := start("a", ca.peerOptions(t, "a", peerName))
+	start("b", ca.peerOptions(t, "b", peerName))
+	within(t, 5*time.Second, "a asks b", func() bool { return canCall(a, "b") })
 	for id, o := range map[string]PeerOptions{
-		"plain":   {Listen: "127.0.0.1:0", Period: testPeriod, Suspicion: testSuspicion},
-		"foreign": other.peer(t, "foreign", peerName),
-		"caller":  ca.peer(t, "caller", "api.example"), // same authority, not for an instance
+		"plain":   {ListenAddress: "127.0.0.1:0", GossipPeriod: testGossipPeriod, SuspicionTimeout: testSuspicionTimeout},
+		"foreign": other.peerOptions(t, "foreign", peerName),
+		"caller":  ca.peerOptions(t, "caller", "api.example"), // same authority, not for an instance
 	} {
-		was := a.peers.count.Count()
+		was := a.peers.dropped.Count()
 		n := start(id, o)
 		within(t, 5*time.Second, id+" knows a", func() bool { _, ok := n.peers.members.address("a"); return ok })
-		is.True(!answers(n, "a"))
-		is.True(!answers(a, bbunit.InstanceID(id)))
-		within(t, 5*time.Second, id+" refused, logged and counted", func() bool { return a.peers.count.Count() > was })
+		is.True(!canCall(n, "a"))
+		is.True(!canCall(a, bbunit.InstanceID(id)))
+		within(t, 5*time.Second, id+" refused, logged and counted", func() bool { return a.peers.dropped.Count() > was })
 	}
-	is.True(answers(a, "b"))
-	stranger := other.peer(t, "stranger", peerName)
+	is.True(canCall(a, "b"))
+	stranger := other.peerOptions(t, "stranger", peerName)
 	cert, err := tls.LoadX509KeyPair(stranger.Cert, stranger.Key)
 	is.NoErr(err)
 	for name, certs := range map[string][]tls.Certificate{"no certificate": nil, "another authority's": {cert}} {
@@ -123,10 +123,10 @@
 }
 
 func TestPeerOptionsCheck(t *testing.T) {
-	ca := newCA(t)
+	ca := newTestCA(t)
 	good := func() PeerOptions {
-		o := ca.peer(t, "x", peerName)
-		o.Listen = "127.0.0.1:8082"
+		o := ca.peerOptions(t, "x", peerName)
+		o.ListenAddress = "127.0.0.1:8082"
 		return o
 	}
 	cases := map[string]struct {
@@ -135,11 +135,11 @@
 	}{
 		"good":                 {func(*PeerOptions) {}, ""},
 		"no TLS":               {func(o *PeerOptions) { o.Cert, o.Key, o.CA = "", "", "" }, ""},
-		"address":              {func(o *PeerOptions) { o.Listen = "8082" }, "--peer: "},
-		"advertised by name":   {func(o *PeerOptions) { o.Advertise = "host:1" }, `--peer-advertise: not an IP number and port that others can reach: "host:1"`},
-		"advertised wildcard":  {func(o *PeerOptions) { o.Listen = "0.0.0.0:1" }, "--peer-advertise: "},
-		"period":               {func(o *PeerOptions) { o.Period = 0 }, "--gossip-period: must be above 0"},
-		"suspicion":            {func(o *PeerOptions) { o.Suspicion = o.Period }, "--suspicion: must be at least 3 times"},
+		"address":              {func(o *PeerOptions) { o.ListenAddress = "8082" }, "--peer: "},
+		"advertised by name":   {func(o *PeerOptions) { o.AdvertisedAddress = "host:1" }, `--peer-advertise: not an IP number and port that others can reach: "host:1"`},
+		"advertised wildcard":  {func(o *PeerOptions) { o.ListenAddress = "0.0.0.0:1" }, "--peer-advertise: "},
+		"period":               {func(o *PeerOptions) { o.GossipPeriod = 0 }, "--gossip-period: must be above 0"},
+		"suspicion":            {func(o *PeerOptions) { o.SuspicionTimeout = o.GossipPeriod }, "--suspicion: must be at least 3 times"},
 		"key without the rest": {func(o *PeerOptions) { o.Cert, o.CA = "", "" }, "set all three or none"},
 		"no such certificate":  {func(o *PeerOptions) { o.Cert = "nowhere.pem" }, `--peer-cert "nowhere.pem"`},
 		"no such authority":    {func(o *PeerOptions) { o.CA = "nowhere.pem" }, "--peer-ca: "},
--- a/bluebellport/src/recorder.go
+++ b/bluebellport/src/recorder.go
@@ -18,8 +18,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// ErrPending means that records were still unacknowledged when time ran out.
-const ErrPending = errors.ConstError("records not acknowledged")
+// ErrRecordsPending means that records were still unacknowledged when time ran out.
+const ErrRecordsPending = errors.ConstError("records not acknowledged")
 
 // Recorder keeps claims and bills in the key-value service.
 //
@@ -38,24 +38,24 @@
 // dead (nothing was sent and nothing will be) allows to withdraw it and to claim
 // anew. Without that word the claim stands, and its outcome is unknown.
 type Recorder struct {
-	Parts
-	opts  RecordOptions
-	self  bbmember.Member
-	lanes [bbjournal.Partitions]*lane
-	homes atomic.Pointer[homes]
-	wake  chan struct{}
+	Deps
+	opts   RecordOptions
+	self   bbmember.Member
+	queues [bbjournal.Partitions]*partitionQueue
+	homes  atomic.Pointer[partitionHomes]
+	wake   chan struct{}
 
 	claimRate, billRate *rate.Limiter
 
-	attempts sequence
-	dead     deadSet
-	tells    tells
-	shadow   *shadow
-	count    recordCounts
+	attemptSeq  sequence
+	abandoned   abandonedSet
+	sentBatches sentBatches
+	backup      *recordBackup
+	metrics     recorderMetrics
 
-	unacked  atomic.Int64
-	foreign  atomic.Int64 // records of others that wait here
-	draining atomic.Bool
+	unacknowledged atomic.Int64
+	remoteQueued   atomic.Int64 // records of others that wait here
+	draining       atomic.Bool
 }
 
 // sequence hands out numbers that are never used twice in the life of an
@@ -64,66 +64,66 @@
 
 func (s *sequence) next() uint64 { return s.n.Add(1) }
 
-// recordCounts are the recorder's metrics.
-type recordCounts struct {
-	claims, claimed, notWritten, withdrawn      metrics.Counter
-	bills, repeated, mismatched, late, unknowns metrics.Counter
-	writes, conflicts, unsure, down, direct     metrics.Counter
-	takeovers                                   metrics.Counter
-	queued                                      metrics.Gauge
+// recorderMetrics are the recorder's metrics.
+type recorderMetrics struct {
+	claims, alreadyClaimed, claimsNotWritten, claimsWithdrawn              metrics.Counter
+	bills, repeated, mismatched, late, unknowns                            metrics.Counter
+	writes, writeConflicts, writesUnknown, storeDown, batchesBypassingHome metrics.Counter
+	takeovers                                                              metrics.Counter
+	unacknowledged                                                         metrics.Gauge
 }
 
-func newRecordCounts(m metrics.Registry) recordCounts {
+func newRecorderMetrics(m metrics.Registry) recorderMetrics {
 	c := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("record."+name, m) }
-	return recordCounts{
-		claims: c("claims"), claimed: c("claimed"), notWritten: c("claims.notwritten"), withdrawn: c("claims.withdrawn"),
+	return recorderMetrics{
+		claims: c("claims"), alreadyClaimed: c("claimed"), claimsNotWritten: c("claims.notwritten"), claimsWithdrawn: c("claims.withdrawn"),
 		bills: c("bills"), repeated: c("bills.repeated"), mismatched: c("bills.mismatched"), late: c("bills.late"),
-		unknowns: c("unknowns"), writes: c("writes"), conflicts: c("writes.conflicts"), unsure: c("writes.unsure"),
-		down: c("writes.down"), direct: c("batches.direct"), takeovers: c("takeovers"),
-		queued: metrics.GetOrRegisterGauge("record.queued", m),
+		unknowns: c("unknowns"), writes: c("writes"), writeConflicts: c("writes.conflicts"), writesUnknown: c("writes.unsure"),
+		storeDown: c("writes.down"), batchesBypassingHome: c("batches.direct"), takeovers: c("takeovers"),
+		unacknowledged: metrics.GetOrRegisterGauge("record.queued", m),
 	}
 }
 
 // NewRecorder returns a running recorder and the function that stops it. Call
 // Drain before, lest unacknowledged bills are left to the peers.
-func NewRecorder(p Parts) (*Recorder, func()) {
+func NewRecorder(p Deps) (*Recorder, func()) {
 	r := &Recorder{
-		Parts: p, opts: p.Opts.Record, self: p.Board.View.Load().Self,
+		Deps: p, opts: p.Opts.Record, self: p.Board.View.Load().Self,
 		wake:      make(chan struct{}, 1),
 		claimRate: rate.NewLimiter(1, 1), billRate: rate.NewLimiter(1, 1),
-		count: newRecordCounts(p.Metrics),
+		metrics: newRecorderMetrics(p.Metrics),
 	}
 	seed := rand.Uint64()
-	for i := range r.lanes {
+	for i := range r.queues {
 		part := bbjournal.Partition(i)
-		r.lanes[i] = &lane{p: part, book: &bbjournal.ChainCache{Partition: part, Retention: r.opts.Retention, Seed: seed}}
+		r.queues[i] = &partitionQueue{partition: part, chain: &bbjournal.ChainCache{Partition: part, Retention: r.opts.Retention, Seed: seed}}
 	}
-	r.shadow = newShadow(r)
-	r.handle()
+	r.backup = newRecordBackup(r)
+	r.registerHandlers()
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() { r.run(ctx) })
-	wg.Go(func() { r.shadow.run(ctx) })
+	wg.Go(func() { r.backup.run(ctx) })
 	return r, func() {
 		cancel()
 		wg.Wait()
 	}
 }
 
-// handle takes the messages of other instances.
-func (r *Recorder) handle() {
+// registerHandlers takes the messages of other instances.
+func (r *Recorder) registerHandlers() {
 	if r.Bus == nil {
 		return
 	}
-	r.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Batch{}}, r.takeBatch)
-	r.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Batchtell{}}, r.takeTell)
-	r.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Claimask{}}, r.takeAsk)
-	r.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Shadow{}}, r.shadow.take)
+	r.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Batch{}}, r.handleBatch)
+	r.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Batchtell{}}, r.handleBatchVerdicts)
+	r.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Claimask{}}, r.handleClaimQuery)
+	r.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Shadow{}}, r.backup.handleShadow)
 }
 
 // run starts the lanes that are due, until ctx ends.
 func (r *Recorder) run(ctx context.Context) {
-	tick := time.NewTicker(recordTick)
+	tick := time.NewTicker(recorderTickInterval)
 	defer tick.Stop()
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -135,23 +135,23 @@
 		case <-r.wake:
 		}
 		now := r.Now()
-		r.count.queued.Update(r.unacked.Load())
-		r.recall(now)
-		for i := range r.lanes {
-			l := r.lanes[(turn+i)%len(r.lanes)] // each lane is the first to use the rates in turn
-			if r.due(l, now) {
+		r.metrics.unacknowledged.Update(r.unacknowledged.Load())
+		r.reclaimExpired(now)
+		for i := range r.queues {
+			l := r.queues[(turn+i)%len(r.queues)] // each lane is the first to use the rates in turn
+			if r.needsFlush(l, now) {
 				l.busy.Store(true)
 				wg.Go(func() {
 					defer l.busy.Store(false)
-					r.work(ctx, l)
+					r.flush(ctx, l)
 				})
 			}
 		}
 	}
 }
 
-// nudge has the lanes looked at now.
-func (r *Recorder) nudge() {
+// wakeLoop has the lanes looked at now.
+func (r *Recorder) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -160,12 +160,14 @@
 
 // newOwner names a new attempt.
 func (r *Recorder) newOwner() string {
-	return bbjournal.Owner{Instance: r.self.ID, Inc: r.self.Inc, Seq: r.attempts.next()}.String()
+	return bbjournal.Owner{Instance: r.self.ID, Inc: r.self.Inc, Seq: r.attemptSeq.next()}.String()
 }
 
 // Full tells whether so many bills are unacknowledged that new work has to be
 // refused. It takes no lock.
-func (r *Recorder) Full() bool { return r.unacked.Load() >= int64(r.opts.Queue) }
+func (r *Recorder) Full() bool {
+	return r.unacknowledged.Load() >= int64(r.opts.MaxUnacknowledgedBills)
+}
 
 // RecorderStatus is what a recorder shows to operators.
 type RecorderStatus struct {
@@ -174,19 +176,19 @@
 	Full           bool  `json:"full"`
 	// Open is the count of requests that were sent and have not ended.
 	Open int64 `json:"open"`
-	// Shadowed is the count of records kept for other instances.
-	Shadowed int64 `json:"shadowed"`
-	Unknown  int64 `json:"unknown"`
-	Late     int64 `json:"late"`
-	Repeated int64 `json:"repeated"`
+	// BackupCopies is the count of records kept for other instances.
+	BackupCopies int64 `json:"shadowed"`
+	Unknown      int64 `json:"unknown"`
+	Late         int64 `json:"late"`
+	Repeated     int64 `json:"repeated"`
 }
 
 // Status returns the recorder's figures. It does not block.
 func (r *Recorder) Status() RecorderStatus {
 	return RecorderStatus{
-		Unacknowledged: r.unacked.Load(), Full: r.Full(),
-		Open: r.shadow.open.Load(), Shadowed: r.shadow.kept.Load(),
-		Unknown: r.count.unknowns.Count(), Late: r.count.late.Count(), Repeated: r.count.repeated.Count(),
+		Unacknowledged: r.unacknowledged.Load(), Full: r.Full(),
+		Open: r.backup.openCount.Load(), BackupCopies: r.backup.copyCount.Load(),
+		Unknown: r.metrics.unknowns.Count(), Late: r.metrics.late.Count(), Repeated: r.metrics.repeated.Count(),
 	}
 }
 
@@ -195,89 +197,89 @@
 func (r *Recorder) Drain(ctx context.Context) error {
 	r.draining.Store(true)
 	defer r.draining.Store(false)
-	tick := time.NewTicker(recordTick)
+	tick := time.NewTicker(recorderTickInterval)
 	defer tick.Stop()
-	for r.unacked.Load() > 0 {
-		r.nudge()
+	for r.unacknowledged.Load() > 0 {
+		r.wakeLoop()
 		select {
 		case <-ctx.Done():
-			return errors.WithType(errors.Errorf("%d records left", r.unacked.Load()), ErrPending)
+			return errors.WithType(errors.Errorf("%d records left", r.unacknowledged.Load()), ErrRecordsPending)
 		case <-tick.C:
 		}
 	}
 	return nil
 }
 
-// homes are the committing instances of all partitions in one view.
-type homes struct {
-	view *bbmember.View
-	of   [bbjournal.Partitions]bbmember.Member
+// partitionHomes are the committing instances of all partitions in one view.
+type partitionHomes struct {
+	view        *bbmember.View
+	byPartition [bbjournal.Partitions]bbmember.Member
 }
 
-// home returns the instance of the own failure domain that commits for the
+// homeOf returns the instance of the own failure domain that commits for the
 // partition, which is self when the domain has no other.
-func (r *Recorder) home(p bbjournal.Partition) bbmember.Member {
+func (r *Recorder) homeOf(p bbjournal.Partition) bbmember.Member {
 	v := r.Board.View.Load()
 	h := r.homes.Load()
 	if h == nil || h.view != v {
-		h = &homes{view: v}
-		for i := range h.of {
+		h = &partitionHomes{view: v}
+		for i := range h.byPartition {
 			m, ok := v.Home(bbjournal.Partition(i).HomeKey(), r.self.Domain)
 			if !ok {
 				m = r.self
 			}
-			h.of[i] = m
+			h.byPartition[i] = m
 		}
 		r.homes.Store(h)
-		r.share(h)
+		r.setWriteRates(h)
 	}
-	return h.of[p]
+	return h.byPartition[p]
 }
 
-// share sets this instance's part of the failure domain's rates of writes: that
+// setWriteRates sets this instance's part of the failure domain's rates of writes: that
 // of the partitions to which it is home, at least of one.
-func (r *Recorder) share(h *homes) {
+func (r *Recorder) setWriteRates(h *partitionHomes) {
 	n := 0
-	for _, m := range h.of {
+	for _, m := range h.byPartition {
 		if r.isSelf(m.ID) {
 			n++
 		}
 	}
 	part := float64(max(n, 1)) / bbjournal.Partitions
-	for l, writes := range map[*rate.Limiter]float64{r.claimRate: r.opts.ClaimWrites, r.billRate: r.opts.BillWrites} {
+	for l, writes := range map[*rate.Limiter]float64{r.claimRate: r.opts.ClaimWriteRate, r.billRate: r.opts.BillWriteRate} {
 		l.SetLimit(rate.Limit(writes * part))
-		l.SetBurst(1 + int(writes*part*rateBurst))
+		l.SetBurst(1 + int(writes*part*writeRateBurst))
 	}
 }
 
-// deadSet remembers the latest attempts that were given up unsent.
-type deadSet struct {
-	mu    sync.Mutex
-	set   map[string]struct{}
-	order []string
+// abandonedSet remembers the latest attempts that were given up unsent.
+type abandonedSet struct {
+	mu     sync.Mutex
+	owners map[string]struct{}
+	order  []string
 }
 
-func (d *deadSet) add(owner string) {
+func (d *abandonedSet) add(owner string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.set == nil {
-		d.set = map[string]struct{}{}
+	if d.owners == nil {
+		d.owners = map[string]struct{}{}
 	}
-	if _, ok := d.set[owner]; ok {
+	if _, ok := d.owners[owner]; ok {
 		return
 	}
-	d.set[owner] = struct{}{}
+	d.owners[owner] = struct{}{}
 	d.order = append(d.order, owner)
-	if len(d.order) > deadMost {
-		delete(d.set, d.order[0])
+	if len(d.order) > maxAbandoned {
+		delete(d.owners, d.order[0])
 		d.order = d.order[1:]
 	}
 }
 
-func (d *deadSet) has(owner string) bool {
+func (d *abandonedSet) has(owner string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, ok := d.set[owner]
+	_, ok := d.owners[owner]
 	return ok
 }
 
--- /dev/null
+++ b/bluebellport/src/recorder_backup.go
@@ -0,0 +1,332 @@
+package bbport
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sourcegraph/conc"
+
+	"bluebellport.example/shared/bbjournal"
+	"bluebellport.example/shared/bbmember"
+	"bluebellport.example/shared/bbunit"
+	"bluebellport.example/shared/bbwire"
+)
+
+// recordBackup copies what is open or unacknowledged to peers, and keeps the copies of
+// others. When an instance is gone for the takeover time, each peer that keeps a
+// copy submits it: bills as they are, open requests as UNKNOWN. That both peers
+// do so, or the instance after all, changes nothing: the leaf takes a record of
+// an owner once, and a bill goes before UNKNOWN.
+type recordBackup struct {
+	r         *Recorder
+	intake    atomic.Pointer[backupEvent]
+	openCount atomic.Int64 // own requests that have not ended
+	copyCount atomic.Int64 // records of others
+
+	// owned by run
+	records map[string]*bbwire.Record // by owner
+	peers   map[bbunit.InstanceID]*backupPeer
+
+	mu     sync.Mutex
+	copies map[instanceLife]*backupCopy
+}
+
+// backupEvent adds a record, or ends the owner's.
+type backupEvent struct {
+	rec        *bbwire.Record
+	endedOwner string
+	next       *backupEvent
+}
+
+// backupPeer is what one peer was told and has to be told.
+type backupPeer struct {
+	inc       bbunit.Incarnation
+	seq       uint64
+	sent      map[string]struct{}
+	adds      map[string]*bbwire.Record
+	ends      []string
+	sending   atomic.Bool
+	needsFull atomic.Bool // the peer needs the whole
+}
+
+// instanceLife names a life of an instance.
+type instanceLife struct {
+	instance bbunit.InstanceID
+	inc      bbunit.Incarnation
+}
+
+// backupCopy is what is kept of one life of an instance.
+type backupCopy struct {
+	seq          uint64
+	records      map[string]*bbwire.Record
+	missingSince time.Time // since when the instance is missing
+}
+
+func newRecordBackup(r *Recorder) *recordBackup {
+	return &recordBackup{
+		r: r, records: map[string]*bbwire.Record{},
+		peers: map[bbunit.InstanceID]*backupPeer{}, copies: map[instanceLife]*backupCopy{},
+	}
+}
+
+func (s *recordBackup) push(ev *backupEvent) {
+	for {
+		ev.next = s.intake.Load()
+		if s.intake.CompareAndSwap(ev.next, ev) {
+			return
+		}
+	}
+}
+
+// add has a record copied until its owner ends. It takes no lock.
+func (s *recordBackup) add(rec *bbwire.Record) { s.push(&backupEvent{rec: rec}) }
+
+// remove has the owner's record forgotten. It takes no lock.
+func (s *recordBackup) remove(owner string) { s.push(&backupEvent{endedOwner: owner}) }
+
+// run sends what changed to the peers and watches for instances that are gone,
+// until ctx ends.
+func (s *recordBackup) run(ctx context.Context) {
+	tick := time.NewTicker(s.r.opts.ClaimPeriod)
+	defer tick.Stop()
+	var wg conc.WaitGroup
+	defer wg.Wait()
+	var swept time.Time
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		s.applyEvents()
+		s.sendAll(ctx, &wg)
+		if now := s.r.Now(); now.Sub(swept) >= orphanCheckInterval {
+			swept = now
+			s.submitOrphans(now)
+		}
+	}
+}
+
+// applyEvents applies the events to what stands and to what the peers have to hear.
+func (s *recordBackup) applyEvents() {
+	var evs []*backupEvent
+	for ev := s.intake.Swap(nil); ev != nil; ev = ev.next {
+		evs = append(evs, ev)
+	}
+	for i := len(evs) - 1; i >= 0; i-- {
+		ev := evs[i]
+		if ev.rec == nil {
+			s.apply(ev.endedOwner, nil)
+			continue
+		}
+		s.apply(ev.rec.Owner, ev.rec)
+	}
+}
+
+func (s *recordBackup) apply(owner string, rec *bbwire.Record) {
+	old := s.records[owner]
+	s.openCount.Add(countOpen(rec) - countOpen(old))
+	if rec != nil {
+		s.records[owner] = rec
+	} else {
+		delete(s.records, owner)
+	}
+	for _, p := range s.peers {
+		p.queueChange(owner, rec)
+	}
+}
+
+func countOpen(r *bbwire.Record) int64 {
+	if r != nil && r.Kind == bbwire.Record_OPEN {
+		return 1
+	}
+	return 0
+}
+
+func (p *backupPeer) queueChange(owner string, rec *bbwire.Record) {
+	if rec != nil {
+		p.adds[owner] = rec
+		return
+	}
+	delete(p.adds, owner)
+	if _, ok := p.sent[owner]; ok {
+		delete(p.sent, owner)
+		p.ends = append(p.ends, owner)
+	}
+}
+
+// selectPeers returns the peers that keep the copy: of the own failure domain, else
+// of any.
+func (s *recordBackup) selectPeers() []bbmember.Member {
+	v := s.r.Board.View.Load()
+	key := "shadow/" + string(s.r.self.ID)
+	for _, d := range []bbunit.DomainID{s.r.self.Domain, ""} {
+		var out []bbmember.Member
+		for _, m := range v.Rank(key, d, backupPeers+1) {
+			if m.ID != s.r.self.ID && len(out) < backupPeers {
+				out = append(out, m)
+			}
+		}
+		if len(out) > 0 {
+			return out
+		}
+	}
+	return nil
+}
+
+func (s *recordBackup) sendAll(ctx context.Context, wg *conc.WaitGroup) {
+	if s.r.Bus == nil {
+		return
+	}
+	chosen := s.selectPeers()
+	kept := map[bbunit.InstanceID]*backupPeer{}
+	for _, m := range chosen {
+		p := s.peers[m.ID]
+		if p == nil || p.inc != m.Inc {
+			p = &backupPeer{inc: m.Inc}
+			p.needsFull.Store(true)
+		}
+		kept[m.ID] = p
+		s.send(ctx, wg, m.ID, p)
+	}
+	for id := range s.peers {
+		if kept[id] == nil {
+			s.releasePeer(id)
+		}
+	}
+	s.peers = kept
+}
+
+// releasePeer tells a peer that is not chosen any more to forget its copy.
+func (s *recordBackup) releasePeer(id bbunit.InstanceID) {
+	m := &bbwire.Shadow{Seq: 1, Whole: true, Inc: uint64(s.r.self.Inc)}
+	if err := s.r.Bus.Send(id, &bbwire.Envelope{Body: &bbwire.Envelope_Shadow{Shadow: m}}); err != nil {
+		s.r.Log.WithError(err).WithField("instance", id).Debug("copy not released")
+	}
+}
+
+// send tells one peer what it does not know, unless a message is on its way.
+func (s *recordBackup) send(ctx context.Context, wg *conc.WaitGroup, id bbunit.InstanceID, p *backupPeer) {
+	if p.sending.Load() {
+		return
+	}
+	whole := p.needsFull.Swap(false)
+	if whole {
+		p.resetTo(s.records)
+	}
+	if len(p.adds)+len(p.ends) == 0 && !(whole && p.seq > 0) {
+		if whole {
+			p.needsFull.Store(true) // nothing to tell yet
+		}
+		return
+	}
+	m := p.nextMessage(whole, s.r.self.Inc)
+	p.sending.Store(true)
+	wg.Go(func() {
+		defer p.sending.Store(false)
+		ctx, cancel := context.WithTimeout(ctx, backupTimeout)
+		defer cancel()
+		e, err := s.r.Bus.Call(ctx, id, &bbwire.Envelope{Body: &bbwire.Envelope_Shadow{Shadow: m}})
+		if err != nil || e.GetShadowtell() == nil || e.GetShadowtell().Gap {
+			p.needsFull.Store(true)
+		}
+	})
+}
+
+// resetTo makes all that stands unknown to the peer.
+func (p *backupPeer) resetTo(standing map[string]*bbwire.Record) {
+	p.sent, p.adds, p.ends = map[string]struct{}{}, map[string]*bbwire.Record{}, nil
+	for owner, rec := range standing {
+		p.adds[owner] = rec
+	}
+}
+
+// nextMessage takes what the peer has to hear.
+func (p *backupPeer) nextMessage(whole bool, inc bbunit.Incarnation) *bbwire.Shadow {
+	p.seq++
+	m := &bbwire.Shadow{Seq: p.seq, Whole: whole, Ended: p.ends, Inc: uint64(inc)}
+	for owner, rec := range p.adds {
+		m.Records = append(m.Records, rec)
+		p.sent[owner] = struct{}{}
+	}
+	p.adds, p.ends = map[string]*bbwire.Record{}, nil
+	return m
+}
+
+// handleShadow keeps what another instance tells.
+func (s *recordBackup) handleShadow(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
+	m := e.GetShadow()
+	id := instanceLife{from, bbunit.Incarnation(m.Inc)}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c := s.copies[id]
+	if c == nil || m.Whole {
+		s.dropCopy(id)
+		c = &backupCopy{records: map[string]*bbwire.Record{}}
+		s.copies[id] = c
+	}
+	gap := !m.Whole && m.Seq != c.seq+1
+	c.seq = m.Seq
+	s.copyCount.Add(-int64(len(c.records)))
+	for _, rec := range m.Records {
+		if bbjournal.Check(rec) == nil && rec.Owner != "" {
+			c.records[rec.Owner] = rec
+		}
+	}
+	for _, owner := range m.Ended {
+		delete(c.records, owner)
+	}
+	s.copyCount.Add(int64(len(c.records)))
+	tell := &bbwire.ShadowTell{Seq: m.Seq, Gap: gap}
+	return &bbwire.Envelope{Body: &bbwire.Envelope_Shadowtell{Shadowtell: tell}}
+}
+
+// dropCopy drops a copy. The shadow is locked.
+func (s *recordBackup) dropCopy(id instanceLife) {
+	if c := s.copies[id]; c != nil {
+		s.copyCount.Add(-int64(len(c.records)))
+		delete(s.copies, id)
+	}
+}
+
+// submitOrphans submits the records of instances that are gone.
+func (s *recordBackup) submitOrphans(now time.Time) {
+	v := s.r.Board.View.Load()
+	for _, rec := range s.takeOrphans(v, now) {
+		c := bbjournal.Copy(rec)
+		if c.Kind == bbwire.Record_OPEN {
+			c.Kind = bbwire.Record_UNKNOWN
+		}
+		s.r.queueBill(c, nil)
+	}
+}
+
+// takeOrphans returns the records of instances that are gone for the takeover time,
+// and forgets them.
+func (s *recordBackup) takeOrphans(v *bbmember.View, now time.Time) []*bbwire.Record {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var out []*bbwire.Record
+	for id, c := range s.copies {
+		m, ok := v.Find(id.instance)
+		if ok && (m.Inc == id.inc || m.Inc == 0) {
+			c.missingSince = time.Time{}
+			continue
+		}
+		if c.missingSince.IsZero() {
+			c.missingSince = now
+		}
+		if now.Sub(c.missingSince) < s.r.opts.TakeoverDelay {
+			continue
+		}
+		for _, rec := range c.records {
+			out = append(out, rec)
+		}
+		s.r.metrics.takeovers.Inc(1)
+		s.r.Log.WithField("instance", id.instance).WithField("records", len(c.records)).Warn("records taken over")
+		s.dropCopy(id)
+	}
+	return out
+}
--- a/bluebellport/src/recorder_batch.go
+++ b/bluebellport/src/recorder_batch.go
@@ -10,55 +10,55 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// tells are the batches that were sent to homes.
-type tells struct {
-	mu   sync.Mutex
-	next uint64
-	m    map[uint64]*tell
+// sentBatches are the batches that were sent to homes.
+type sentBatches struct {
+	mu     sync.Mutex
+	lastID uint64
+	byID   map[uint64]*sentBatch
 }
 
-// tell is one batch on its way.
-type tell struct {
-	home  bbunit.InstanceID
-	lane  *lane
-	items []*item
-	until time.Time
-	// over tells that the items are on their way without the home.
-	over bool
+// sentBatch is one batch on its way.
+type sentBatch struct {
+	home     bbunit.InstanceID
+	queue    *partitionQueue
+	records  []*queuedRecord
+	deadline time.Time
+	// expired tells that the items are on their way without the home.
+	expired bool
 }
 
-func (t *tells) open(w *tell) uint64 {
+func (t *sentBatches) add(w *sentBatch) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.m == nil {
-		t.m = map[uint64]*tell{}
+	if t.byID == nil {
+		t.byID = map[uint64]*sentBatch{}
 	}
-	t.next++
-	t.m[t.next] = w
-	return t.next
+	t.lastID++
+	t.byID[t.lastID] = w
+	return t.lastID
 }
 
-// take ends the wait for a batch. It tells whether the items are still with it.
-func (t *tells) take(id uint64) (w *tell, waited bool) {
+// remove ends the wait for a batch. It tells whether the items are still with it.
+func (t *sentBatches) remove(id uint64) (w *sentBatch, waited bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w = t.m[id]
-	delete(t.m, id)
-	return w, w != nil && !w.over
+	w = t.byID[id]
+	delete(t.byID, id)
+	return w, w != nil && !w.expired
 }
 
-// overdue returns the batches that are not waited for any more. Their answers
+// expire returns the batches that are not waited for any more. Their answers
 // are understood for some time.
-func (t *tells) overdue(now time.Time, home func(p bbjournal.Partition) bbunit.InstanceID) []*tell {
+func (t *sentBatches) expire(now time.Time, home func(p bbjournal.Partition) bbunit.InstanceID) []*sentBatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []*tell
-	for id, w := range t.m {
+	var out []*sentBatch
+	for id, w := range t.byID {
 		switch {
-		case w.over && now.After(w.until.Add(tellKept)):
-			delete(t.m, id)
-		case !w.over && (now.After(w.until) || home(w.lane.p) != w.home):
-			w.over = true
+		case w.expired && now.After(w.deadline.Add(lateVerdictTime)):
+			delete(t.byID, id)
+		case !w.expired && (now.After(w.deadline) || home(w.queue.partition) != w.home):
+			w.expired = true
 			out = append(out, w)
 		}
 	}
@@ -67,28 +67,28 @@
 
 // forward sends the own items to the home of the lane, claims apart from bills,
 // which may wait longer. It returns the items that have to be committed here.
-func (r *Recorder) forward(l *lane, items []*item) []*item {
-	home := r.home(l.p).ID
-	var here, claims, bills []*item
+func (r *Recorder) forward(l *partitionQueue, items []*queuedRecord) []*queuedRecord {
+	home := r.homeOf(l.partition).ID
+	var here, claims, bills []*queuedRecord
 	for _, it := range items {
 		switch {
-		case !it.own:
+		case !it.local:
 			here = append(here, it)
-		case isClaim(it.rec):
+		case isClaimOrWithdrawal(it.rec):
 			claims = append(claims, it)
 		default:
 			bills = append(bills, it)
 		}
 	}
 	for _, part := range []struct {
-		items []*item
+		items []*queuedRecord
 		wait  time.Duration
-	}{{claims, r.opts.ClaimPeriod + claimWait + batchTimeout}, {bills, billWait}} {
+	}{{claims, r.opts.ClaimPeriod + maxClaimRateWait + batchTimeout}, {bills, billVerdictTimeout}} {
 		for len(part.items) > 0 {
-			n := min(len(part.items), batchMost)
+			n := min(len(part.items), maxBatchRecords)
 			if !r.sendBatch(l, home, part.items[:n], part.wait) {
-				l.restUntil = r.Now().Add(homeRest)
-				r.count.direct.Inc(1)
+				l.bypassHomeUntil = r.Now().Add(homeBypassTime)
+				r.metrics.batchesBypassingHome.Inc(1)
 				here = append(here, part.items...)
 				break
 			}
@@ -99,7 +99,7 @@
 }
 
 // sendBatch returns false when the home cannot be reached.
-func (r *Recorder) sendBatch(l *lane, home bbunit.InstanceID, items []*item, wait time.Duration) bool {
+func (r *Recorder) sendBatch(l *partitionQueue, home bbunit.InstanceID, items []*queuedRecord, wait time.Duration) bool {
 	if r.Bus == nil {
 		return false
 	}
@@ -107,79 +107,79 @@
 	for _, it := range items {
 		b.Records = append(b.Records, it.rec)
 	}
-	b.Id = r.tells.open(&tell{home: home, lane: l, items: items, until: r.Now().Add(wait)})
+	b.Id = r.sentBatches.add(&sentBatch{home: home, queue: l, records: items, deadline: r.Now().Add(wait)})
 	if r.Bus.Send(home, &bbwire.Envelope{Body: &bbwire.Envelope_Batch{Batch: b}}) == nil {
 		return true
 	}
-	_, waited := r.tells.take(b.Id)
+	_, waited := r.sentBatches.remove(b.Id)
 	return !waited
 }
 
-// recall has the items of homes that did not answer committed here.
-func (r *Recorder) recall(now time.Time) {
-	for _, w := range r.tells.overdue(now, func(p bbjournal.Partition) bbunit.InstanceID { return r.home(p).ID }) {
-		r.count.direct.Inc(1)
-		silent := now.After(w.until)
-		for _, it := range w.items {
-			it.direct = silent
-			w.lane.push(it)
+// reclaimExpired has the items of homes that did not answer committed here.
+func (r *Recorder) reclaimExpired(now time.Time) {
+	for _, w := range r.sentBatches.expire(now, func(p bbjournal.Partition) bbunit.InstanceID { return r.homeOf(p).ID }) {
+		r.metrics.batchesBypassingHome.Inc(1)
+		silent := now.After(w.deadline)
+		for _, it := range w.records {
+			it.bypassHome = silent
+			w.queue.push(it)
 		}
 	}
 }
 
-// takeTell takes the home's answer to a batch. A claim that was granted to an
+// handleBatchVerdicts takes the home's answer to a batch. A claim that was granted to an
 // attempt given up meanwhile is withdrawn.
-func (r *Recorder) takeTell(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
+func (r *Recorder) handleBatchVerdicts(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	a := e.GetBatchtell()
-	w, waited := r.tells.take(a.Id)
+	w, waited := r.sentBatches.remove(a.Id)
 	if w == nil {
 		return nil
 	}
-	if len(a.Verdicts) != len(w.items) {
-		a.Verdicts = make([]*bbwire.Verdict, len(w.items))
+	if len(a.Verdicts) != len(w.records) {
+		a.Verdicts = make([]*bbwire.Verdict, len(w.records))
 		for i := range a.Verdicts {
 			a.Verdicts[i] = retryVerdict
 		}
 	}
-	for i, it := range w.items {
+	for i, it := range w.records {
 		v := a.Verdicts[i]
-		if it.rec.Kind == bbwire.Record_CLAIM && v.Kind == bbwire.Verdict_TAKEN && r.dead.has(it.rec.Owner) {
-			r.retract(it.rec)
+		if it.rec.Kind == bbwire.Record_CLAIM && v.Kind == bbwire.Verdict_TAKEN && r.abandoned.has(it.rec.Owner) {
+			r.queueWithdrawal(it.rec)
 		}
-		if waited && !r.settle(it, v) {
-			it.at = r.Now().Add(recordBackoff)
-			w.lane.push(it)
+		if waited && !r.deliver(it, v) {
+			it.readyAt = r.Now().Add(recordRetryDelay)
+			w.queue.push(it)
 		}
 	}
 	return nil
 }
 
-// reply gathers the verdicts on another instance's batch.
-type reply struct {
-	to       bbunit.InstanceID
-	id       uint64
-	verdicts []*bbwire.Verdict
-	left     atomic.Int64
+// batchReply gathers the verdicts on another instance's batch.
+type batchReply struct {
+	to        bbunit.InstanceID
+	id        uint64
+	verdicts  []*bbwire.Verdict
+	remaining atomic.Int64
 }
 
-// takeBatch queues the records of another instance, which keeps them until it
+// handleBatch queues the records of another instance, which keeps them until it
 // has the verdicts. Above the bound of the queue it is told to come again.
-func (r *Recorder) takeBatch(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
+func (r *Recorder) handleBatch(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	b := e.GetBatch()
-	p := &reply{to: from, id: b.Id, verdicts: make([]*bbwire.Verdict, len(b.Records))}
-	p.left.Store(int64(len(b.Records)))
+	p := &batchReply{to: from, id: b.Id, verdicts: make([]*bbwire.Verdict, len(b.Records))}
+	p.remaining.Store(int64(len(b.Records)))
 	expires := r.Now().Add(r.opts.ClaimTimeout)
-	full := r.foreign.Add(int64(len(b.Records))) > int64(r.opts.Queue)
+	full := r.remoteQueued.Add(int64(len(b.Records))) > int64(r.opts.MaxUnacknowledgedBills)
 	for i, rec := range b.Records {
-		it := &item{rec: rec, done: func(v *bbwire.Verdict) { r.answer(p, i, v) }}
+		it := &queuedRecord{rec: rec, onVerdict: func(v *bbwire.Verdict) { r.addVerdict(p, i, v) }}
 		if rec.Kind == bbwire.Record_CLAIM {
-			it.dropped = func(now time.Time) bool { return now.After(expires) }
+			it.canceled = func(now time.Time) bool { return now.After(expires) }
 		}
 		switch {
 		case bbjournal.Check(rec) != nil:
-			it.done(&bbwire.Verdict{Kind: bbwire.Verdict_MISMATCH})
+			it.onVerdict(&bbwire.Verdict{Kind: bbwire.Verdict_MISMATCH})
 		case full:
-			it.done(retryVerdict)
+			it.onVerdict(retryVerdict)
 		default:
 			r.enqueue(it)
 		}
@@ -187,10 +187,10 @@
 	return nil
 }
 
-func (r *Recorder) answer(p *reply, i int, v *bbwire.Verdict) {
+func (r *Recorder) addVerdict(p *batchReply, i int, v *bbwire.Verdict) {
 	p.verdicts[i] = v
-	r.foreign.Add(-1)
-	if p.left.Add(-1) > 0 {
+	r.remoteQueued.Add(-1)
+	if p.remaining.Add(-1) > 0 {
 		return
 	}
 	tell := &bbwire.BatchTell{Id: p.id, Verdicts: p.verdicts}
--- a/bluebellport/src/recorder_bench_test.go
+++ b/bluebellport/src/recorder_bench_test.go
@@ -30,23 +30,23 @@
 				for b.Loop() {
 					o := testRecordOptions()
 					o.ClaimPeriod, o.BillPeriod = 50*time.Millisecond, 200*time.Millisecond
-					o.ClaimWrites, o.BillWrites = 20, 10
-					o.Takeover, o.Queue = time.Minute, 1<<20
+					o.ClaimWriteRate, o.BillWriteRate = 20, 10
+					o.TakeoverDelay, o.MaxUnacknowledgedBills = time.Minute, 1<<20
 					per := make([]int, c.domains)
 					for i := range per {
 						per[i] = c.instances
 					}
-					f := newRecordFleet(b, o, per...)
+					f := newRecorderFleet(b, o, per...)
 					n := int(span.Seconds() * float64(c.rate))
 					begun := time.Now()
-					f.play(n, span, claims)
+					f.runLoad(n, span, claims)
 					took := time.Since(begun)
-					counts := f.mem.Counts()
+					counts := f.store.Counts()
 					b.ReportMetric(float64(counts.Writes)*1000/float64(n), "writes/1000req")
 					b.ReportMetric(float64(counts.Reads)*1000/float64(n), "reads/1000req")
 					b.ReportMetric(float64(counts.Writes)/took.Seconds(), "writes/s")
 					for _, id := range f.order {
-						f.nodes[id].stop()
+						f.instances[id].stop()
 					}
 				}
 			})
@@ -54,18 +54,18 @@
 	}
 }
 
-// play spreads n requests evenly over the span and the instances and waits until
+// runLoad spreads n requests evenly over the span and the instances and waits until
 // all are billed.
-func (f *recordFleet) play(n int, span time.Duration, claims bool) {
+func (f *recorderFleet) runLoad(n int, span time.Duration, claims bool) {
 	begun := time.Now()
 	var wg sync.WaitGroup
 	for i := range n {
 		time.Sleep(time.Until(begun.Add(span * time.Duration(i) / time.Duration(n))))
-		node := f.nodes[f.order[i%len(f.order)]]
+		node := f.instances[f.order[i%len(f.order)]]
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r := node.rec(fmt.Sprint("r", i))
+			r := node.newRecord(fmt.Sprint("r", i))
 			if claims {
 				if _, err := node.Claim(context.Background(), r); err != nil {
 					f.t.Error(err)
@@ -79,7 +79,7 @@
 	}
 	wg.Wait()
 	for _, id := range f.order {
-		if err := f.nodes[id].Drain(context.Background()); err != nil {
+		if err := f.instances[id].Drain(context.Background()); err != nil {
 			f.t.Error(err)
 		}
 	}
@@ -87,9 +87,9 @@
 
 func BenchmarkBillQueued(b *testing.B) {
 	o := testRecordOptions()
-	o.BillPeriod, o.Queue = time.Hour, 1<<30
-	f := newRecordFleet(b, o, 1)
-	n := f.nodes["a1"]
+	o.BillPeriod, o.MaxUnacknowledgedBills = time.Hour, 1<<30
+	f := newRecorderFleet(b, o, 1)
+	n := f.instances["a1"]
 	r := &bbwire.Record{Account: "acc", Request: "r", Owner: "a1#1/1", Amount: 5}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
@@ -105,16 +105,16 @@
 		b.Run(fmt.Sprintf("forwarded=%t", away), func(b *testing.B) {
 			o := testRecordOptions()
 			o.ClaimPeriod = 50 * time.Millisecond
-			f := newRecordFleet(b, o, 2)
+			f := newRecorderFleet(b, o, 2)
 			i := 0
 			for b.Loop() {
 				i++
 				id := fmt.Sprint("r", i)
 				n := f.homeOf(id, "a")
 				if away {
-					n = f.awayFrom(n)
+					n = f.otherInDomain(n)
 				}
-				if _, err := n.Claim(context.Background(), n.rec(id)); err != nil {
+				if _, err := n.Claim(context.Background(), n.newRecord(id)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/bluebellport/src/recorder_fleet_test.go
+++ b/bluebellport/src/recorder_fleet_test.go
@@ -20,76 +20,76 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// recordFleet is a few recorders around one store, joined by a net that can be cut.
-type recordFleet struct {
-	t     testing.TB
-	mem   *bbstore.Mem
-	nodes map[bbunit.InstanceID]*recordNode
-	order []bbunit.InstanceID
+// recorderFleet is a few recorders around one store, joined by a net that can be cut.
+type recorderFleet struct {
+	t         testing.TB
+	store     *bbstore.Mem
+	instances map[bbunit.InstanceID]*recorderInstance
+	order     []bbunit.InstanceID
 
 	mu  sync.Mutex
 	ran map[string]int
 	seq uint64
 }
 
-type recordNode struct {
+type recorderInstance struct {
 	*Recorder
-	f     *recordFleet
+	fleet *recorderFleet
 	id    bbunit.InstanceID
 	stop  func()
-	store *heldStore
+	store *blockingStore
 	bus   *recordBus
 }
 
 func testRecordOptions() RecordOptions {
 	return RecordOptions{
 		Retention: time.Hour, ClaimPeriod: 5 * time.Millisecond, BillPeriod: 10 * time.Millisecond,
-		ClaimTimeout: 2 * time.Second, Takeover: 100 * time.Millisecond, Queue: 1000, ClaimWrites: 1000, BillWrites: 1000,
+		ClaimTimeout: 2 * time.Second, TakeoverDelay: 100 * time.Millisecond, MaxUnacknowledgedBills: 1000, ClaimWriteRate: 1000, BillWriteRate: 1000,
 	}
 }
 
-// newRecordFleet starts instances a1, a2, ... b1, ... with the given numbers in
+// newRecorderFleet starts instances a1, a2, ... b1, ... with the given numbers in
 // the failure domains a, b, ...
-func newRecordFleet(t testing.TB, o RecordOptions, domains ...int) *recordFleet {
-	f := &recordFleet{t: t, mem: bbstore.NewMem(), nodes: map[bbunit.InstanceID]*recordNode{}, ran: map[string]int{}}
+func newRecorderFleet(t testing.TB, o RecordOptions, domains ...int) *recorderFleet {
+	f := &recorderFleet{t: t, store: bbstore.NewMem(), instances: map[bbunit.InstanceID]*recorderInstance{}, ran: map[string]int{}}
 	for d, n := range domains {
 		for i := range n {
 			domain := string(rune('a' + d))
 			f.start(bbunit.InstanceID(fmt.Sprintf("%s%d", domain, i+1)), bbunit.DomainID(domain), o)
 		}
 	}
-	f.spread()
+	f.publishView()
 	t.Cleanup(func() {
 		for _, id := range f.order {
-			f.nodes[id].stop()
+			f.instances[id].stop()
 		}
 	})
 	return f
 }
 
-func (f *recordFleet) start(id bbunit.InstanceID, d bbunit.DomainID, o RecordOptions) {
+func (f *recorderFleet) start(id bbunit.InstanceID, d bbunit.DomainID, o RecordOptions) {
 	f.seq++
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	n := &recordNode{f: f, id: id, store: &heldStore{Store: f.mem}}
+	n := &recorderInstance{fleet: f, id: id, store: &blockingStore{Store: f.store}}
 	n.bus = newRecordBus(f, id)
 	self := bbmember.Member{ID: id, Inc: bbunit.Incarnation(f.seq), Domain: d}
-	n.Recorder, n.stop = NewRecorder(Parts{
+	n.Recorder, n.stop = NewRecorder(Deps{
 		Board: NewBoard(self), Store: n.store, Bus: n.bus, Log: log, Metrics: metrics.NewRegistry(),
 		Opts: &Options{Record: o}, Now: time.Now,
 	})
 	stop := n.stop
 	n.stop = sync.OnceFunc(func() {
-		n.store.release()
+		n.store.unblock()
 		stop()
 		n.bus.close()
 	})
-	f.nodes[id] = n
+	f.instances[id] = n
 	f.order = append(f.order, id)
 }
 
-// spread gives all instances the same view, without those missing.
-func (f *recordFleet) spread(missing ...bbunit.InstanceID) {
+// publishView gives all instances the same view, without those missing.
+func (f *recorderFleet) publishView(missing ...bbunit.InstanceID) {
 	var live []bbmember.Member
 	for _, id := range f.order {
 		gone := false
@@ -97,46 +97,46 @@
 			gone = gone || m == id
 		}
 		if !gone {
-			live = append(live, f.nodes[id].self)
+			live = append(live, f.instances[id].self)
 		}
 	}
 	for _, id := range f.order {
-		n := f.nodes[id]
+		n := f.instances[id]
 		n.Board.View.Store(&bbmember.View{Self: n.self, Members: live})
 	}
 }
 
 // kill ends an instance at once: it writes and sends nothing more.
-func (f *recordFleet) kill(id bbunit.InstanceID) {
-	n := f.nodes[id]
-	n.bus.cut(true)
+func (f *recorderFleet) kill(id bbunit.InstanceID) {
+	n := f.instances[id]
+	n.bus.setDisconnected(true)
 	n.store.kill()
 	n.stop()
-	f.spread(id)
+	f.publishView(id)
 }
 
 // request is one copy of a non-idempotent request at an instance; it returns
 // what the caller is told.
-func (n *recordNode) request(id string, amount int64) error {
-	r := n.rec(id)
+func (n *recorderInstance) request(id string, amount int64) error {
+	r := n.newRecord(id)
 	if _, err := n.Claim(context.Background(), r); err != nil {
 		return err
 	}
-	n.f.mu.Lock()
-	n.f.ran[id]++
-	n.f.mu.Unlock()
+	n.fleet.mu.Lock()
+	n.fleet.ran[id]++
+	n.fleet.mu.Unlock()
 	r.Amount = amount
 	n.Bill(r)
 	return nil
 }
 
-func (n *recordNode) rec(id string) *bbwire.Record {
+func (n *recorderInstance) newRecord(id string) *bbwire.Record {
 	return &bbwire.Record{Account: "acc", Request: id, Print: 7, Service: "svc", Budget: "bud"}
 }
 
-// standing returns all records in the store by request id.
-func (f *recordFleet) standing() map[string][]*bbwire.Record {
-	entries, _, err := f.mem.List(context.Background(), bbjournal.Prefix)
+// storedRecords returns all records in the store by request id.
+func (f *recorderFleet) storedRecords() map[string][]*bbwire.Record {
+	entries, _, err := f.store.List(context.Background(), bbjournal.Prefix)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -153,12 +153,12 @@
 	return out
 }
 
-// eventually waits until the request has exactly one record of that kind.
-func (f *recordFleet) eventually(id string, kind bbwire.Record_Kind) *bbwire.Record {
+// waitForRecord waits until the request has exactly one record of that kind.
+func (f *recorderFleet) waitForRecord(id string, kind bbwire.Record_Kind) *bbwire.Record {
 	f.t.Helper()
 	var last []*bbwire.Record
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if last = f.standing()[id]; len(last) == 1 && last[0].Kind == kind {
+		if last = f.storedRecords()[id]; len(last) == 1 && last[0].Kind == kind {
 			return last[0]
 		}
 	}
@@ -167,59 +167,59 @@
 }
 
 // homeOf returns the instance of the failure domain that commits for the request.
-func (f *recordFleet) homeOf(id string, d bbunit.DomainID) *recordNode {
+func (f *recorderFleet) homeOf(id string, d bbunit.DomainID) *recorderInstance {
 	p := bbjournal.PartitionOf("acc", id)
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		if m, ok := n.Board.View.Load().Home(p.HomeKey(), d); ok {
-			return f.nodes[m.ID]
+			return f.instances[m.ID]
 		}
 	}
 	return nil
 }
 
-// awayFrom returns an instance of the home's failure domain that is not it.
-func (f *recordFleet) awayFrom(home *recordNode) *recordNode {
+// otherInDomain returns an instance of the home's failure domain that is not it.
+func (f *recorderFleet) otherInDomain(home *recorderInstance) *recorderInstance {
 	for _, id := range f.order {
-		if n := f.nodes[id]; n.self.Domain == home.self.Domain && n != home {
+		if n := f.instances[id]; n.self.Domain == home.self.Domain && n != home {
 			return n
 		}
 	}
 	return nil
 }
 
-// heldStore can hold an instance's writes back, as a pause would, or refuse all.
-type heldStore struct {
+// blockingStore can hold an instance's writes back, as a pause would, or refuse all.
+type blockingStore struct {
 	bbstore.Store
-	mu   sync.Mutex
-	gate chan struct{}
-	dead bool
+	mu        sync.Mutex
+	unblocked chan struct{}
+	dead      bool
 }
 
-func (s *heldStore) hold() {
+func (s *blockingStore) block() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gate = make(chan struct{})
+	s.unblocked = make(chan struct{})
 }
 
-func (s *heldStore) release() {
+func (s *blockingStore) unblock() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gate != nil {
-		close(s.gate)
-		s.gate = nil
+	if s.unblocked != nil {
+		close(s.unblocked)
+		s.unblocked = nil
 	}
 }
 
-func (s *heldStore) kill() {
+func (s *blockingStore) kill() {
 	s.mu.Lock()
 	s.dead = true
 	s.mu.Unlock()
-	s.release()
+	s.unblock()
 }
 
-func (s *heldStore) CAS(ctx context.Context, key string, value []byte, prev bbstore.Revision, lease bbstore.LeaseID) (bbstore.Revision, error) {
+func (s *blockingStore) CAS(ctx context.Context, key string, value []byte, prev bbstore.Revision, lease bbstore.LeaseID) (bbstore.Revision, error) {
 	s.mu.Lock()
-	gate, dead := s.gate, s.dead
+	gate, dead := s.unblocked, s.dead
 	s.mu.Unlock()
 	if dead {
 		return 0, bbstore.ErrDown
@@ -253,20 +253,20 @@
 
 // recordBus delivers envelopes within a fleet, in order for each receiver.
 type recordBus struct {
-	f    *recordFleet
-	id   bbunit.InstanceID
-	mu   sync.Mutex
-	fns  map[reflect.Type]func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope
-	off  bool
-	drop func(e *bbwire.Envelope) bool // messages to this instance that get lost
-	gate chan struct{}                 // messages to this instance wait for it
-	in   chan func()
-	done chan struct{}
+	fleet        *recorderFleet
+	id           bbunit.InstanceID
+	mu           sync.Mutex
+	handlers     map[reflect.Type]func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope
+	disconnected bool
+	shouldDrop   func(e *bbwire.Envelope) bool // messages to this instance that get lost
+	unblocked    chan struct{}                 // messages to this instance wait for it
+	in           chan func()
+	done         chan struct{}
 }
 
-func newRecordBus(f *recordFleet, id bbunit.InstanceID) *recordBus {
+func newRecordBus(f *recorderFleet, id bbunit.InstanceID) *recordBus {
 	b := &recordBus{
-		f: f, id: id, fns: map[reflect.Type]func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope{},
+		fleet: f, id: id, handlers: map[reflect.Type]func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope{},
 		in: make(chan func(), 10000), done: make(chan struct{}),
 	}
 	go func() {
@@ -274,7 +274,7 @@
 			select {
 			case fn := <-b.in:
 				b.mu.Lock()
-				gate := b.gate
+				gate := b.unblocked
 				b.mu.Unlock()
 				if gate != nil {
 					<-gate
@@ -290,55 +290,55 @@
 
 func (b *recordBus) close() { close(b.done) }
 
-func (b *recordBus) cut(off bool) {
+func (b *recordBus) setDisconnected(off bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.off = off
+	b.disconnected = off
 }
 
-func (b *recordBus) isOff() bool {
+func (b *recordBus) isDisconnected() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.off
+	return b.disconnected
 }
 
-// hold keeps the messages to this instance back until release.
-func (b *recordBus) hold() (release func()) {
+// block keeps the messages to this instance back until release.
+func (b *recordBus) block() (release func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	gate := make(chan struct{})
-	b.gate = gate
+	b.unblocked = gate
 	return func() {
 		b.mu.Lock()
-		b.gate = nil
+		b.unblocked = nil
 		b.mu.Unlock()
 		close(gate)
 	}
 }
 
-func (b *recordBus) lose(drop func(e *bbwire.Envelope) bool) {
+func (b *recordBus) dropIf(drop func(e *bbwire.Envelope) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.drop = drop
+	b.shouldDrop = drop
 }
 
 func (b *recordBus) Handle(sample *bbwire.Envelope, fn func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fns[reflect.TypeOf(sample.Body)] = fn
+	b.handlers[reflect.TypeOf(sample.Body)] = fn
 }
 
 func (b *recordBus) deliver(to bbunit.InstanceID, e *bbwire.Envelope, then func(*bbwire.Envelope)) error {
-	n := b.f.nodes[to]
-	if n == nil || b.isOff() || n.bus.isOff() {
-		return ErrPeer
+	n := b.fleet.instances[to]
+	if n == nil || b.isDisconnected() || n.bus.isDisconnected() {
+		return ErrPeerUnreachable
 	}
 	c := proto.Clone(e).(*bbwire.Envelope)
 	n.bus.in <- func() {
 		n.bus.mu.Lock()
-		fn, drop := n.bus.fns[reflect.TypeOf(c.Body)], n.bus.drop
+		fn, drop := n.bus.handlers[reflect.TypeOf(c.Body)], n.bus.shouldDrop
 		n.bus.mu.Unlock()
-		if n.bus.isOff() || drop != nil && drop(c) {
+		if n.bus.isDisconnected() || drop != nil && drop(c) {
 			return
 		}
 		if a := fn(b.id, c); then != nil && a != nil {
@@ -361,6 +361,6 @@
 	case a := <-got:
 		return a, nil
 	case <-ctx.Done():
-		return nil, ErrPeer
+		return nil, ErrPeerUnreachable
 	}
 }
--- a/bluebellport/src/refusal.go
+++ b/bluebellport/src/refusal.go
@@ -12,33 +12,33 @@
 
 // Sentinel errors of the path of a request.
 const (
-	errKey       = errors.ConstError("unknown API key")
-	errForbidden = errors.ConstError("service not allowed for this account")
-	errService   = errors.ConstError("unknown service")
-	errRequest   = errors.ConstError("invalid request")
-	errBody      = errors.ConstError("request body too large")
-	errDeadline  = errors.ConstError("deadline exceeded")
-	errDraining  = errors.ConstError("instance is stopping")
-	errNotReady  = errors.ConstError("instance has no state yet")
-	errFull      = errors.ConstError("too many bills wait for the key-value service")
-	errTarget    = errors.ConstError("target failed")
-	errCut       = errors.ConstError("connection to the target broke")
-	errSilent    = errors.ConstError("no answer seen from the target")
+	errUnknownKey       = errors.ConstError("unknown API key")
+	errForbidden        = errors.ConstError("service not allowed for this account")
+	errUnknownService   = errors.ConstError("unknown service")
+	errInvalidRequest   = errors.ConstError("invalid request")
+	errBodyTooLarge     = errors.ConstError("request body too large")
+	errDeadlineExceeded = errors.ConstError("deadline exceeded")
+	errDraining         = errors.ConstError("instance is stopping")
+	errNotReady         = errors.ConstError("instance has no state yet")
+	errRecordBacklog    = errors.ConstError("too many bills wait for the key-value service")
+	errTargetFailed     = errors.ConstError("target failed")
+	errConnBroken       = errors.ConstError("connection to the target broke")
+	errTargetSilent     = errors.ConstError("no answer seen from the target")
 )
 
-// refusal is a truthful end of a request that brings no answer: RFC 9457
+// refusalResponse is a truthful end of a request that brings no answer: RFC 9457
 // problem details with the outcome.
-type refusal struct {
+type refusalResponse struct {
 	Status  int
 	Title   string
 	Detail  string
 	Outcome bbunit.Outcome
-	// Retry is when coming back can help; 0 when it cannot.
-	Retry time.Duration
+	// RetryAfter is when coming back can help; 0 when it cannot.
+	RetryAfter time.Duration
 }
 
-// problem is the JSON form of a refusal.
-type problem struct {
+// problemDetails is the JSON form of a refusal.
+type problemDetails struct {
 	Type    string         `json:"type"`
 	Title   string         `json:"title"`
 	Status  int            `json:"status"`
@@ -58,32 +58,32 @@
 
 // Types of errors that client libraries tell apart.
 const (
-	typeRequest = "invalid_request_error"
-	typeServer  = "server_error"
+	errorTypeRequest = "invalid_request_error"
+	errorTypeServer  = "server_error"
 )
 
-// error returns the refusal as client libraries read it.
-func (r refusal) error() problemError {
-	e := problemError{Message: r.Title, Type: typeRequest, Code: r.Outcome}
+// clientError returns the refusal as client libraries read it.
+func (r refusalResponse) clientError() problemError {
+	e := problemError{Message: r.Title, Type: errorTypeRequest, Code: r.Outcome}
 	if r.Detail != "" {
 		e.Message = r.Detail
 	}
 	if r.Status >= http.StatusInternalServerError {
-		e.Type = typeServer
+		e.Type = errorTypeServer
 	}
 	return e
 }
 
 // body returns the problem details for the request id.
-func (r refusal) body(id bbunit.RequestID) []byte {
-	b, err := json.Marshal(problem{
+func (r refusalResponse) body(id bbunit.RequestID) []byte {
+	b, err := json.Marshal(problemDetails{
 		Type:    "about:blank",
 		Title:   r.Title,
 		Status:  r.Status,
 		Detail:  r.Detail,
 		Outcome: r.Outcome,
 		Request: string(id),
-		Error:   r.error(),
+		Error:   r.clientError(),
 	})
 	if err != nil {
 		return []byte(`{"type":"about:blank","title":"internal error","status":500,"outcome":"unknown"}`)
@@ -91,30 +91,30 @@
 	return b
 }
 
-// statuses maps sentinel errors to the status and to whether coming back helps.
-var statuses = []struct {
+// errorStatuses maps sentinel errors to the status and to whether coming back helps.
+var errorStatuses = []struct {
 	err    error
 	status int
 	retry  bool
 }{
-	{errKey, http.StatusUnauthorized, false},
-	{ErrBudget, http.StatusPaymentRequired, false},
-	{ErrShare, http.StatusPaymentRequired, true},
+	{errUnknownKey, http.StatusUnauthorized, false},
+	{ErrBudgetExhausted, http.StatusPaymentRequired, false},
+	{ErrShareUnavailable, http.StatusPaymentRequired, true},
 	{errForbidden, http.StatusForbidden, false},
-	{errService, http.StatusNotFound, false},
-	{errRequest, http.StatusBadRequest, false},
-	{errBody, http.StatusRequestEntityTooLarge, false},
-	{ErrReused, http.StatusConflict, false},
-	{ErrClaimed, http.StatusConflict, true},
-	{ErrStale, http.StatusConflict, false},
-	{ErrNoClaim, http.StatusServiceUnavailable, true},
-	{errDeadline, http.StatusGatewayTimeout, false},
+	{errUnknownService, http.StatusNotFound, false},
+	{errInvalidRequest, http.StatusBadRequest, false},
+	{errBodyTooLarge, http.StatusRequestEntityTooLarge, false},
+	{ErrRequestIDReused, http.StatusConflict, false},
+	{ErrAlreadyClaimed, http.StatusConflict, true},
+	{ErrRequestIDExpired, http.StatusConflict, false},
+	{ErrClaimNotWritten, http.StatusServiceUnavailable, true},
+	{errDeadlineExceeded, http.StatusGatewayTimeout, false},
 	{errDraining, http.StatusServiceUnavailable, true},
 	{errNotReady, http.StatusServiceUnavailable, true},
-	{errFull, http.StatusServiceUnavailable, true},
-	{errSilent, http.StatusBadGateway, false},
-	{errTarget, http.StatusBadGateway, true},
-	{errCut, http.StatusBadGateway, true},
+	{errRecordBacklog, http.StatusServiceUnavailable, true},
+	{errTargetSilent, http.StatusBadGateway, false},
+	{errTargetFailed, http.StatusBadGateway, true},
+	{errConnBroken, http.StatusBadGateway, true},
 	{ErrLimit, http.StatusTooManyRequests, true},
 	{ErrOverload, http.StatusServiceUnavailable, true},
 	{ErrNoTarget, http.StatusServiceUnavailable, true},
@@ -123,30 +123,30 @@
 	{errNotSent, http.StatusServiceUnavailable, true},
 	{ErrDeadline, http.StatusGatewayTimeout, false},
 	{ErrPoisoned, http.StatusBadGateway, false},
-	{ErrLeft, http.StatusGatewayTimeout, false},
+	{ErrCallersLeft, http.StatusGatewayTimeout, false},
 }
 
-// refuse turns an error into what the caller is told.
-func refuse(err error, o bbunit.Outcome) refusal {
-	r := refusal{Status: http.StatusInternalServerError, Title: "internal error", Detail: err.Error(), Outcome: o}
-	for _, s := range statuses {
+// newRefusalResponse turns an error into what the caller is told.
+func newRefusalResponse(err error, o bbunit.Outcome) refusalResponse {
+	r := refusalResponse{Status: http.StatusInternalServerError, Title: "internal error", Detail: err.Error(), Outcome: o}
+	for _, s := range errorStatuses {
 		if !errors.Is(err, s.err) {
 			continue
 		}
 		r.Status, r.Title = s.status, s.err.Error()
 		if s.retry {
-			r.Retry = retryAfter
+			r.RetryAfter = defaultRetryAfter
 		}
 		break
 	}
 	var told *Refusal
 	if errors.As(err, &told) && told.RetryAfter > 0 {
-		r.Retry = told.RetryAfter
+		r.RetryAfter = told.RetryAfter
 	}
 	return r
 }
 
-// retrySeconds is the value of Retry-After: whole seconds, rounded up.
-func retrySeconds(d time.Duration) int64 {
+// retryAfterSeconds is the value of Retry-After: whole seconds, rounded up.
+func retryAfterSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/bluebellport/src/rumor_test.go
+++ b/bluebellport/src/router_gossip_test.go
@@ -17,19 +17,19 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// rumorNet hands gossip from router to router and counts it.
-type rumorNet struct {
+// gossipNet hands gossip from router to router and counts it.
+type gossipNet struct {
 	mu      sync.Mutex
 	routers map[bbunit.InstanceID]*Router
 	sent    map[bbunit.InstanceID]int
 }
 
-type rumorBus struct {
-	net  *rumorNet
+type gossipBus struct {
+	net  *gossipNet
 	from bbunit.InstanceID
 }
 
-func (b rumorBus) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
+func (b gossipBus) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
 	b.net.mu.Lock()
 	b.net.sent[b.from]++
 	r := b.net.routers[to]
@@ -40,19 +40,19 @@
 	return nil
 }
 
-func (b rumorBus) Call(context.Context, bbunit.InstanceID, *bbwire.Envelope) (*bbwire.Envelope, error) {
-	return nil, ErrPeer
+func (b gossipBus) Call(context.Context, bbunit.InstanceID, *bbwire.Envelope) (*bbwire.Envelope, error) {
+	return nil, ErrPeerUnreachable
 }
 
-func (b rumorBus) Handle(*bbwire.Envelope, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {
+func (b gossipBus) Handle(*bbwire.Envelope, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {
 }
 
-// TestAlarmReachesAllAtOnce: a crash seen by one instance is known to all
+// TestPoisonBroadcastReachesEveryInstance: a crash seen by one instance is known to all
 // without a round of gossip, in messages that grow with the failure domains and
 // the instances of one.
-func TestAlarmReachesAllAtOnce(t *testing.T) {
+func TestPoisonBroadcastReachesEveryInstance(t *testing.T) {
 	is := is.New(t)
-	net := &rumorNet{routers: map[bbunit.InstanceID]*Router{}, sent: map[bbunit.InstanceID]int{}}
+	net := &gossipNet{routers: map[bbunit.InstanceID]*Router{}, sent: map[bbunit.InstanceID]int{}}
 	var members []bbmember.Member
 	for _, id := range []string{"a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2", "c3"} {
 		members = append(members, bbmember.Member{ID: bbunit.InstanceID(id), Inc: 1, Domain: bbunit.DomainID(id[:1])})
@@ -62,20 +62,20 @@
 	for _, m := range members {
 		o := &Options{}
 		parseOptions(t, o, "--instance", string(m.ID), "--domain", string(m.Domain), "--store", "127.0.0.1:1")
-		p := Parts{Board: NewBoard(m), Store: bbstore.NewMem(), Bus: rumorBus{net, m.ID}, Log: log, Metrics: metrics.NewRegistry(), Opts: o, Now: time.Now}
+		p := Deps{Board: NewBoard(m), Store: bbstore.NewMem(), Bus: gossipBus{net, m.ID}, Log: log, Metrics: metrics.NewRegistry(), Opts: o, Now: time.Now}
 		p.Board.View.Store(&bbmember.View{Self: m, Members: members})
 		r, stop := NewRouter(p)
 		t.Cleanup(stop)
 		net.routers[m.ID] = r
 	}
 	first := net.routers["a2"]
-	is.True(first.poison.crashed(42, "t1", time.Now()))
-	first.alarm([]uint64{42}, true)
-	is.True(first.poison.crashed(42, "t2", time.Now()))
-	first.alarm([]uint64{42}, true)
+	is.True(first.poison.recordCrash(42, "t1", time.Now()))
+	first.broadcastPoisons([]uint64{42}, true)
+	is.True(first.poison.recordCrash(42, "t2", time.Now()))
+	first.broadcastPoisons([]uint64{42}, true)
 	for id, r := range net.routers {
-		is.True(r.poison.poisoned(42)) // known everywhere
+		is.True(r.poison.isPoisoned(42)) // known everywhere
 		is.True(net.sent[id] <= 2*(2+2))
 	}
-	first.alarm(nil, true)
+	first.broadcastPoisons(nil, true)
 }
--- a/bluebellport/src/router_test.go
+++ b/bluebellport/src/router_test.go
@@ -19,23 +19,23 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// routerRig is a router over a state that the test sets.
-type routerRig struct {
-	r   *Router
-	p   Parts
-	now time.Time
+// testRouter is a router over a state that the test sets.
+type testRouter struct {
+	router *Router
+	deps   Deps
+	now    time.Time
 }
 
-func quietLog() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// newRouterRig returns a router in failure domain d1 with default settings.
-func newRouterRig(t testing.TB, targets ...bbticket.Target) *routerRig {
+// newTestRouter returns a router in failure domain d1 with default settings.
+func newTestRouter(t testing.TB, targets ...bbticket.Target) *testRouter {
 	t.Helper()
-	rig := &routerRig{now: time.Unix(1000, 0)}
+	rig := &testRouter{now: time.Unix(1000, 0)}
 	opts := &Options{}
 	app := kingpin.New("test", "")
 	opts.Route.flags(app.Command("serve", ""))
@@ -43,20 +43,20 @@
 		t.Fatal(err)
 	}
 	opts.Self = SelfOptions{Instance: "i1", Domain: "d1"}
-	rig.p = Parts{
+	rig.deps = Deps{
 		Board:   NewBoard(bbmember.Member{ID: "i1", Domain: "d1"}),
-		Log:     quietLog(),
+		Log:     discardLogger(),
 		Metrics: metrics.NewRegistry(),
 		Opts:    opts,
 		Now:     func() time.Time { return rig.now },
 	}
-	rig.declare(1, targets...)
-	rig.r = newRouter(rig.p, proberFunc(func(bbticket.Target) (*bbwire.Load, error) { return nil, errors.New("no load") }))
+	rig.setTargets(1, targets...)
+	rig.router = newRouter(rig.deps, proberFunc(func(bbticket.Target) (*bbwire.Load, error) { return nil, errors.New("no load") }))
 	return rig
 }
 
-// declare puts service s1 with the targets in force.
-func (rig *routerRig) declare(n bbunit.TicketNumber, targets ...bbticket.Target) {
+// setTargets puts service s1 with the targets in force.
+func (rig *testRouter) setTargets(n bbunit.TicketNumber, targets ...bbticket.Target) {
 	s := &bbticket.State{
 		Number:   n,
 		Services: map[bbunit.ServiceID]bbticket.Numbered[bbticket.Service]{"s1": {Number: n, Object: bbticket.Service{ID: "s1"}}},
@@ -72,14 +72,14 @@
 		t.Service = "s1"
 		s.Targets[t.ID] = bbticket.Numbered[bbticket.Target]{Number: n, Object: t}
 	}
-	rig.p.Board.State.Store(s)
+	rig.deps.Board.State.Store(s)
 }
 
-// pick picks n times with all attempts left open, and counts the targets.
-func (rig *routerRig) pick(n int) map[bbunit.TargetID]int {
+// pickN picks n times with all attempts left open, and counts the targets.
+func (rig *testRouter) pickN(n int) map[bbunit.TargetID]int {
 	got := map[bbunit.TargetID]int{}
 	for range n {
-		if a, err := rig.r.Pick(Ask{Service: "s1"}, nil); err == nil {
+		if a, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil); err == nil {
 			got[a.Target.ID]++
 		}
 	}
@@ -88,8 +88,8 @@
 
 func TestPickSpreadsByOwnWork(t *testing.T) {
 	is := is.New(t)
-	rig := newRouterRig(t, bbticket.Target{ID: "a", Domain: "d1", Slots: 8}, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
-	got := rig.pick(10)
+	rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1", Slots: 8}, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
+	got := rig.pickN(10)
 	is.Equal(got["a"], 5)
 	is.Equal(got["b"], 5)
 }
@@ -99,25 +99,25 @@
 	for _, c := range []struct {
 		name  string
 		decl  bbticket.Target
-		ends  []AttemptEnd // of attempts at a
+		ends  []AttemptResult // of attempts at a
 		tried []bbunit.TargetID
 	}{
 		{name: "a leaving target", decl: bbticket.Target{Leaving: true}},
-		{name: "a target that refused as leaving", ends: []AttemptEnd{{Err: ErrLeaving}}},
-		{name: "an open circuit", ends: []AttemptEnd{{Err: boom}, {Err: boom}, {Err: boom}}},
+		{name: "a target that refused as leaving", ends: []AttemptResult{{Err: ErrLeaving}}},
+		{name: "an open circuit", ends: []AttemptResult{{Err: boom}, {Err: boom}, {Err: boom}}},
 		{name: "a tried target", tried: []bbunit.TargetID{"a"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			c.decl.ID, c.decl.Domain, c.decl.Slots = "a", "d1", 8
-			rig := newRouterRig(t, c.decl, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
+			rig := newTestRouter(t, c.decl, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
 			for _, end := range c.ends {
-				a, err := rig.r.Pick(Ask{Service: "s1"}, []bbunit.TargetID{"b"})
+				a, err := rig.router.Pick(RouteRequest{Service: "s1"}, []bbunit.TargetID{"b"})
 				is.NoErr(err)
 				a.Done(end)
 			}
 			for range 20 {
-				a, err := rig.r.Pick(Ask{Service: "s1"}, c.tried)
+				a, err := rig.router.Pick(RouteRequest{Service: "s1"}, c.tried)
 				is.NoErr(err)
 				is.Equal(a.Target.ID, bbunit.TargetID("b"))
 			}
@@ -127,52 +127,52 @@
 
 func TestPickHasNoTarget(t *testing.T) {
 	is := is.New(t)
-	rig := newRouterRig(t)
-	_, err := rig.r.Pick(Ask{Service: "s1"}, nil)
+	rig := newTestRouter(t)
+	_, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil)
 	is.True(errors.Is(err, ErrNoTarget))
-	_, err = rig.r.Pick(Ask{Service: "none"}, nil)
+	_, err = rig.router.Pick(RouteRequest{Service: "none"}, nil)
 	is.True(errors.Is(err, ErrNoTarget))
-	_, err = rig.r.Admit(Ask{Service: "none"})
+	_, err = rig.router.Admit(RouteRequest{Service: "none"})
 	var refusal *Refusal
 	is.True(errors.As(err, &refusal))
 }
 
 func TestDoneCountsOnce(t *testing.T) {
 	is := is.New(t)
-	rig := newRouterRig(t, bbticket.Target{ID: "a", Domain: "d1"})
-	a, err := rig.r.Pick(Ask{Service: "s1"}, nil)
+	rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
+	a, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil)
 	is.NoErr(err)
-	known, ok := rig.r.current().TargetState("a")
+	known, ok := rig.router.currentTable().TargetState("a")
 	is.True(ok)
 	is.Equal(known.InFlight(), 1)
-	a.Done(AttemptEnd{})
-	a.Done(AttemptEnd{})
+	a.Done(AttemptResult{})
+	a.Done(AttemptResult{})
 	is.Equal(known.InFlight(), 0)
 }
 
 func TestOpenCircuitLetsOneProbeThrough(t *testing.T) {
 	is := is.New(t)
-	rig := newRouterRig(t, bbticket.Target{ID: "a", Domain: "d1"})
+	rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
 	for range 3 {
-		a, err := rig.r.Pick(Ask{Service: "s1"}, nil)
+		a, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil)
 		is.NoErr(err)
-		a.Done(AttemptEnd{Err: errors.New("boom")})
+		a.Done(AttemptResult{Err: errors.New("boom")})
 	}
-	is.Equal(rig.pick(3)["a"], 0)
-	rig.now = rig.now.Add(rig.p.Opts.Route.CircuitOpen)
-	is.Equal(rig.pick(3)["a"], 1) // a single probe
+	is.Equal(rig.pickN(3)["a"], 0)
+	rig.now = rig.now.Add(rig.deps.Opts.Route.InitialCircuitOpen)
+	is.Equal(rig.pickN(3)["a"], 1) // a single probe
 }
 
 func TestNewTicketEndsAnOlderLeavingWord(t *testing.T) {
 	is := is.New(t)
 	a := bbticket.Target{ID: "a", Domain: "d1"}
-	rig := newRouterRig(t, a)
-	at, err := rig.r.Pick(Ask{Service: "s1"}, nil)
+	rig := newTestRouter(t, a)
+	at, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil)
 	is.NoErr(err)
-	at.Done(AttemptEnd{Err: ErrLeaving})
-	is.Equal(rig.pick(1)["a"], 0)
-	rig.declare(2, a)
-	is.Equal(rig.pick(1)["a"], 1)
+	at.Done(AttemptResult{Err: ErrLeaving})
+	is.Equal(rig.pickN(1)["a"], 0)
+	rig.setTargets(2, a)
+	is.Equal(rig.pickN(1)["a"], 1)
 }
 
 // TestFirstRequestsFindTheirService lets many requests come at once just after
@@ -180,12 +180,12 @@
 func TestFirstRequestsFindTheirService(t *testing.T) {
 	is := is.New(t)
 	for range 50 {
-		rig := newRouterRig(t, bbticket.Target{ID: "a", Domain: "d1"})
+		rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
 		var wg conc.WaitGroup
 		var refused atomic.Int64
 		for range 8 {
 			wg.Go(func() {
-				if _, err := rig.r.Pick(Ask{Service: "s1"}, nil); err != nil {
+				if _, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil); err != nil {
 					refused.Add(1)
 				}
 			})
--- a/bluebellport/src/session.go
+++ b/bluebellport/src/session.go
@@ -20,38 +20,38 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// envelopeStream is the kind of the stream that carries envelopes.
-const envelopeStream = "envelope"
+// envelopeStreamKind is the kind of the stream that carries envelopes.
+const envelopeStreamKind = "envelope"
 
 const (
-	errHello   = errors.ConstError("bad hello")
-	errFraming = errors.ConstError("framing lost")
-	errKind    = errors.ConstError("unknown kind of stream")
+	errBadHello          = errors.ConstError("bad hello")
+	errFramingLost       = errors.ConstError("framing lost")
+	errUnknownStreamKind = errors.ConstError("unknown kind of stream")
 )
 
 // session is one connection to a peer: a yamux session with one long-lived
 // envelope stream each way, and short streams of other kinds.
 type session struct {
-	hello  *bbwire.Hello // what the peer said of itself
-	mux    *yamux.Session
-	dialed bool
-	made   time.Time
+	hello     *bbwire.Hello // what the peer said of itself
+	mux       *yamux.Session
+	dialed    bool
+	createdAt time.Time
 
 	mu  sync.Mutex // guards writes to out
 	out *yamux.Stream
 	in  *yamux.Stream
 
-	doubt atomic.Bool  // a probe is under way
-	used  atomic.Int64 // last traffic, in ns since the epoch
-	heard atomic.Bool  // something came in since the flag was last cleared
+	suspect    atomic.Bool  // a probe is under way
+	lastUsedAt atomic.Int64 // last traffic, in ns since the epoch
+	received   atomic.Bool  // something came in since the flag was last cleared
 }
 
 // muxConfig returns the settings of a yamux session.
 func muxConfig(log io.Writer) *yamux.Config {
 	cfg := yamux.DefaultConfig()
-	cfg.KeepAliveInterval = keepAlive
+	cfg.KeepAliveInterval = keepAliveInterval
 	cfg.ConnectionWriteTimeout = keepAliveTimeout
-	cfg.StreamOpenTimeout = keepAliveTimeout + keepAlive
+	cfg.StreamOpenTimeout = keepAliveTimeout + keepAliveInterval
 	cfg.LogOutput = log
 	return cfg
 }
@@ -64,9 +64,9 @@
 		_ = conn.Close()
 		return nil, errors.Trace(err)
 	}
-	s := &session{mux: mux, dialed: dialed, made: time.Now()}
+	s := &session{mux: mux, dialed: dialed, createdAt: time.Now()}
 	s.touch()
-	if err := s.greet(ctx, self); err != nil {
+	if err := s.exchangeHello(ctx, self); err != nil {
 		_ = mux.Close()
 		return nil, err
 	}
@@ -80,12 +80,12 @@
 	return yamux.Server(conn, muxConfig(log))
 }
 
-// greet opens the outgoing envelope stream with this instance's Hello and
+// exchangeHello opens the outgoing envelope stream with this instance's Hello and
 // accepts the peer's.
-func (s *session) greet(ctx context.Context, self *bbwire.Hello) error {
+func (s *session) exchangeHello(ctx context.Context, self *bbwire.Hello) error {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	out, err := openKind(s.mux, envelopeStream)
+	out, err := openStream(s.mux, envelopeStreamKind)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -99,9 +99,9 @@
 	}
 	s.in = in
 	_ = in.SetReadDeadline(time.Now().Add(dialTimeout))
-	kind, err := readKind(in)
-	if err != nil || kind != envelopeStream {
-		return errors.Annotatef(errHello, "first stream is %q", kind)
+	kind, err := readStreamKind(in)
+	if err != nil || kind != envelopeStreamKind {
+		return errors.Annotatef(errBadHello, "first stream is %q", kind)
 	}
 	return s.readHello(in)
 }
@@ -119,8 +119,8 @@
 
 func (s *session) readHello(in *yamux.Stream) error {
 	e := &bbwire.Envelope{}
-	if err := envelopeReader().UnmarshalFrom(byteReader{in}, e); err != nil {
-		return errors.Annotate(errHello, err.Error())
+	if err := envelopeDecoding().UnmarshalFrom(byteReader{in}, e); err != nil {
+		return errors.Annotate(errBadHello, err.Error())
 	}
 	_ = in.SetReadDeadline(time.Time{})
 	s.hello = e.GetHello()
@@ -130,27 +130,27 @@
 // checkHello refuses a Hello that does not name the peer.
 func checkHello(h *bbwire.Hello) error {
 	switch {
-	case h.GetInstance() == "" || len(h.GetInstance()) > maxName:
-		return errors.Annotatef(errHello, "instance %.40q", h.GetInstance())
-	case h.GetDomain() == "" || len(h.GetDomain()) > maxName:
-		return errors.Annotatef(errHello, "failure domain %.40q", h.GetDomain())
+	case h.GetInstance() == "" || len(h.GetInstance()) > maxNameBytes:
+		return errors.Annotatef(errBadHello, "instance %.40q", h.GetInstance())
+	case h.GetDomain() == "" || len(h.GetDomain()) > maxNameBytes:
+		return errors.Annotatef(errBadHello, "failure domain %.40q", h.GetDomain())
 	case h.GetInc() == 0:
-		return errors.Annotate(errHello, "no incarnation")
+		return errors.Annotate(errBadHello, "no incarnation")
 	case !bbmember.ValidAddress(h.GetAddress()):
-		return errors.Annotatef(errHello, "address %.40q", h.GetAddress())
+		return errors.Annotatef(errBadHello, "address %.40q", h.GetAddress())
 	}
 	return nil
 }
 
 func (s *session) peer() bbunit.InstanceID { return bbunit.InstanceID(s.hello.Instance) }
 
-func (s *session) inc() bbunit.Incarnation { return bbunit.Incarnation(s.hello.Inc) }
+func (s *session) incarnation() bbunit.Incarnation { return bbunit.Incarnation(s.hello.Inc) }
 
-func (s *session) touch() { s.used.Store(time.Now().UnixNano()) }
+func (s *session) touch() { s.lastUsedAt.Store(time.Now().UnixNano()) }
 
 // idle tells whether nothing went either way, and no stream was open, for d.
 func (s *session) idle(d time.Duration) bool {
-	return time.Since(time.Unix(0, s.used.Load())) > d && s.mux.NumStreams() <= 2
+	return time.Since(time.Unix(0, s.lastUsedAt.Load())) > d && s.mux.NumStreams() <= 2
 }
 
 func (s *session) closed() bool { return s.mux.IsClosed() }
@@ -193,7 +193,7 @@
 // dropped.
 func (s *session) read(fn func(*bbwire.Envelope), bad func(error)) {
 	defer s.close()
-	r, opts := bufio.NewReader(s.in), envelopeReader()
+	r, opts := bufio.NewReader(s.in), envelopeDecoding()
 	for malformed := 0; ; {
 		e := &bbwire.Envelope{}
 		err := opts.UnmarshalFrom(r, e)
@@ -202,34 +202,34 @@
 		case err == nil:
 			malformed = 0
 			s.touch()
-			s.heard.Store(true)
+			s.received.Store(true)
 			e.From, e.Inc = s.hello.Instance, s.hello.Inc
 			fn(e)
 			continue
-		case errors.As(err, &large) && large.Size <= maxSkip:
+		case errors.As(err, &large) && large.Size <= maxSkippedBytes:
 			bad(err)
 			if _, err := r.Discard(int(large.Size)); err != nil {
 				return
 			}
 			continue
-		case errors.Is(err, proto.Error) && large == nil && malformed < maxMalformed:
+		case errors.Is(err, proto.Error) && large == nil && malformed < maxConsecutiveMalformed:
 			malformed++
 			bad(err)
 			continue
 		case errors.Is(err, proto.Error):
-			bad(errors.Annotate(errFraming, err.Error()))
+			bad(errors.Annotate(errFramingLost, err.Error()))
 		}
 		return
 	}
 }
 
-// envelopeReader returns the bounds of received envelopes.
-func envelopeReader() protodelim.UnmarshalOptions {
-	return protodelim.UnmarshalOptions{MaxSize: maxEnvelope}
+// envelopeDecoding returns the bounds of received envelopes.
+func envelopeDecoding() protodelim.UnmarshalOptions {
+	return protodelim.UnmarshalOptions{MaxSize: maxEnvelopeBytes}
 }
 
-// openKind opens a stream that begins with its kind.
-func openKind(mux *yamux.Session, kind string) (*yamux.Stream, error) {
+// openStream opens a stream that begins with its kind.
+func openStream(mux *yamux.Session, kind string) (*yamux.Stream, error) {
 	st, err := mux.OpenStream()
 	if err != nil {
 		return nil, err
@@ -243,10 +243,10 @@
 	return st, nil
 }
 
-// readKind reads the header that a stream begins with.
-func readKind(st *yamux.Stream) (string, error) {
+// readStreamKind reads the header that a stream begins with.
+func readStreamKind(st *yamux.Stream) (string, error) {
 	kind := &wrapperspb.StringValue{}
-	opts := protodelim.UnmarshalOptions{MaxSize: maxName}
+	opts := protodelim.UnmarshalOptions{MaxSize: maxNameBytes}
 	if err := opts.UnmarshalFrom(byteReader{st}, kind); err != nil {
 		return "", err
 	}
--- a/bluebellport/src/session_close_test.go
+++ b/bluebellport/src/session_close_test.go
@@ -11,19 +11,19 @@
 	"github.com/matryer/is"
 )
 
-// slowClose is a connection whose end takes a while, as that of one whose
+// slowCloseConn is a connection whose end takes a while, as that of one whose
 // process gets no processor.
-type slowClose struct{ net.Conn }
+type slowCloseConn struct{ net.Conn }
 
-const slowCloseTime = 400 * time.Millisecond
+const slowCloseDelay = 400 * time.Millisecond
 
-func (c slowClose) Close() error {
-	time.Sleep(slowCloseTime)
+func (c slowCloseConn) Close() error {
+	time.Sleep(slowCloseDelay)
 	return c.Conn.Close()
 }
 
-// processorTime returns what this process has used.
-func processorTime(t *testing.T) time.Duration {
+// testCPUTime returns what this process has used.
+func testCPUTime(t *testing.T) time.Duration {
 	var u syscall.Rusage
 	is.New(t).NoErr(syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -31,19 +31,19 @@
 
 // While a session closes, its reader waits: it does not keep the processor from
 // the one that closes it.
-func TestReaderIsIdleWhileItsSessionCloses(t *testing.T) {
+func TestReaderBlocksWhileSessionCloses(t *testing.T) {
 	is := is.New(t)
 	a, b := net.Pipe()
-	one, err := startMux(slowClose{a}, true, io.Discard)
+	one, err := startMux(slowCloseConn{a}, true, io.Discard)
 	is.NoErr(err)
 	two, err := startMux(b, false, io.Discard)
 	is.NoErr(err)
 	defer func() { _ = two.Close() }()
-	_, err = openKind(two, envelopeStream)
+	_, err = openStream(two, envelopeStreamKind)
 	is.NoErr(err)
 	in, err := acceptStream(t.Context(), one)
 	is.NoErr(err)
-	_, err = readKind(in)
+	_, err = readStreamKind(in)
 	is.NoErr(err)
 	ended := make(chan error, 1)
 	go func(in *yamux.Stream) {
@@ -51,10 +51,10 @@
 		ended <- err
 	}(in)
 	time.Sleep(20 * time.Millisecond) // the reader waits
-	before := processorTime(t)
+	before := testCPUTime(t)
 	_ = one.Close()
 	is.True(<-ended != nil)
-	used := processorTime(t) - before
+	used := testCPUTime(t) - before
 	t.Log("processor time:", used)
-	is.True(used < slowCloseTime/2)
+	is.True(used < slowCloseDelay/2)
 }
--- a/bluebellport/src/session_test.go
+++ b/bluebellport/src/session_test.go
@@ -49,7 +49,7 @@
 		Members: []*bbwire.Member{{Instance: "x", Inc: 1, Domain: "d", Address: "nowhere", Beat: 1}, nil},
 	}}})
 	many := &bbwire.Gossip{}
-	for i := range maxReports + 1 {
+	for i := range maxReportsPerMessage + 1 {
 		many.Members = append(many.Members, &bbwire.Member{
 			Instance: fmt.Sprint("flood", i), Inc: 1, Domain: "d1", Address: "127.0.0.1:1", Beat: 1,
 		})
@@ -71,7 +71,7 @@
 		"garbage":               {frame: frame(64, garbage)},
 		"empty":                 {frame: frame(0, nil)},
 		"unknown body":          {frame: frame(uint64(len(unknown)), unknown)},
-		"oversized":             {frame: frame(maxEnvelope+1, make([]byte, maxEnvelope+1))},
+		"oversized":             {frame: frame(maxEnvelopeBytes+1, make([]byte, maxEnvelopeBytes+1))},
 		"malformed member":      {frame: frame(uint64(len(gossip)), gossip)},
 		"too many members":      {frame: frame(uint64(len(flood)), flood)},
 		"malformed ticket":      {frame: frame(uint64(len(ticket)), ticket)},
@@ -80,19 +80,19 @@
 		"answer to nothing":     {frame: frame(uint64(len(late)), late), silent: true},
 		"impossible length":     {frame: frame(1<<60, nil), closed: true},
 		"overflowing length":    {frame: bytes.Repeat([]byte{0xff}, 400), closed: true},
-		"garbage without end":   {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxMalformed+1), closed: true},
-		"some garbage in a row": {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxMalformed)},
+		"garbage without end":   {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxConsecutiveMalformed+1), closed: true},
+		"some garbage in a row": {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxConsecutiveMalformed)},
 	}
-	l := newListFake(t)
-	n := startNode(t, "n", "d1", l, bbstore.NewMem())
-	other := startNode(t, "o", "d1", l, bbstore.NewMem())
+	l := newFakeList(t)
+	n := startInstance(t, "n", "d1", l, bbstore.NewMem())
+	other := startInstance(t, "o", "d1", l, bbstore.NewMem())
 	n.peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Loads{}}, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
 		return &bbwire.Envelope{Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{}}}
 	})
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			was := n.peers.count.Count() + n.follower.dropped.Count()
+			was := n.peers.dropped.Count() + n.follower.dropped.Count()
 			s := rawPeer(t, n.peers.Address())
 			_, err := s.out.Write(c.frame)
 			is.True(err == nil || c.closed) // the other end may close before it has read all
@@ -101,9 +101,9 @@
 				s = rawPeer(t, n.peers.Address())
 			}
 			is.NoErr(s.write(&bbwire.Envelope{Seq: 5, Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{}}}))
-			is.True(hears(s, 5)) // the session, or a new one, still serves
+			is.True(readsReply(s, 5)) // the session, or a new one, still serves
 			if !c.silent {
-				is.True(n.peers.count.Count()+n.follower.dropped.Count() > was)
+				is.True(n.peers.dropped.Count()+n.follower.dropped.Count() > was)
 			}
 			is.Equal(n.number(), bbunit.TicketNumber(0))
 			is.True(!n.sees("flood0"))
@@ -112,8 +112,8 @@
 	within(t, 3*time.Second, "the others are not harmed", func() bool { return other.sees("n") && n.sees("o") })
 }
 
-// hears reads until the answer to seq comes.
-func hears(s *session, seq uint64) bool {
+// readsReply reads until the answer to seq comes.
+func readsReply(s *session, seq uint64) bool {
 	_ = s.in.SetReadDeadline(time.Now().Add(3 * time.Second))
 	for {
 		e := &bbwire.Envelope{}
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestBadHellos(t *testing.T) {
+func TestInvalidHellos(t *testing.T) {
 	cases := map[string]*bbwire.Hello{
 		"none":            nil,
 		"no instance":     {Inc: 1, Domain: "d", Address: "127.0.0.1:1"},
@@ -136,11 +136,11 @@
 		"address by name": {Instance: "x", Inc: 1, Domain: "d", Address: "host:1"},
 		"its own name":    {Instance: "n", Inc: 1, Domain: "d", Address: "127.0.0.1:1"},
 	}
-	n := startNode(t, "n", "d1", newListFake(t), bbstore.NewMem())
+	n := startInstance(t, "n", "d1", newFakeList(t), bbstore.NewMem())
 	for name, hello := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			was := n.peers.count.Count()
+			was := n.peers.dropped.Count()
 			conn, err := net.Dial("tcp", n.peers.Address())
 			is.NoErr(err)
 			s, err := newSession(context.Background(), conn, true, hello, &bytes.Buffer{})
@@ -148,7 +148,7 @@
 				defer s.close()
 				within(t, 3*time.Second, "session closed", s.closed)
 			}
-			within(t, 3*time.Second, "refusal counted", func() bool { return n.peers.count.Count() > was })
+			within(t, 3*time.Second, "refusal counted", func() bool { return n.peers.dropped.Count() > was })
 			is.Equal(len(n.view().Members), 1)
 		})
 	}
@@ -170,24 +170,24 @@
 		is.NoErr(err)
 		mux, err := yamux.Client(conn, muxConfig(&bytes.Buffer{}))
 		is.NoErr(err)
-		_, _ = openKind(mux, "state") // fails when the other end closes first
+		_, _ = openStream(mux, "state") // fails when the other end closes first
 		within(t, 3*time.Second, "session closed", mux.IsClosed)
 	})
 }
 
 func TestIdleSessionsAreClosed(t *testing.T) {
 	is := is.New(t)
-	n := startNode(t, "n", "d1", newListFake(t), bbstore.NewMem())
+	n := startInstance(t, "n", "d1", newFakeList(t), bbstore.NewMem())
 	release := make(chan struct{})
 	n.peers.HandleStream("long", func(bbunit.InstanceID, net.Conn) { <-release })
 	s := rawPeer(t, n.peers.Address())
-	within(t, 3*time.Second, "a link", func() bool { return n.peers.linkTo("raw") != nil })
-	l := n.peers.linkTo("raw")
-	age := func() { l.current().used.Store(time.Now().Add(-2 * linkIdle).UnixNano()) }
+	within(t, 3*time.Second, "a link", func() bool { return n.peers.existingLink("raw") != nil })
+	l := n.peers.existingLink("raw")
+	age := func() { l.preferredSession().lastUsedAt.Store(time.Now().Add(-2 * sessionIdleTimeout).UnixNano()) }
 
-	st, err := openKind(s.mux, "long")
+	st, err := openStream(s.mux, "long")
 	is.NoErr(err)
-	within(t, 3*time.Second, "the stream", func() bool { return l.current().mux.NumStreams() == 3 })
+	within(t, 3*time.Second, "the stream", func() bool { return l.preferredSession().mux.NumStreams() == 3 })
 	age()
 	l.closeIdle()
 	time.Sleep(50 * time.Millisecond)
@@ -195,8 +195,8 @@
 
 	close(release)
 	is.NoErr(st.Close())
-	within(t, 3*time.Second, "the stream's end", func() bool { return l.current().mux.NumStreams() == 2 })
-	l.current().touch()
+	within(t, 3*time.Second, "the stream's end", func() bool { return l.preferredSession().mux.NumStreams() == 2 })
+	l.preferredSession().touch()
 	l.closeIdle()
 	time.Sleep(50 * time.Millisecond)
 	is.True(!s.closed()) // used just now
@@ -204,6 +204,6 @@
 	l.closeIdle()
 	within(t, 3*time.Second, "the session closed", s.closed)
 	within(t, 3*time.Second, "no session left", l.closeIdle)
-	is.True(n.peers.forget(l))
-	is.True(n.peers.linkTo("raw") == nil)
+	is.True(n.peers.removeIdleLink(l))
+	is.True(n.peers.existingLink("raw") == nil)
 }
--- a/bluebellport/src/sse.go
+++ b/bluebellport/src/sse.go
@@ -12,31 +12,31 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// event is one server-sent event of an engine.
-type event struct {
+// sseEvent is one server-sent event of an engine.
+type sseEvent struct {
 	id   int // 0 when the engine numbers none
 	data []byte
 }
 
-// done tells whether the event ends the stream.
-func (e event) done() bool { return bytes.Equal(e.data, []byte("[DONE]")) }
+// isDone tells whether the event ends the stream.
+func (e sseEvent) isDone() bool { return bytes.Equal(e.data, []byte("[DONE]")) }
 
-// eventReader splits a body into server-sent events.
-type eventReader struct {
-	s *bufio.Scanner
+// sseReader splits a body into server-sent events.
+type sseReader struct {
+	scanner *bufio.Scanner
 }
 
-func newEventReader(r io.Reader) *eventReader {
+func newSSEReader(r io.Reader) *sseReader {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 4096), maxEvent)
-	return &eventReader{s: s}
+	s.Buffer(make([]byte, 4096), maxEventBytes)
+	return &sseReader{scanner: s}
 }
 
 // next returns the next event with data; io.EOF when the body has ended.
-func (r *eventReader) next() (event, error) {
-	var e event
-	for r.s.Scan() {
-		line := bytes.TrimSuffix(r.s.Bytes(), []byte("\r"))
+func (r *sseReader) next() (sseEvent, error) {
+	var e sseEvent
+	for r.scanner.Scan() {
+		line := bytes.TrimSuffix(r.scanner.Bytes(), []byte("\r"))
 		if len(line) == 0 {
 			if len(e.data) > 0 {
 				return e, nil
@@ -57,14 +57,14 @@
 			}
 		}
 	}
-	if err := r.s.Err(); err != nil {
-		return event{}, errors.Trace(err)
+	if err := r.scanner.Err(); err != nil {
+		return sseEvent{}, errors.Trace(err)
 	}
-	return event{}, io.EOF
+	return sseEvent{}, io.EOF
 }
 
-// chunk is the part of a streamed chat chunk that the instance reads.
-type chunk struct {
+// chatChunk is the part of a streamed chat chunk that the instance reads.
+type chatChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
 		Index int `json:"index"`
@@ -73,30 +73,30 @@
 		} `json:"delta"`
 		Finish *string `json:"finish_reason"`
 	} `json:"choices"`
-	Usage *usage `json:"usage"`
+	Usage *tokenUsage `json:"usage"`
 }
 
-// relay is what of a streamed chat has reached the caller, over all attempts.
-type relay struct {
-	id       string // the chunk id that the caller sees
-	text     []byte
-	tokens   bbunit.Tokens // chunks with content, in this attempt
-	before   bbunit.Tokens // tokens of earlier attempts
-	usage    *usage
-	event    int  // last event of this attempt
-	many     bool // more than one choice, so that the text cannot be continued
-	restarts int
-	begun    bool // the caller has the head
+// chatRelay is what of a streamed chat has reached the caller, over all attempts.
+type chatRelay struct {
+	chunkID         string // the chunk id that the caller sees
+	text            []byte
+	attemptTokens   bbunit.Tokens // chunks with content, in this attempt
+	earlierTokens   bbunit.Tokens // tokens of earlier attempts
+	usage           *tokenUsage
+	lastEvent       int  // last event of this attempt
+	multipleChoices bool // more than one choice, so that the text cannot be continued
+	restarts        int
+	headSent        bool // the caller has the head
 }
 
-// pass takes a chunk in and returns what the caller gets; nil for nothing.
-func (r *relay) pass(e event, wantUsage bool) ([]byte, error) {
-	var c chunk
+// process takes a chunk in and returns what the caller gets; nil for nothing.
+func (r *chatRelay) process(e sseEvent, wantUsage bool) ([]byte, error) {
+	var c chatChunk
 	if err := json.Unmarshal(e.data, &c); err != nil {
-		return nil, errors.WithType(errors.Annotate(err, "chunk"), errTarget)
+		return nil, errors.WithType(errors.Annotate(err, "chunk"), errTargetFailed)
 	}
 	if e.id > 0 {
-		r.event = e.id
+		r.lastEvent = e.id
 	}
 	if c.Usage != nil {
 		r.usage = c.Usage
@@ -105,16 +105,16 @@
 		if c.Usage == nil || !wantUsage {
 			return nil, nil
 		}
-		return r.rename(e.data, c)
+		return r.rewriteChunk(e.data, c)
 	}
 	empty := true
 	for _, ch := range c.Choices {
 		if ch.Index > 0 {
-			r.many = true
+			r.multipleChoices = true
 		}
 		if ch.Delta.Content != "" {
 			empty = false
-			r.tokens++
+			r.attemptTokens++
 			r.text = append(r.text, ch.Delta.Content...)
 		}
 		if ch.Finish != nil {
@@ -124,51 +124,51 @@
 	if empty && r.restarts > 0 {
 		return nil, nil
 	}
-	return r.rename(e.data, c)
+	return r.rewriteChunk(e.data, c)
 }
 
-// rename gives a chunk of a later attempt the id and usage of the whole.
-func (r *relay) rename(data []byte, c chunk) ([]byte, error) {
-	if r.id == "" {
-		r.id = c.ID
+// rewriteChunk gives a chunk of a later attempt the id and usage of the whole.
+func (r *chatRelay) rewriteChunk(data []byte, c chatChunk) ([]byte, error) {
+	if r.chunkID == "" {
+		r.chunkID = c.ID
 	}
-	if c.ID == r.id && (c.Usage == nil || r.restarts == 0) {
+	if c.ID == r.chunkID && (c.Usage == nil || r.restarts == 0) {
 		return data, nil
 	}
 	var f map[string]json.RawMessage
 	if err := json.Unmarshal(data, &f); err != nil {
-		return nil, errors.WithType(err, errTarget)
+		return nil, errors.WithType(err, errTargetFailed)
 	}
-	f["id"], _ = json.Marshal(r.id)
+	f["id"], _ = json.Marshal(r.chunkID)
 	if c.Usage != nil {
-		f["usage"], _ = json.Marshal(r.total().full())
+		f["usage"], _ = json.Marshal(r.totalUsage().withTotal())
 	}
 	b, err := json.Marshal(f)
 	return b, errors.Trace(err)
 }
 
-// restart makes ready for an attempt that goes on after the text so far.
-func (r *relay) restart() {
-	r.before += r.tokens
-	r.tokens, r.event, r.usage = 0, 0, nil
+// startNextAttempt makes ready for an attempt that goes on after the text so far.
+func (r *chatRelay) startNextAttempt() {
+	r.earlierTokens += r.attemptTokens
+	r.attemptTokens, r.lastEvent, r.usage = 0, 0, nil
 	r.restarts++
 }
 
-// total is what the caller's answer came to: the engine's count where it gave
+// totalUsage is what the caller's answer came to: the engine's count where it gave
 // one, else the chunks that arrived. A continued prompt holds text that was
 // counted as generated before, which is not charged again.
-func (r *relay) total() usage {
+func (r *chatRelay) totalUsage() tokenUsage {
 	if r.usage == nil {
-		return usage{Completion: r.before + r.tokens}
+		return tokenUsage{Completion: r.earlierTokens + r.attemptTokens}
 	}
 	u := *r.usage
-	u.Prompt = max(0, u.Prompt-r.before)
-	u.Completion += r.before
+	u.Prompt = max(0, u.Prompt-r.earlierTokens)
+	u.Completion += r.earlierTokens
 	return u
 }
 
-// full is the usage as callers read it.
-func (u usage) full() map[string]bbunit.Tokens {
+// withTotal is the usage as callers read it.
+func (u tokenUsage) withTotal() map[string]bbunit.Tokens {
 	return map[string]bbunit.Tokens{
 		"prompt_tokens":     u.Prompt,
 		"completion_tokens": u.Completion,
--- a/bluebellport/src/upstream.go
+++ b/bluebellport/src/target_conns.go
@@ -19,15 +19,15 @@
 // errNotSent marks an attempt of which no byte left for the target.
 const errNotSent = errors.ConstError("not sent")
 
-// upstream holds the connections to targets. The zero value works.
-type upstream struct {
+// targetConns holds the connections to targets. The zero value works.
+type targetConns struct {
 	pooled sync.Map // address -> *fasthttp.HostClient
 	fresh  sync.Map // address -> *fasthttp.HostClient that reuses nothing
 }
 
 // client returns the client for an address. One that is fresh opens a new
 // connection for each request.
-func (u *upstream) client(address string, fresh bool) *fasthttp.HostClient {
+func (u *targetConns) client(address string, fresh bool) *fasthttp.HostClient {
 	m := &u.pooled
 	if fresh {
 		m = &u.fresh
@@ -35,26 +35,26 @@
 	if v, ok := m.Load(address); ok {
 		return v.(*fasthttp.HostClient)
 	}
-	v, _ := m.LoadOrStore(address, newClient(address))
+	v, _ := m.LoadOrStore(address, newTargetClient(address))
 	return v.(*fasthttp.HostClient)
 }
 
-// newClient returns a client that sends each request at most once.
-func newClient(address string) *fasthttp.HostClient {
+// newTargetClient returns a client that sends each request at most once.
+func newTargetClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
-		Dial:                      dial,
-		MaxConns:                  maxConns,
-		MaxIdleConnDuration:       idleTimeout,
+		Dial:                      dialTarget,
+		MaxConns:                  maxConnsPerTarget,
+		MaxIdleConnDuration:       targetIdleTimeout,
 		MaxIdemponentCallAttempts: 1,
 		StreamResponseBody:        true,
-		MaxResponseBodySize:       maxAnswer,
+		MaxResponseBodySize:       maxResponseBytes,
 		NoDefaultUserAgentHeader:  true,
 		DisablePathNormalizing:    true,
 	}
 }
 
-func dial(address string) (net.Conn, error) {
+func dialTarget(address string) (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", address, targetDialTimeout)
 	if err != nil {
 		return nil, errors.WithType(err, errNotSent)
@@ -62,20 +62,20 @@
 	return c, nil
 }
 
-// tend forgets, now and then, the targets that are no longer in force, until the
+// startSweep forgets, now and then, the targets that are no longer in force, until the
 // function that it returns is called.
-func (u *upstream) tend(b *Board) func() {
+func (u *targetConns) startSweep(b *Board) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		for bbclock.Wait(ctx, tendEvery) {
+		for bbclock.Wait(ctx, targetSweepInterval) {
 			keep := map[string]bool{}
 			for _, list := range b.State.Load().ByService {
 				for _, t := range list {
 					keep[t.Address] = true
 				}
 			}
-			u.forget(keep)
+			u.closeUnused(keep)
 		}
 	})
 	return func() {
@@ -84,8 +84,8 @@
 	}
 }
 
-// forget closes idle connections to targets that are no longer in force.
-func (u *upstream) forget(keep map[string]bool) {
+// closeUnused closes idle connections to targets that are no longer in force.
+func (u *targetConns) closeUnused(keep map[string]bool) {
 	for _, m := range []*sync.Map{&u.pooled, &u.fresh} {
 		m.Range(func(k, v any) bool {
 			if !keep[k.(string)] {
@@ -101,17 +101,17 @@
 // context ends or the deadline passes. The bool is false only when no byte left.
 // The answer must be closed by its clean-up function, which also ends a read
 // under way.
-func (u *upstream) send(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time) (*fasthttp.Response, func(), bool, error) {
-	return u.sendLate(ctx, address, fresh, req, deadline, nil)
+func (u *targetConns) send(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time) (*fasthttp.Response, func(), bool, error) {
+	return u.sendWithLateHandler(ctx, address, fresh, req, deadline, nil)
 }
 
-// sendLate is send; an answer that comes between the context's end and the
+// sendWithLateHandler is send; an answer that comes between the context's end and the
 // deadline goes to late, if set, which may block.
-func (u *upstream) sendLate(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time, late func(*fasthttp.Response)) (*fasthttp.Response, func(), bool, error) {
+func (u *targetConns) sendWithLateHandler(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time, late func(*fasthttp.Response)) (*fasthttp.Response, func(), bool, error) {
 	if fresh {
 		req.SetConnectionClose()
 	}
-	otel.GetTextMapPropagator().Inject(ctx, requestCarrier{&req.Header})
+	otel.GetTextMapPropagator().Inject(ctx, headerCarrier{&req.Header})
 	done := make(chan error, 1)
 	resp := fasthttp.AcquireResponse()
 	c := u.client(address, fresh)
@@ -119,30 +119,30 @@
 	select {
 	case err := <-done:
 		if err == nil {
-			return resp, sync.OnceFunc(func() { release(req, resp) }), true, nil
+			return resp, sync.OnceFunc(func() { releaseExchange(req, resp) }), true, nil
 		}
-		release(req, resp)
-		return nil, func() {}, !notSent(err), errors.Trace(err)
+		releaseExchange(req, resp)
+		return nil, func() {}, !isNotSent(err), errors.Trace(err)
 	case <-ctx.Done():
 		go func() {
 			if err := <-done; err == nil && late != nil {
 				late(resp)
 			}
-			release(req, resp)
+			releaseExchange(req, resp)
 		}()
-		return nil, func() {}, true, errors.WithType(context.Cause(ctx), errSilent)
+		return nil, func() {}, true, errors.WithType(context.Cause(ctx), errTargetSilent)
 	}
 }
 
-// release closes the answer, whether it was read whole or not, and gives both
+// releaseExchange closes the answer, whether it was read whole or not, and gives both
 // back to the HTTP library.
-func release(req *fasthttp.Request, resp *fasthttp.Response) {
+func releaseExchange(req *fasthttp.Request, resp *fasthttp.Response) {
 	_ = resp.CloseBodyStream()
 	fasthttp.ReleaseRequest(req)
 	fasthttp.ReleaseResponse(resp)
 }
 
-func notSent(err error) bool {
+func isNotSent(err error) bool {
 	return errors.Is(err, errNotSent) || errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout)
 }
 
@@ -152,28 +152,28 @@
 	if s == nil {
 		return append([]byte(nil), resp.Body()...), nil
 	}
-	b, err := io.ReadAll(io.LimitReader(s, maxAnswer+1))
-	if err == nil && len(b) > maxAnswer {
-		err = errors.WithType(errors.Errorf("answer above %d bytes", maxAnswer), errTarget)
+	b, err := io.ReadAll(io.LimitReader(s, maxResponseBytes+1))
+	if err == nil && len(b) > maxResponseBytes {
+		err = errors.WithType(errors.Errorf("answer above %d bytes", maxResponseBytes), errTargetFailed)
 	}
 	return b, errors.Trace(err)
 }
 
-// requestCarrier writes trace context into a request's header.
-type requestCarrier struct{ h *fasthttp.RequestHeader }
+// headerCarrier writes trace context into a request's header.
+type headerCarrier struct{ header *fasthttp.RequestHeader }
 
-var _ propagation.TextMapCarrier = requestCarrier{}
+var _ propagation.TextMapCarrier = headerCarrier{}
 
 // Get returns a field.
-func (c requestCarrier) Get(key string) string { return string(c.h.Peek(key)) }
+func (c headerCarrier) Get(key string) string { return string(c.header.Peek(key)) }
 
 // Set writes a field.
-func (c requestCarrier) Set(key, value string) { c.h.Set(key, value) }
+func (c headerCarrier) Set(key, value string) { c.header.Set(key, value) }
 
 // Keys returns the names of all fields.
-func (c requestCarrier) Keys() []string {
+func (c headerCarrier) Keys() []string {
 	var out []string
-	for k := range c.h.All() {
+	for k := range c.header.All() {
 		out = append(out, string(k))
 	}
 	return out
--- a/bluebellport/src/trace.go
+++ b/bluebellport/src/trace.go
@@ -19,11 +19,11 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// traceFlush bounds the export of the last spans at a stop.
-const traceFlush = 2 * time.Second
+// traceFlushTimeout bounds the export of the last spans at a stop.
+const traceFlushTimeout = 2 * time.Second
 
-// newLog returns a logger of JSON lines.
-func newLog(opts *Options, w io.Writer) (logrus.FieldLogger, error) {
+// newLogger returns a logger of JSON lines.
+func newLogger(opts *Options, w io.Writer) (logrus.FieldLogger, error) {
 	level, err := logrus.ParseLevel(opts.Self.LogLevel)
 	if err != nil {
 		return nil, errors.Annotate(err, "--log-level")
@@ -35,16 +35,16 @@
 	return l.WithFields(logrus.Fields{"instance": opts.Self.Instance, "domain": opts.Self.Domain}), nil
 }
 
-// startTrace sets the trace context that is passed on, and the exporter where
+// startTracing sets the trace context that is passed on, and the exporter where
 // the settings name a collector. The function it returns exports the last
 // spans.
-func startTrace(opts *Options) (func(), error) {
+func startTracing(opts *Options) (func(), error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
-	if opts.Self.TraceOTLP == "" {
+	if opts.Self.TraceAddress == "" {
 		return func() {}, nil
 	}
 	exp, err := otlptracehttp.New(context.Background(),
-		otlptracehttp.WithEndpoint(opts.Self.TraceOTLP), otlptracehttp.WithInsecure())
+		otlptracehttp.WithEndpoint(opts.Self.TraceAddress), otlptracehttp.WithInsecure())
 	if err != nil {
 		return nil, errors.Annotate(err, "--trace-otlp")
 	}
@@ -55,7 +55,7 @@
 	)))
 	otel.SetTracerProvider(tp)
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), traceFlush)
+		ctx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 		defer cancel()
 		_ = tp.Shutdown(ctx)
 	}, nil
--- a/bluebellport/src/trace_test.go
+++ b/bluebellport/src/trace_test.go
@@ -42,19 +42,19 @@
 	}))
 	defer srv.Close()
 	o := &Options{}
-	o.Self.TraceOTLP = srv.Listener.Addr().String()
-	stop, err := startTrace(o)
+	o.Self.TraceAddress = srv.Listener.Addr().String()
+	stop, err := startTracing(o)
 	is.NoErr(err)
 	defer otel.SetTracerProvider(noop.NewTracerProvider())
 
 	var seen string
-	b := newBed(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newTestFrontend(t, func(w http.ResponseWriter, r *http.Request) {
 		seen = r.Header.Get("Traceparent")
 		_, _ = w.Write([]byte("ok"))
 	})
 	resp, _ := b.do(t, "POST", "/services/desk/x", "", "Traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01")
 	is.Equal(resp.StatusCode, 200)
-	b.settled(is)
+	b.waitSettled(is)
 	stop()
 	mu.Lock()
 	defer mu.Unlock()
