--- a/bluebellport/proxy/forward.go
+++ b/bluebellport/proxy/forward.go
@@ -61,7 +61,7 @@
 	connectionFields := r.Fields.connectionFields()
 	for i := range r.Fields {
 		name := canonicalName(r.Fields[i].Name)
-		if hopByHopFields[name] || bbplatform.OwnHeaders[name] || connectionFields[name] || name == "last-event-id" && opts.lastEventID != "" {
+		if hopByHopFields[name] || bbplatform.InternalHeaders[name] || connectionFields[name] || name == "last-event-id" && opts.lastEventID != "" {
 			continue
 		}
 		b = appendField(b, r.Fields[i].Name, r.Fields[i].Value)
@@ -70,12 +70,12 @@
 		b = appendField(b, bbplatform.HeaderAccount, string(opts.account))
 	}
 	b = appendField(b, bbplatform.HeaderDeadline, strconv.FormatInt(max(opts.timeLeft.Milliseconds(), 1), 10))
-	b = appendField(b, bbplatform.HeaderExpect, string(opts.target.ID))
+	b = appendField(b, bbplatform.HeaderExpectedTarget, string(opts.target.ID))
 	if opts.priority >= 0 {
 		b = appendField(b, bbplatform.HeaderPriority, strconv.Itoa(min(opts.priority, 9)))
 	}
 	if opts.lastEventID != "" {
-		b = appendField(b, bbplatform.HeaderLastEvent, opts.lastEventID)
+		b = appendField(b, bbplatform.HeaderLastEventID, opts.lastEventID)
 	}
 	if r.HasBody {
 		b = appendField(b, "Content-Length", strconv.Itoa(len(r.Body)))
--- a/bluebellport/proxy/harness_test.go
+++ b/bluebellport/proxy/harness_test.go
@@ -98,8 +98,8 @@
 		_ = ln.Close()
 	})
 	h.settings = bbplatform.Settings{
-		Instance: "i1", Domain: "uppsala", Callers: freeAddress(t), Ready: freeAddress(t), Peers: freeAddress(t),
-		Store: ln.Addr().String(), Grace: 1400 * time.Millisecond, RetryRatio: 0.2, RetryExtra: 1000, RetryWindow: 10 * time.Second,
+		Instance: "i1", Domain: "uppsala", FrontendAddress: freeAddress(t), ReadinessAddress: freeAddress(t), PeerAddress: freeAddress(t),
+		StoreAddress: ln.Addr().String(), GracePeriod: 1400 * time.Millisecond, RetryRatio: 0.2, RetryExtra: 1000, RetryWindow: 10 * time.Second,
 	}
 	h.declarePlan(1, paid)
 	return h
@@ -166,7 +166,7 @@
 			h.t.Fatalf("the proxy ended: %v", err)
 		default:
 		}
-		r, err := http.Get("http://" + h.settings.Ready + bbplatform.PathReady)
+		r, err := http.Get("http://" + h.settings.ReadinessAddress + bbplatform.PathReadiness)
 		if err != nil {
 			return false
 		}
@@ -205,11 +205,11 @@
 func (h *harness) call(method, path, body string, fields ...string) clientResult {
 	h.t.Helper()
 	h.calls++
-	r, err := http.NewRequest(method, "http://"+h.settings.Callers+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, "http://"+h.settings.FrontendAddress+path, strings.NewReader(body))
 	is.New(h.t).NoErr(err)
 	r.Host = testHost
-	r.Header.Set(bbplatform.HeaderAttempt, fmt.Sprintf("attempt-%d", h.calls))
-	r.Header.Set(bbplatform.HeaderKey, testKey)
+	r.Header.Set(bbplatform.HeaderAttemptID, fmt.Sprintf("attempt-%d", h.calls))
+	r.Header.Set(bbplatform.HeaderAPIKey, testKey)
 	r.Header.Set(bbplatform.HeaderDeadline, "1500")
 	for i := 0; i+1 < len(fields); i += 2 {
 		r.Header.Set(fields[i], fields[i+1])
@@ -234,7 +234,7 @@
 // under way.
 func (h *harness) sendRaw(text string) string {
 	h.t.Helper()
-	c, err := net.Dial("tcp4", h.settings.Callers)
+	c, err := net.Dial("tcp4", h.settings.FrontendAddress)
 	is.New(h.t).NoErr(err)
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(3 * time.Second))
--- a/bluebellport/proxy/pool.go
+++ b/bluebellport/proxy/pool.go
@@ -112,7 +112,7 @@
 			}
 		}
 	}
-	if running, waiting, slots, ok := bbplatform.Load(f.Value(bbplatform.HeaderLoad)); ok && c.pool.onLoad != nil {
+	if running, waiting, slots, ok := bbplatform.ParseTargetLoad(f.Value(bbplatform.HeaderTargetLoad)); ok && c.pool.onLoad != nil {
 		c.pool.onLoad(running, waiting, slots)
 	}
 }
--- a/bluebellport/proxy/proxy.go
+++ b/bluebellport/proxy/proxy.go
@@ -55,28 +55,28 @@
 func Serve(ctx context.Context, settings bbplatform.Settings, peers PeerNetwork, registry metrics.Registry, log logrus.FieldLogger) error {
 	p := &Proxy{settings: settings, domain: settings.Domain, state: &SharedState{}, log: log, metrics: newProxyMetrics(registry), startedAt: time.Now(), conns: map[*clientConn]bool{}}
 	p.state.Instances.Store(defaultInstances)
-	clientListener, err := net.Listen("tcp4", settings.Callers)
+	clientListener, err := net.Listen("tcp4", settings.FrontendAddress)
 	if err != nil {
 		return errors.Annotate(err, "listen for clients")
 	}
-	readyListener, err := net.Listen("tcp4", settings.Ready)
+	readyListener, err := net.Listen("tcp4", settings.ReadinessAddress)
 	if err != nil {
 		_ = clientListener.Close()
 		return errors.Annotate(err, "listen for readiness checks")
 	}
-	store, closeStore := bbplatform.NewStore(settings.Store)
+	store, closeStore := bbplatform.NewStore(settings.StoreAddress)
 	defer closeStore()
-	p.shares = newShareController(store, p.state, log, p.now, bbshare.NewHolderID(settings.Instance, bbunit.InstanceID(settings.Peers), newIncarnation()))
+	p.shares = newShareController(store, p.state, log, p.now, bbshare.NewHolderID(settings.Instance, bbunit.InstanceID(settings.PeerAddress), newIncarnation()))
 
 	background, stopBackground := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	p.startControllers(background, &wg, store, peers)
 	wg.Go(func() { p.acceptConns(clientListener) })
 	wg.Go(func() { p.serveReady(readyListener) })
-	log.WithFields(logrus.Fields{"event": "start", "listen": settings.Callers, "domain": settings.Domain}).Info("serving")
+	log.WithFields(logrus.Fields{"event": "start", "listen": settings.FrontendAddress, "domain": settings.Domain}).Info("serving")
 
 	<-ctx.Done()
-	deadline := time.Now().Add(settings.Grace - graceMargin)
+	deadline := time.Now().Add(settings.GracePeriod - graceMargin)
 	p.drain(clientListener, deadline)
 	stopBackground()
 	_ = readyListener.Close()
--- a/bluebellport/proxy/proxy_test.go
+++ b/bluebellport/proxy/proxy_test.go
@@ -25,21 +25,21 @@
 		status int
 		runs   int // at both targets
 	}{
-		{"shed, idempotent", bbplatformstand.FaultShed, "/read/1", 200, 1},
-		{"shed, once", bbplatformstand.FaultShed, "/book/1", 200, 1},
+		{"shed, idempotent", bbplatformstand.FaultNotExecuted, "/read/1", 200, 1},
+		{"shed, once", bbplatformstand.FaultNotExecuted, "/book/1", 200, 1},
 		{"error, idempotent", bbplatformstand.FaultError, "/read/1", 200, 2},
 		{"error, once", bbplatformstand.FaultError, "/book/1", 500, 1},
 		{"reset, idempotent", bbplatformstand.FaultReset, "/read/1", 200, 2},
 		{"reset, once", bbplatformstand.FaultReset, "/book/1", 502, 1},
-		{"mute, idempotent", bbplatformstand.FaultMute, "/read/1", 200, 2},
-		{"mute, once", bbplatformstand.FaultMute, "/book/1", 504, 1},
-		{"torn, idempotent", bbplatformstand.FaultTorn, "/read/1", 200, 2},
-		{"torn, once", bbplatformstand.FaultTorn, "/book/1", 502, 1},
+		{"mute, idempotent", bbplatformstand.FaultNoAnswer, "/read/1", 200, 2},
+		{"mute, once", bbplatformstand.FaultNoAnswer, "/book/1", 504, 1},
+		{"torn, idempotent", bbplatformstand.FaultTruncated, "/read/1", 200, 2},
+		{"torn, once", bbplatformstand.FaultTruncated, "/book/1", 502, 1},
 		{"unsigned, idempotent", bbplatformstand.FaultUnsigned, "/read/1", 200, 2},
 		{"unsigned, once", bbplatformstand.FaultUnsigned, "/book/1", 502, 1},
-		{"foreign answer first", bbplatformstand.FaultForeign, "/book/1", 200, 1},
-		{"extra answer", bbplatformstand.FaultExtra, "/book/1", 200, 1},
-		{"no length", bbplatformstand.FaultUnframed, "/book/1", 200, 1},
+		{"foreign answer first", bbplatformstand.FaultStrayBefore, "/book/1", 200, 1},
+		{"extra answer", bbplatformstand.FaultStrayAfter, "/book/1", 200, 1},
+		{"no length", bbplatformstand.FaultNoLength, "/book/1", 200, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -47,11 +47,11 @@
 			h := newHarness(t, 1000)
 			first := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
 			second := h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "desk", Domain: "gavle"}) // chosen second: another failure domain
-			first.Fail(c.fault, 1)
+			first.SetFault(c.fault, 1)
 			h.start()
 			r := h.call("POST", c.path, "body")
 			is.Equal(r.status, c.status)
-			is.Equal(len(first.Runs())+len(second.Runs()), c.runs)
+			is.Equal(len(first.Executions())+len(second.Executions()), c.runs)
 			if c.status == 200 {
 				is.Equal(r.body, "ran attempt-1")
 			}
@@ -75,13 +75,13 @@
 	h.start()
 	r := h.call("POST", "/book/a?x=%2f&y", strings.Repeat("b", 100_000), "Tenant", "forged", "tenant_", "x", "Expected-Instance", "forged")
 	is.Equal(r.status, 200)
-	run := target.Runs()[0]
+	run := target.Executions()[0]
 	is.Equal(run.Path, "/book/a?x=%2f&y")
 	is.Equal(len(run.Body), 100_000)
 	is.Equal(run.Account, "a")
-	is.Equal(run.Key, "")
-	is.Equal(run.Expect, "t1")
-	is.True(run.Left > 0 && run.Left <= 1500*time.Millisecond)
+	is.Equal(run.APIKey, "")
+	is.Equal(run.ExpectedTarget, "t1")
+	is.True(run.TimeLeft > 0 && run.TimeLeft <= 1500*time.Millisecond)
 }
 
 // A target that responds before it has read the whole body never gets bytes of
@@ -90,18 +90,18 @@
 	is := is.New(t)
 	h := newHarness(t, 1000)
 	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-	target.Fail(bbplatformstand.FaultEarly, 1)
+	target.SetFault(bbplatformstand.FaultEarlyAnswer, 1)
 	h.start()
 	is.Equal(h.call("POST", "/book/1", strings.Repeat("b", 250_000)).status, 413)
 	is.Equal(h.call("POST", "/book/2", "body").status, 200)
-	is.Equal(target.Runs()[0].Body, "body")
+	is.Equal(target.Executions()[0].Body, "body")
 }
 
 // Requests that the plan does not allow are refused and reach no target.
 func TestRefusals(t *testing.T) {
 	h := newHarness(t, 1000)
 	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-	h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "llm", Engine: true, Events: 3})
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "llm", Engine: true, EventCount: 3})
 	h.start()
 	cases := []struct {
 		name, path string
@@ -109,17 +109,17 @@
 		status     int
 	}{
 		{"no route", "/none/1", nil, 404},
-		{"unknown key", "/read/1", []string{bbplatform.HeaderKey, "another"}, 401},
-		{"open route without a key", "/open/1", []string{bbplatform.HeaderKey, ""}, 200},
-		{"above the balance", "/draft/1", []string{bbplatform.HeaderUsage, "990,20"}, 402},
+		{"unknown key", "/read/1", []string{bbplatform.HeaderAPIKey, "another"}, 401},
+		{"open route without a key", "/open/1", []string{bbplatform.HeaderAPIKey, ""}, 200},
+		{"above the balance", "/draft/1", []string{bbplatform.HeaderTokenUsage, "990,20"}, 402},
 		{"no usage", "/draft/1", nil, 400},
-		{"bad usage", "/draft/1", []string{bbplatform.HeaderUsage, "-1,3"}, 400},
+		{"bad usage", "/draft/1", []string{bbplatform.HeaderTokenUsage, "-1,3"}, 400},
 		{"bad deadline", "/read/1", []string{bbplatform.HeaderDeadline, "soon"}, 400},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(h.call("GET", c.path, "", c.fields...).status, c.status) })
 	}
-	is.New(t).Equal(len(target.Runs()), 1)
+	is.New(t).Equal(len(target.Executions()), 1)
 }
 
 // Bytes that two readers could take for different requests are refused, and
@@ -152,7 +152,7 @@
 			is.New(t).True(strings.HasPrefix(h.sendRaw(c.text), "HTTP/1.1 "+c.status))
 		})
 	}
-	is.New(t).Equal(len(target.Runs()), 0)
+	is.New(t).Equal(len(target.Executions()), 0)
 }
 
 // A chunked body is forwarded whole, and the connection then serves the next
@@ -165,9 +165,9 @@
 	head := "POST /book/1 HTTP/1.1\r\nHost: " + testHost + "\r\nAttempt-Id: x%d\r\nCredential: " + testKey + "\r\n"
 	text := fmt.Sprintf(head, 1) + "Transfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n" + fmt.Sprintf(head, 2) + "Content-Length: 1\r\nConnection: close\r\n\r\nf"
 	is.True(strings.HasPrefix(h.sendRaw(text), "HTTP/1.1 200"))
-	h.eventually("both ran", func() bool { return len(target.Runs()) == 2 })
-	is.Equal(target.Runs()[0].Body, "abcde")
-	is.Equal(target.Runs()[1].Body, "f")
+	h.eventually("both ran", func() bool { return len(target.Executions()) == 2 })
+	is.Equal(target.Executions()[0].Body, "abcde")
+	is.Equal(target.Executions()[1].Body, "f")
 }
 
 // eventIDs returns the ids of a stream's events in order.
@@ -197,17 +197,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			h := newHarness(t, 1000)
-			first := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 6})
-			second := h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "llm", Engine: true, Events: 6, Domain: "gavle"})
-			first.Fail(bbplatformstand.FaultTorn, 1)
+			first := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, EventCount: 6})
+			second := h.startTarget(bbplatformstand.TargetOptions{ID: "t2", Service: "llm", Engine: true, EventCount: 6, Domain: "gavle"})
+			first.SetFault(bbplatformstand.FaultTruncated, 1)
 			h.start()
-			r := h.call("POST", c.path, "prompt", bbplatform.HeaderUsage, "100,60")
+			r := h.call("POST", c.path, "prompt", bbplatform.HeaderTokenUsage, "100,60")
 			is.Equal(r.status, 200)
 			is.Equal(r.err == nil, c.whole)
 			is.Equal(eventIDs(r.body), c.ids)
 			is.Equal(r.header.Get(bbplatform.HeaderSignature), "t1")
 			if c.whole {
-				is.Equal(second.Runs()[0].Last, "3")
+				is.Equal(second.Executions()[0].LastEventID, "3")
 			}
 		})
 	}
@@ -219,11 +219,11 @@
 func TestBalanceIsCharged(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
-	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 5})
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, EventCount: 5})
 	h.start()
 	served := 0
 	for range 12 {
-		r := h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200")
+		r := h.call("POST", "/once/1", "prompt", bbplatform.HeaderTokenUsage, "100,200")
 		if r.status == 200 {
 			served++
 			continue
@@ -233,7 +233,7 @@
 	is.Equal(served, 5) // 150 each, and 300 must be available to start one
 	h.declarePlan(2, 1200)
 	h.eventually("a top-up is in force", func() bool {
-		return h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200").status == 200
+		return h.call("POST", "/once/1", "prompt", bbplatform.HeaderTokenUsage, "100,200").status == 200
 	})
 }
 
@@ -241,23 +241,23 @@
 func TestClientLeaves(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1000)
-	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 1000, Pause: 10 * time.Millisecond})
+	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, EventCount: 1000, Pause: 10 * time.Millisecond})
 	h.start()
-	r, err := http.NewRequest("POST", "http://"+h.settings.Callers+"/once/1", strings.NewReader("p"))
+	r, err := http.NewRequest("POST", "http://"+h.settings.FrontendAddress+"/once/1", strings.NewReader("p"))
 	is.NoErr(err)
 	r.Host = testHost
-	r.Header.Set(bbplatform.HeaderAttempt, "gone")
-	r.Header.Set(bbplatform.HeaderKey, testKey)
-	r.Header.Set(bbplatform.HeaderUsage, "10,100")
+	r.Header.Set(bbplatform.HeaderAttemptID, "gone")
+	r.Header.Set(bbplatform.HeaderAPIKey, testKey)
+	r.Header.Set(bbplatform.HeaderTokenUsage, "10,100")
 	tr := &http.Transport{}
 	resp, err := tr.RoundTrip(r)
 	is.NoErr(err)
 	_, err = io.ReadFull(resp.Body, make([]byte, 10))
 	is.NoErr(err)
-	is.Equal(target.Open(), 1)
+	is.Equal(target.OpenConns(), 1)
 	_ = resp.Body.Close()
 	tr.CloseIdleConnections()
-	h.eventually("the target's connection is closed", func() bool { return target.Open() == 0 })
+	h.eventually("the target's connection is closed", func() bool { return target.OpenConns() == 0 })
 }
 
 // A planned stop cuts no request: an open stream ends normally, and the unspent
@@ -265,11 +265,11 @@
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 100_000)
-	h.settings.Grace = 4 * time.Second
-	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 20, Pause: 20 * time.Millisecond})
+	h.settings.GracePeriod = 4 * time.Second
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, EventCount: 20, Pause: 20 * time.Millisecond})
 	h.start()
 	done := make(chan clientResult, 1)
-	go func() { done <- h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200") }()
+	go func() { done <- h.call("POST", "/once/1", "prompt", bbplatform.HeaderTokenUsage, "100,200") }()
 	time.Sleep(100 * time.Millisecond)
 	h.stop()
 	r := <-done
@@ -295,15 +295,15 @@
 	h.mem.SetFaults(storeUp)
 	is.NoErr(leaving.Register(t.Context(), h.mem, "draining"))
 	h.eventually("the leaving target gets nothing", func() bool {
-		n := len(leaving.Runs())
+		n := len(leaving.Executions())
 		for range 5 {
 			if h.call("POST", "/book/1", "body").status != 200 {
 				return false
 			}
 		}
-		return len(leaving.Runs()) == n
+		return len(leaving.Executions()) == n
 	})
-	is.True(len(other.Runs()) >= 5)
+	is.True(len(other.Executions()) >= 5)
 }
 
 // Without the store, a request that the share does not cover is refused at
@@ -311,16 +311,16 @@
 func TestShareUsedUpWithStoreDown(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 100_000)
-	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 5})
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, EventCount: 5})
 	h.start()
 	h.mem.SetFaults(storeDown)
 	var last clientResult
 	h.eventually("the share is used up and the store known to be down", func() bool {
-		last = h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "30000,200")
+		last = h.call("POST", "/once/1", "prompt", bbplatform.HeaderTokenUsage, "30000,200")
 		return last.status == http.StatusServiceUnavailable && !strings.Contains(last.body, "in other instances")
 	})
 	time.Sleep(time.Second)
-	last = h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "30000,200")
+	last = h.call("POST", "/once/1", "prompt", bbplatform.HeaderTokenUsage, "30000,200")
 	is.Equal(last.status, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(last.header.Get("Retry-After"), 64)
 	is.NoErr(err)
@@ -331,10 +331,10 @@
 // awaited.
 func TestCutRequestIsLogged(t *testing.T) {
 	h := newHarness(t, 100_000)
-	h.settings.Grace = 1500 * time.Millisecond
-	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, Events: 1000, Pause: 20 * time.Millisecond})
+	h.settings.GracePeriod = 1500 * time.Millisecond
+	h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "llm", Engine: true, EventCount: 1000, Pause: 20 * time.Millisecond})
 	h.start()
-	go func() { h.call("POST", "/once/1", "prompt", bbplatform.HeaderUsage, "100,200") }()
+	go func() { h.call("POST", "/once/1", "prompt", bbplatform.HeaderTokenUsage, "100,200") }()
 	time.Sleep(100 * time.Millisecond)
 	h.stop()
 	h.eventually("the cut is logged", func() bool {
--- a/bluebellport/proxy/ready.go
+++ b/bluebellport/proxy/ready.go
@@ -16,7 +16,7 @@
 // metrics, until the listener is closed.
 func (p *Proxy) serveReady(ln net.Listener) {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true})
-	app.Get(bbplatform.PathReady, func(c *fiber.Ctx) error {
+	app.Get(bbplatform.PathReadiness, func(c *fiber.Ctx) error {
 		if p.state.Ready() {
 			return c.SendStatus(http.StatusOK)
 		}
--- a/bluebellport/proxy/registry.go
+++ b/bluebellport/proxy/registry.go
@@ -49,8 +49,8 @@
 func newRegistry(store RegistryStore, peers PeerNetwork, state *SharedState, log logrus.FieldLogger, settings bbplatform.Settings, isWatcher func() bool) *registry {
 	r := &registry{store: store, peers: peers, state: state, log: log, settings: settings, isWatcher: isWatcher, instances: map[string]bbmember.ListEntry{}}
 	var seeds []bbmember.ListEntry
-	for _, address := range settings.Seeds {
-		if address != settings.Peers {
+	for _, address := range settings.SeedAddresses {
+		if address != settings.PeerAddress {
 			seeds = append(seeds, bbmember.ListEntry{ID: bbunit.InstanceID(address), Domain: unknownDomain, Address: address})
 		}
 	}
@@ -64,7 +64,7 @@
 // keepRegistered registers this instance and renews the lease until ctx ends;
 // then it removes the entry.
 func (r *registry) keepRegistered(ctx context.Context) {
-	key := instancesPrefix + r.settings.Peers
+	key := instancesPrefix + r.settings.PeerAddress
 	value, err := json.Marshal(instanceJSON{Domain: r.settings.Domain})
 	if err != nil {
 		panic(err) // a string always encodes
@@ -106,7 +106,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err := r.store.Renew(ctx, lease); errors.Is(err, bbstore.ErrLease) {
+		if err := r.store.Renew(ctx, lease); errors.Is(err, bbstore.ErrLeaseNotFound) {
 			return
 		}
 	}
--- a/bluebellport/proxy/request.go
+++ b/bluebellport/proxy/request.go
@@ -81,8 +81,8 @@
 // singletonFields may occur only once: of two values, each reader could use
 // another.
 var singletonFields = []string{
-	bbplatform.HeaderAttempt, bbplatform.HeaderDeadline, bbplatform.HeaderKey,
-	bbplatform.HeaderUsage, bbplatform.HeaderPrompt, "Model", bbplatform.HeaderLastEvent,
+	bbplatform.HeaderAttemptID, bbplatform.HeaderDeadline, bbplatform.HeaderAPIKey,
+	bbplatform.HeaderTokenUsage, bbplatform.HeaderPromptParts, "Model", bbplatform.HeaderLastEventID,
 }
 
 // readFields parses the fields that the proxy uses.
@@ -97,19 +97,19 @@
 		return errors.Annotatef(ErrMalformed, "host stands %d times", n)
 	}
 	r.Host = host
-	r.AttemptID = r.Fields.Value(bbplatform.HeaderAttempt)
-	r.APIKey = r.Fields.Value(bbplatform.HeaderKey)
-	r.LastEventID = r.Fields.Value(bbplatform.HeaderLastEvent)
+	r.AttemptID = r.Fields.Value(bbplatform.HeaderAttemptID)
+	r.APIKey = r.Fields.Value(bbplatform.HeaderAPIKey)
+	r.LastEventID = r.Fields.Value(bbplatform.HeaderLastEventID)
 	r.Timeout = defaultDeadline
 	if text, n := r.Fields.Get(bbplatform.HeaderDeadline); n == 1 {
-		timeout, ok := bbplatform.Deadline(text)
+		timeout, ok := bbplatform.ParseDeadline(text)
 		if !ok {
 			return errors.Annotatef(ErrMalformed, "deadline %.40q", text)
 		}
 		r.Timeout = timeout
 	}
-	if text, n := r.Fields.Get(bbplatform.HeaderUsage); n == 1 {
-		if r.PromptTokens, r.OutputTokens, r.HasUsage = bbplatform.Usage(text); !r.HasUsage {
+	if text, n := r.Fields.Get(bbplatform.HeaderTokenUsage); n == 1 {
+		if r.PromptTokens, r.OutputTokens, r.HasUsage = bbplatform.ParseTokenUsage(text); !r.HasUsage {
 			return errors.Annotatef(ErrMalformed, "usage %.40q", text)
 		}
 	}
@@ -129,13 +129,13 @@
 // SharedPrefix returns a hash of the parts of the prompt that other requests may
 // share, and their tokens: all parts but the last.
 func (r *Request) SharedPrefix() (uint64, bbunit.Tokens) {
-	text := r.Fields.Value(bbplatform.HeaderPrompt)
+	text := r.Fields.Value(bbplatform.HeaderPromptParts)
 	i := strings.LastIndexByte(text, ',')
 	if i < 0 {
 		return 0, 0
 	}
 	var n bbunit.Tokens
-	for _, p := range bbplatform.Parts(text[:i]) {
+	for _, p := range bbplatform.ParsePromptParts(text[:i]) {
 		n += p.Tokens
 	}
 	return xxhash.Sum64String(text[:i]), min(n, r.PromptTokens)
--- a/bluebellport/proxy/response.go
+++ b/bluebellport/proxy/response.go
@@ -46,7 +46,7 @@
 
 // saysNotRun reports whether the target states that it did not run the request.
 func (r *Response) saysNotRun() bool {
-	_, count := r.Fields.Get(bbplatform.HeaderNotRun)
+	_, count := r.Fields.Get(bbplatform.HeaderNotExecuted)
 	return count > 0 || r.Status == 421
 }
 
@@ -59,6 +59,6 @@
 
 // belongsTo reports whether the response echoes the attempt's id.
 func (r *Response) belongsTo(attemptID string) bool {
-	id, n := r.Fields.Get(bbplatform.HeaderAttempt)
+	id, n := r.Fields.Get(bbplatform.HeaderAttemptID)
 	return n == 1 && id == attemptID
 }
--- a/bluebellport/src/bill_test.go
+++ b/bluebellport/src/bill_test.go
@@ -59,15 +59,15 @@
 		f.checkVerdict(n.billRecordAndWait(r), bbwire.Verdict_TAKEN)
 	}},
 	{"answer lost", func(f *recorderFleet) {
-		f.store.SetFaults(bbstore.Faults{LoseNext: 1})
+		f.store.SetFaults(bbstore.Faults{LoseNextAnswers: 1})
 		f.checkVerdict(f.instances["a1"].billAndWait("r", 5), bbwire.Verdict_TAKEN)
 	}},
 	{"write lost", func(f *recorderFleet) {
-		f.store.SetFaults(bbstore.Faults{DropNext: 1})
+		f.store.SetFaults(bbstore.Faults{DropNextWrites: 1})
 		f.checkVerdict(f.instances["a1"].billAndWait("r", 5), bbwire.Verdict_TAKEN)
 	}},
 	{"every write lands late", func(f *recorderFleet) {
-		f.store.SetFaults(bbstore.Faults{Late: 100 * time.Millisecond})
+		f.store.SetFaults(bbstore.Faults{ApplyDelay: 100 * time.Millisecond})
 		time.AfterFunc(400*time.Millisecond, func() { f.store.SetFaults(bbstore.Faults{}) })
 		f.checkVerdict(f.instances["a1"].billAndWait("r", 5), bbwire.Verdict_TAKEN)
 	}},
--- a/bluebellport/src/budget_manager_fault_test.go
+++ b/bluebellport/src/budget_manager_fault_test.go
@@ -19,10 +19,10 @@
 		name   string
 		faults bbstore.Faults
 	}{
-		{"every second answer lost", bbstore.Faults{LoseEvery: 2}},
-		{"writes lost", bbstore.Faults{DropNext: 3}},
-		{"writes late", bbstore.Faults{Late: 30 * time.Millisecond}},
-		{"slow", bbstore.Faults{Slow: 20 * time.Millisecond}},
+		{"every second answer lost", bbstore.Faults{LoseEveryNthAnswer: 2}},
+		{"writes lost", bbstore.Faults{DropNextWrites: 3}},
+		{"writes late", bbstore.Faults{ApplyDelay: 30 * time.Millisecond}},
+		{"slow", bbstore.Faults{Latency: 20 * time.Millisecond}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/bluebellport/src/claim_test.go
+++ b/bluebellport/src/claim_test.go
@@ -62,15 +62,15 @@
 		return []error{f.instances["a1"].request("r", 5), f.instances["b1"].request("r", 5)}
 	}, []error{nil, ErrAlreadyClaimed}},
 	{"answer lost", func(f *recorderFleet) []error {
-		f.store.SetFaults(bbstore.Faults{LoseNext: 1})
+		f.store.SetFaults(bbstore.Faults{LoseNextAnswers: 1})
 		return []error{f.instances["a1"].request("r", 5), f.instances["b1"].request("r", 5)}
 	}, []error{nil, ErrAlreadyClaimed}},
 	{"write lost", func(f *recorderFleet) []error {
-		f.store.SetFaults(bbstore.Faults{DropNext: 1})
+		f.store.SetFaults(bbstore.Faults{DropNextWrites: 1})
 		return []error{f.instances["a1"].request("r", 5), f.instances["b1"].request("r", 5)}
 	}, []error{nil, ErrAlreadyClaimed}},
 	{"write lands after it was read back", func(f *recorderFleet) []error {
-		f.store.SetFaults(bbstore.Faults{Late: 100 * time.Millisecond})
+		f.store.SetFaults(bbstore.Faults{ApplyDelay: 100 * time.Millisecond})
 		time.AfterFunc(50*time.Millisecond, func() { f.store.SetFaults(bbstore.Faults{}) })
 		return []error{f.instances["a1"].request("r", 5), f.instances["b1"].request("r", 5)}
 	}, []error{nil, ErrAlreadyClaimed}},
@@ -81,7 +81,7 @@
 		return []error{first, f.instances["b1"].request("r", 5), f.instances["a1"].request("r", 5)}
 	}, []error{ErrClaimNotWritten, nil, ErrAlreadyClaimed}},
 	{"given up, then the write lands, then the caller comes again", func(f *recorderFleet) []error {
-		f.store.SetFaults(bbstore.Faults{Late: 2500 * time.Millisecond})
+		f.store.SetFaults(bbstore.Faults{ApplyDelay: 2500 * time.Millisecond})
 		first := f.instances["a1"].request("r", 5)
 		time.Sleep(time.Second)
 		f.store.SetFaults(bbstore.Faults{})
@@ -157,7 +157,7 @@
 func TestConcurrentClaims(t *testing.T) {
 	is := is.New(t)
 	f := newRecorderFleet(t, testRecordOptions(), 2, 2, 2)
-	f.store.SetFaults(bbstore.Faults{LoseEvery: 3})
+	f.store.SetFaults(bbstore.Faults{LoseEveryNthAnswer: 3})
 	var wg sync.WaitGroup
 	for _, id := range f.order {
 		for i := range 40 {
--- a/bluebellport/src/follower_fault_test.go
+++ b/bluebellport/src/follower_fault_test.go
@@ -156,9 +156,9 @@
 	acceptTicket(t, store, 1)
 	a, b := startInstance(t, "a", "d1", l, store), startInstance(t, "b", "d1", l, store)
 	within(t, 5*time.Second, "ticket 1, one watch", func() bool {
-		return haveTicket(1, a, b)() && store.Counts().Waiting == 1 && a.sees("b") && b.sees("a")
+		return haveTicket(1, a, b)() && store.Counts().OpenWatches == 1 && a.sees("b") && b.sees("a")
 	})
-	store.Mute()
+	store.SilenceWatches()
 	acceptTicket(t, store, 2)
 	took := within(t, headReadInterval+3*time.Second, "ticket 2 in spite of the silent watch", haveTicket(2, a, b))
 	t.Logf("in force %s after the watch went silent", took)
@@ -181,7 +181,7 @@
 				return false
 			}
 		}
-		return store.Counts().Waiting == 1
+		return store.Counts().OpenWatches == 1
 	})
 	home, _ := nodes["i0"].view().Home(watchKey, "d1")
 	nodes[home.ID].kill()
--- a/bluebellport/src/follower_test.go
+++ b/bluebellport/src/follower_test.go
@@ -55,5 +55,5 @@
 	for _, d := range nodes {
 		is.Equal(d.deps.Board.State.Load().Accounts["shared"].Object.Priority, bbunit.Priority(2))
 	}
-	within(t, 2*time.Second, "one waiting watch a failure domain", func() bool { return store.Counts().Waiting == 2 })
+	within(t, 2*time.Second, "one waiting watch a failure domain", func() bool { return store.Counts().OpenWatches == 2 })
 }
--- a/bluebellport/src/native.go
+++ b/bluebellport/src/native.go
@@ -90,8 +90,8 @@
 // is known to the others by the address at which they reach it.
 func nativeDeps(set bbplatform.Settings, log logrus.FieldLogger) Deps {
 	opts := &Options{
-		Self: SelfOptions{Instance: set.Peers, Domain: string(set.Domain), StoreAddress: set.Store},
-		Peer: PeerOptions{ListenAddress: set.Peers, GossipPeriod: nativeGossipPeriod, SuspicionTimeout: nativeSuspicionTimeout},
+		Self: SelfOptions{Instance: set.PeerAddress, Domain: string(set.Domain), StoreAddress: set.StoreAddress},
+		Peer: PeerOptions{ListenAddress: set.PeerAddress, GossipPeriod: nativeGossipPeriod, SuspicionTimeout: nativeSuspicionTimeout},
 	}
 	return newDeps(opts, log)
 }
--- a/bluebellstand/src/native.go
+++ b/bluebellstand/src/native.go
@@ -67,7 +67,7 @@
 		return bbplatformstand.TargetOptions{}, errors.Errorf("not ID=SERVICE@DOMAIN: %q", text)
 	}
 	return bbplatformstand.TargetOptions{
-		ID: id, Service: service, Domain: domain, Engine: kind == "engine", Events: o.Events, Pause: o.Pause,
+		ID: id, Service: service, Domain: domain, Engine: kind == "engine", EventCount: o.Events, Pause: o.Pause,
 	}, nil
 }
 
@@ -102,7 +102,7 @@
 		if err := t.Register(ctx, mem, "ready"); err != nil {
 			return err
 		}
-		defer func() { s.log.WithFields(logrus.Fields{"target": opts.ID, "runs": len(t.Runs())}).Info("ran") }()
+		defer func() { s.log.WithFields(logrus.Fields{"target": opts.ID, "runs": len(t.Executions())}).Info("ran") }()
 	}
 	s.log.WithField("address", l.Addr().String()).Info("ready")
 	<-ctx.Done()
--- a/bluebellstand/src/native_call.go
+++ b/bluebellstand/src/native_call.go
@@ -40,7 +40,7 @@
 	if o.Host == "" || !strings.HasPrefix(o.Path, "/") {
 		bad = append(bad, fmt.Sprintf("--host, --path: %q, %q", o.Host, o.Path))
 	}
-	if _, _, ok := bbplatform.Usage(o.Usage); o.Usage != "" && !ok {
+	if _, _, ok := bbplatform.ParseTokenUsage(o.Usage); o.Usage != "" && !ok {
 		bad = append(bad, fmt.Sprintf("--usage: not two numbers: %q", o.Usage))
 	}
 	if o.Count < 1 || o.Deadline <= 0 {
@@ -74,11 +74,11 @@
 		return err.Error(), ""
 	}
 	r.Host = o.Host
-	r.Header.Set(bbplatform.HeaderAttempt, uuid.NewString())
-	r.Header.Set(bbplatform.HeaderKey, o.Key)
+	r.Header.Set(bbplatform.HeaderAttemptID, uuid.NewString())
+	r.Header.Set(bbplatform.HeaderAPIKey, o.Key)
 	r.Header.Set(bbplatform.HeaderDeadline, fmt.Sprint(o.Deadline.Milliseconds()))
 	if o.Usage != "" {
-		r.Header.Set(bbplatform.HeaderUsage, o.Usage)
+		r.Header.Set(bbplatform.HeaderTokenUsage, o.Usage)
 	}
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
--- a/bluebellstand/src/store.go
+++ b/bluebellstand/src/store.go
@@ -26,14 +26,14 @@
 
 func (f *StoreFault) faults() bbstore.Faults {
 	return bbstore.Faults{
-		Down:      f.Down,
-		Slow:      time.Duration(f.SlowMS) * time.Millisecond,
-		LoseNext:  f.Lose,
-		LoseEvery: f.LoseEvery,
-		DropNext:  f.Drop,
-		Late:      time.Duration(f.LateMS) * time.Millisecond,
-		ReadRate:  f.ReadRate,
-		WriteRate: f.WriteRate,
+		Down:               f.Down,
+		Latency:            time.Duration(f.SlowMS) * time.Millisecond,
+		LoseNextAnswers:    f.Lose,
+		LoseEveryNthAnswer: f.LoseEvery,
+		DropNextWrites:     f.Drop,
+		ApplyDelay:         time.Duration(f.LateMS) * time.Millisecond,
+		ReadRate:           f.ReadRate,
+		WriteRate:          f.WriteRate,
 	}
 }
 
--- a/e2e/native_test.go
+++ b/e2e/native_test.go
@@ -71,7 +71,7 @@
 	_, err = f.mem.CAS(t.Context(), bbplatform.KeyPlan, []byte(nativePlan), 0, 0)
 	is.NoErr(err)
 	for i, d := range domains {
-		f.target(bbplatformstand.TargetOptions{ID: fmt.Sprint("llm-", i), Service: "llm", Domain: d, Engine: true, Events: nativeEvents})
+		f.target(bbplatformstand.TargetOptions{ID: fmt.Sprint("llm-", i), Service: "llm", Domain: d, Engine: true, EventCount: nativeEvents})
 		f.target(bbplatformstand.TargetOptions{ID: fmt.Sprint("desk-", i), Service: "desk", Domain: d})
 	}
 	for i, d := range domains {
@@ -105,7 +105,7 @@
 	f.t.Setenv(bbplatform.SettingsVariable, n.settings)
 	n.process = startProcess(f.t, name, "bluebellport", "native")
 	for end := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
-		if r, err := http.Get("http://" + n.ready + bbplatform.PathReady); err == nil {
+		if r, err := http.Get("http://" + n.ready + bbplatform.PathReadiness); err == nil {
 			_ = r.Body.Close()
 			if r.StatusCode == http.StatusOK {
 				return
@@ -123,10 +123,10 @@
 	r, err := http.NewRequest("POST", "http://"+n.callers+path, strings.NewReader("body"))
 	is.New(f.t).NoErr(err)
 	r.Host = nativeHost
-	r.Header.Set(bbplatform.HeaderAttempt, fmt.Sprint("attempt-", f.attempts.Add(1)))
-	r.Header.Set(bbplatform.HeaderKey, nativeKey)
+	r.Header.Set(bbplatform.HeaderAttemptID, fmt.Sprint("attempt-", f.attempts.Add(1)))
+	r.Header.Set(bbplatform.HeaderAPIKey, nativeKey)
 	r.Header.Set(bbplatform.HeaderDeadline, "3000")
-	r.Header.Set(bbplatform.HeaderUsage, fmt.Sprintf("%d,%d", nativePrompt, nativeEvents*nativeStride))
+	r.Header.Set(bbplatform.HeaderTokenUsage, fmt.Sprintf("%d,%d", nativePrompt, nativeEvents*nativeStride))
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return 0, ""
@@ -144,11 +144,11 @@
 func (f *nativeFleet) spent() (tokens int, twice []string) {
 	seen := map[string]bool{}
 	for _, t := range f.targets {
-		for _, r := range t.Runs() {
-			if seen[r.Attempt] {
-				twice = append(twice, r.Attempt)
+		for _, r := range t.Executions() {
+			if seen[r.AttemptID] {
+				twice = append(twice, r.AttemptID)
 			}
-			seen[r.Attempt] = true
+			seen[r.AttemptID] = true
 			if strings.HasPrefix(r.Path, "/draft/") {
 				tokens += nativePrompt + nativeEvents*nativeStride
 			}
@@ -193,7 +193,7 @@
 	f.instances[2].kill()
 	f.mem.SetFaults(bbstore.Faults{Down: true})
 	time.Sleep(500 * time.Millisecond)
-	f.mem.SetFaults(bbstore.Faults{LoseEvery: 3})
+	f.mem.SetFaults(bbstore.Faults{LoseEveryNthAnswer: 3})
 	f.start(f.instances[2], "again")
 	f.mem.SetFaults(bbstore.Faults{})
 	time.Sleep(300 * time.Millisecond)
--- a/shared/bbledger/operator_test.go
+++ b/shared/bbledger/operator_test.go
@@ -58,7 +58,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			m := operatorStore(t)
-			m.SetFaults(bbstore.Faults{LoseNext: 1}) // the first answer is lost, so the write is repeated
+			m.SetFaults(bbstore.Faults{LoseNextAnswers: 1}) // the first answer is lost, so the write is repeated
 			err := Cap(ctx, m, "b", c.paid, c.number, c.nonce)
 			is.True(errors.Is(err, c.err))
 			s := budgetB(t, m)
@@ -96,7 +96,7 @@
 		{5, 20, 50},  // the grantee's stuck amount
 		{20, 30, 70}, // what the holder has drawn beyond its reported spending
 	} {
-		m.SetFaults(bbstore.Faults{LoseNext: 1})
+		m.SetFaults(bbstore.Faults{LoseNextAnswers: 1})
 		n, err := Release(ctx, m, "b", "k/1/0-1")
 		is.NoErr(err)
 		is.Equal(n, c.released)
--- a/shared/bbstore/client.go
+++ b/shared/bbstore/client.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	defaultTimeout = 2 * time.Second
-	defaultIdle    = 15 * time.Second
-	defaultConns   = 64
+	defaultTimeout   = 2 * time.Second
+	defaultWatchIdle = 15 * time.Second
+	defaultMaxConns  = 64
 )
 
 // errDial means that no connection could be made, so nothing was sent.
@@ -27,11 +27,11 @@
 type ClientOptions struct {
 	// Timeout bounds every call but a watch, beside the caller's context.
 	Timeout time.Duration
-	// Idle is the longest silence on a watch before its connection counts as
+	// WatchIdleTimeout is the longest silence on a watch before its connection counts as
 	// broken. The service's progress notices must come more often.
-	Idle time.Duration
-	// Conns is the most connections open at once, watches not counted.
-	Conns int
+	WatchIdleTimeout time.Duration
+	// MaxConns is the most connections open at once, watches not counted.
+	MaxConns int
 }
 
 // Client is a Store that speaks the JSON gateway of etcd v3 over HTTP.
@@ -48,17 +48,17 @@
 	if opts.Timeout <= 0 {
 		opts.Timeout = defaultTimeout
 	}
-	if opts.Idle <= 0 {
-		opts.Idle = defaultIdle
+	if opts.WatchIdleTimeout <= 0 {
+		opts.WatchIdleTimeout = defaultWatchIdle
 	}
-	if opts.Conns <= 0 {
-		opts.Conns = defaultConns
+	if opts.MaxConns <= 0 {
+		opts.MaxConns = defaultMaxConns
 	}
 	c := &Client{addr: addr, opts: opts}
 	c.http = &fasthttp.HostClient{
 		Addr:                          addr,
 		Name:                          "bbstore",
-		MaxConns:                      opts.Conns,
+		MaxConns:                      opts.MaxConns,
 		MaxConnWaitTimeout:            opts.Timeout,
 		MaxResponseBodySize:           1 << 30,
 		DisableHeaderNamesNormalizing: true,
@@ -83,8 +83,8 @@
 
 // Get returns the entry, with Rev 0 and no error when the key is absent.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
-	var a gwRangeAnswer
-	if err := c.read(ctx, &gwRange{Key: []byte(key)}, &a); err != nil {
+	var a gwRangeResponse
+	if err := c.read(ctx, &gwRangeRequest{Key: []byte(key)}, &a); err != nil {
 		return Entry{}, err
 	}
 	if len(a.Kvs) == 0 {
@@ -95,8 +95,8 @@
 
 // List returns the entries under the prefix in key order.
 func (c *Client) List(ctx context.Context, prefix string) ([]Entry, Revision, error) {
-	var a gwRangeAnswer
-	if err := c.read(ctx, &gwRange{Key: rangeKey(prefix), RangeEnd: rangeEnd(prefix)}, &a); err != nil {
+	var a gwRangeResponse
+	if err := c.read(ctx, &gwRangeRequest{Key: rangeKey(prefix), RangeEnd: rangeEnd(prefix)}, &a); err != nil {
 		return nil, 0, err
 	}
 	var out []Entry
@@ -116,18 +116,18 @@
 
 // CAS writes value if the key is at revision prev; a nil value deletes.
 func (c *Client) CAS(ctx context.Context, key string, value []byte, prev Revision, lease LeaseID) (Revision, error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueBytes {
 		return 0, errors.Annotatef(ErrTooLarge, "%s: %d bytes", key, len(value))
 	}
 	op := gwOp{Put: &gwPut{Key: []byte(key), Value: value, Lease: int64(lease)}}
 	if value == nil {
-		op = gwOp{Delete: &gwRange{Key: []byte(key)}}
+		op = gwOp{Delete: &gwRangeRequest{Key: []byte(key)}}
 	}
-	txn := gwTxn{
+	txn := gwTxnRequest{
 		Compare: []gwCompare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: int64(prev)}},
 		Success: []gwOp{op},
 	}
-	var a gwTxnAnswer
+	var a gwTxnResponse
 	if err := c.write(ctx, pathTxn, &txn, &a); err != nil {
 		return 0, err
 	}
@@ -147,12 +147,12 @@
 
 // Renew extends a lease to its full time; ErrLease when it has lapsed.
 func (c *Client) Renew(ctx context.Context, id LeaseID) error {
-	var a gwLeaseResult
+	var a gwKeepAliveResponse
 	if err := c.write(ctx, pathKeepAlive, &gwLease{ID: int64(id)}, &a); err != nil {
 		return err
 	}
 	if a.Result.TTL <= 0 {
-		return ErrLease
+		return ErrLeaseNotFound
 	}
 	return nil
 }
@@ -163,12 +163,12 @@
 }
 
 // read asks once more when a connection kept open was closed meanwhile.
-func (c *Client) read(ctx context.Context, in *gwRange, out *gwRangeAnswer) error {
+func (c *Client) read(ctx context.Context, in *gwRangeRequest, out *gwRangeResponse) error {
 	err := c.call(ctx, pathRange, in, out)
 	if errors.Is(err, fasthttp.ErrConnectionClosed) {
 		err = c.call(ctx, pathRange, in, out)
 	}
-	if err == nil || errors.Is(err, ErrDown) || errors.Is(err, ErrLease) {
+	if err == nil || errors.Is(err, ErrDown) || errors.Is(err, ErrLeaseNotFound) {
 		return err
 	}
 	return fmt.Errorf("%w: %w", ErrDown, err)
@@ -176,7 +176,7 @@
 
 func (c *Client) write(ctx context.Context, path string, in, out any) error {
 	err := c.call(ctx, path, in, out)
-	if err == nil || errors.Is(err, ErrDown) || errors.Is(err, ErrLease) || errors.Is(err, ErrTooLarge) {
+	if err == nil || errors.Is(err, ErrDown) || errors.Is(err, ErrLeaseNotFound) || errors.Is(err, ErrTooLarge) {
 		return err
 	}
 	return fmt.Errorf("%w: %w", ErrUnknown, err)
@@ -237,12 +237,12 @@
 	text := fmt.Sprintf("status %d: %s", status, e.Message)
 	switch {
 	case status == http.StatusTooManyRequests:
-		return fmt.Errorf("%w: %w: %s", ErrDown, ErrRate, text)
+		return fmt.Errorf("%w: %w: %s", ErrDown, ErrRateLimited, text)
 	case status == http.StatusServiceUnavailable && !strings.Contains(e.Message, "timed out") && !strings.Contains(e.Message, "connection"):
 		return errors.Annotate(ErrDown, text)
 	case e.Code == codeNotFound:
-		return errors.Annotate(ErrLease, text)
-	case e.Code == codeInvalid && strings.Contains(e.Message, "too large"):
+		return errors.Annotate(ErrLeaseNotFound, text)
+	case e.Code == codeInvalidArgument && strings.Contains(e.Message, "too large"):
 		return errors.Annotate(ErrTooLarge, text)
 	}
 	return errors.New(text)
--- a/shared/bbstore/client_test.go
+++ b/shared/bbstore/client_test.go
@@ -12,16 +12,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-const testIdle = 500 * time.Millisecond
+const testWatchIdleTimeout = 500 * time.Millisecond
 
-// newServedClient returns a client of a Mem behind a server on loopback.
-func newServedClient(t *testing.T) (Store, *Mem) {
+// newClientWithServer returns a client of a Mem behind a server on loopback.
+func newClientWithServer(t *testing.T) (Store, *Mem) {
 	m := NewMem()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	s, stop := NewServer(m, testIdle/10)
+	s, stop := NewServer(m, testWatchIdleTimeout/10)
 	serve(t, l, s.Handle, stop)
-	c, closeClient := NewClient(l.Addr().String(), ClientOptions{Idle: testIdle})
+	c, closeClient := NewClient(l.Addr().String(), ClientOptions{WatchIdleTimeout: testWatchIdleTimeout})
 	t.Cleanup(closeClient)
 	return c, m
 }
@@ -37,7 +37,7 @@
 	})
 }
 
-func answer(status int, body string) fasthttp.RequestHandler {
+func respondWith(status int, body string) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.SetStatusCode(status)
 		ctx.SetBodyString(body)
@@ -46,21 +46,21 @@
 
 func TestClientErrors(t *testing.T) {
 	silent := func(*fasthttp.RequestCtx) { time.Sleep(300 * time.Millisecond) }
-	closing := func(ctx *fasthttp.RequestCtx) { fail(ctx, ErrUnknown) }
+	closing := func(ctx *fasthttp.RequestCtx) { writeFailure(ctx, ErrUnknown) }
 	cases := []struct {
 		name        string
 		handler     fasthttp.RequestHandler
 		read, write error
 	}{
-		{"503", answer(503, `{"code":14,"message":"etcdserver: no leader"}`), ErrDown, ErrDown},
-		{"503 without a body", answer(503, ""), ErrDown, ErrDown},
-		{"503 after a time-out", answer(503, `{"code":14,"message":"etcdserver: request timed out"}`), ErrDown, ErrUnknown},
-		{"429", answer(429, ""), ErrDown, ErrDown},
-		{"500", answer(500, ""), ErrDown, ErrUnknown},
-		{"not JSON", answer(200, "<html>"), ErrDown, ErrUnknown},
+		{"503", respondWith(503, `{"code":14,"message":"etcdserver: no leader"}`), ErrDown, ErrDown},
+		{"503 without a body", respondWith(503, ""), ErrDown, ErrDown},
+		{"503 after a time-out", respondWith(503, `{"code":14,"message":"etcdserver: request timed out"}`), ErrDown, ErrUnknown},
+		{"429", respondWith(429, ""), ErrDown, ErrDown},
+		{"500", respondWith(500, ""), ErrDown, ErrUnknown},
+		{"not JSON", respondWith(200, "<html>"), ErrDown, ErrUnknown},
 		{"no answer in time", silent, ErrDown, ErrUnknown},
 		{"connection closed", closing, ErrDown, ErrUnknown},
-		{"lease gone", answer(404, `{"code":5,"message":"etcdserver: requested lease not found"}`), ErrLease, ErrLease},
+		{"lease gone", respondWith(404, `{"code":5,"message":"etcdserver: requested lease not found"}`), ErrLeaseNotFound, ErrLeaseNotFound},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -94,8 +94,8 @@
 
 func TestClientCancelled(t *testing.T) {
 	is := is.New(t)
-	s, m := newServedClient(t)
-	m.SetFaults(Faults{Slow: 300 * time.Millisecond})
+	s, m := newClientWithServer(t)
+	m.SetFaults(Faults{Latency: 300 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(30*time.Millisecond, cancel)
 	start := time.Now()
@@ -108,10 +108,10 @@
 
 func TestClientSilentWatch(t *testing.T) {
 	is := is.New(t)
-	s, m := newServedClient(t)
+	s, m := newClientWithServer(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	time.AfterFunc(100*time.Millisecond, m.Mute)
+	time.AfterFunc(100*time.Millisecond, m.SilenceWatches)
 	is.True(errors.Is(s.Watch(ctx, "a", 0, func(Event) error { return nil }), ErrDown))
 	_, err := m.CAS(ctx, "a", []byte("1"), 0, 0)
 	is.NoErr(err)
--- a/shared/bbstore/client_watch.go
+++ b/shared/bbstore/client_watch.go
@@ -16,7 +16,7 @@
 // Watch calls fn for each change under prefix after revision from. It has a
 // connection of its own, which counts as broken after a silence of Idle.
 func (c *Client) Watch(ctx context.Context, prefix string, from Revision, fn func(Event) error) error {
-	body, err := json.Marshal(&gwWatch{Create: gwWatchCreate{
+	body, err := json.Marshal(&gwWatchRequest{Create: gwWatchCreateRequest{
 		Key:            rangeKey(prefix),
 		RangeEnd:       rangeEnd(prefix),
 		StartRevision:  int64(from) + 1,
@@ -39,7 +39,7 @@
 		text, _ := io.ReadAll(resp.BodyStream())
 		return watchError(ctx, statusError(resp.StatusCode(), text))
 	}
-	return watchLines(ctx, json.NewDecoder(resp.BodyStream()), fn)
+	return readEvents(ctx, json.NewDecoder(resp.BodyStream()), fn)
 }
 
 // watchClient makes the one connection of a watch, which ends with ctx.
@@ -56,28 +56,28 @@
 				return nil, err
 			}
 			context.AfterFunc(ctx, func() { _ = conn.Close() })
-			return &idleConn{Conn: conn, idle: c.opts.Idle}, nil
+			return &idleTimeoutConn{Conn: conn, timeout: c.opts.WatchIdleTimeout}, nil
 		},
 	}
 }
 
-// idleConn fails a read that gets nothing for the time idle.
-type idleConn struct {
+// idleTimeoutConn fails a read that gets nothing for the time idle.
+type idleTimeoutConn struct {
 	net.Conn
-	idle time.Duration
+	timeout time.Duration
 }
 
 // Read reads from the connection. It blocks for idle at most.
-func (i *idleConn) Read(b []byte) (int, error) {
-	if err := i.SetReadDeadline(time.Now().Add(i.idle)); err != nil {
+func (i *idleTimeoutConn) Read(b []byte) (int, error) {
+	if err := i.SetReadDeadline(time.Now().Add(i.timeout)); err != nil {
 		return 0, err
 	}
 	return i.Conn.Read(b)
 }
 
-func watchLines(ctx context.Context, d *json.Decoder, fn func(Event) error) error {
+func readEvents(ctx context.Context, d *json.Decoder, fn func(Event) error) error {
 	for {
-		var l gwWatchLine
+		var l gwWatchMessage
 		if err := d.Decode(&l); err != nil {
 			return watchError(ctx, err)
 		}
--- a/shared/bbstore/faults.go
+++ b/shared/bbstore/faults.go
@@ -9,28 +9,28 @@
 	"golang.org/x/time/rate"
 )
 
-// ErrRate means that a call was above the service's rate; it is also an
+// ErrRateLimited means that a call was above the service's rate; it is also an
 // ErrDown, since nothing was written.
-const ErrRate = errors.ConstError("above the service's rate")
+const ErrRateLimited = errors.ConstError("above the service's rate")
 
 // Faults are the ways in which a Mem misbehaves. The zero value has none.
 type Faults struct {
 	// Down refuses every call and breaks the open watches.
 	Down bool
-	// Slow is how long each call takes. A write whose caller stops waiting
+	// Latency is how long each call takes. A write whose caller stops waiting
 	// takes effect all the same.
-	Slow time.Duration
-	// LoseNext loses the answers of that many writes: each takes effect and
+	Latency time.Duration
+	// LoseNextAnswers loses the answers of that many writes: each takes effect and
 	// its caller gets ErrUnknown.
-	LoseNext int
-	// LoseEvery loses the answer of every n-th write; 0 loses none.
-	LoseEvery int
-	// DropNext loses that many writes themselves: the caller gets ErrUnknown
+	LoseNextAnswers int
+	// LoseEveryNthAnswer loses the answer of every n-th write; 0 loses none.
+	LoseEveryNthAnswer int
+	// DropNextWrites loses that many writes themselves: the caller gets ErrUnknown
 	// and nothing takes effect.
-	DropNext int
-	// Late, when above 0, gives every writer ErrUnknown at once and lets its
+	DropNextWrites int
+	// ApplyDelay, when above 0, gives every writer ErrUnknown at once and lets its
 	// write take effect, if the key has not moved on, only after this time.
-	Late time.Duration
+	ApplyDelay time.Duration
 	// ReadRate and WriteRate bound the calls a second; 0 does not bound.
 	ReadRate, WriteRate float64
 }
@@ -40,36 +40,36 @@
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
-	// Waiting is how many watches are open now.
-	Waiting int64 `json:"waiting"`
+	// OpenWatches is how many watches are open now.
+	OpenWatches int64 `json:"waiting"`
 	// Refused is how many of the calls found the service down or its rate used up.
 	Refused int64 `json:"refused"`
-	// Lost is how many writes got no answer.
-	Lost int64 `json:"lost"`
+	// LostAnswers is how many writes got no answer.
+	LostAnswers int64 `json:"lost"`
 }
 
-// memGate is what each call of a Mem passes: its faults, rates and counts.
-type memGate struct {
-	faults Faults
-	counts Counts
-	reads  *rate.Limiter
-	writes *rate.Limiter
+// memAdmission is what each call of a Mem passes: its faults, rates and counts.
+type memAdmission struct {
+	faults       Faults
+	counts       Counts
+	readLimiter  *rate.Limiter
+	writeLimiter *rate.Limiter
 }
 
 // SetFaults replaces the faults. It does not block.
 func (m *Mem) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if f.ReadRate != m.gate.faults.ReadRate {
-		m.gate.reads = newLimiter(f.ReadRate)
+	if f.ReadRate != m.admission.faults.ReadRate {
+		m.admission.readLimiter = newLimiter(f.ReadRate)
 	}
-	if f.WriteRate != m.gate.faults.WriteRate {
-		m.gate.writes = newLimiter(f.WriteRate)
+	if f.WriteRate != m.admission.faults.WriteRate {
+		m.admission.writeLimiter = newLimiter(f.WriteRate)
 	}
-	m.gate.faults = f
-	if f.Down && m.broken != nil {
-		close(m.broken)
-		m.broken = nil
+	m.admission.faults = f
+	if f.Down && m.watchesBroken != nil {
+		close(m.watchesBroken)
+		m.watchesBroken = nil
 	}
 }
 
@@ -77,23 +77,23 @@
 func (m *Mem) Faults() Faults {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.gate.faults
+	return m.admission.faults
 }
 
 // Counts returns how often the store was called so far.
 func (m *Mem) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.gate.counts
+	return m.admission.counts
 }
 
-// Mute silences the watches that are open now for good; new ones work.
-func (m *Mem) Mute() {
+// SilenceWatches silences the watches that are open now for good; new ones work.
+func (m *Mem) SilenceWatches() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.muted != nil {
-		close(m.muted)
-		m.muted = nil
+	if m.watchesSilenced != nil {
+		close(m.watchesSilenced)
+		m.watchesSilenced = nil
 	}
 }
 
@@ -104,8 +104,8 @@
 	return rate.NewLimiter(rate.Limit(r), int(r)+1)
 }
 
-// pass counts a refused call, and tells why it is refused.
-func (g *memGate) pass(ctx context.Context, l *rate.Limiter) error {
+// admit counts a refused call, and tells why it is refused.
+func (g *memAdmission) admit(ctx context.Context, l *rate.Limiter) error {
 	var err error
 	switch {
 	case ctx.Err() != nil:
@@ -113,7 +113,7 @@
 	case g.faults.Down:
 		err = ErrDown
 	case l != nil && !l.Allow():
-		err = fmt.Errorf("%w: %w", ErrDown, ErrRate)
+		err = fmt.Errorf("%w: %w", ErrDown, ErrRateLimited)
 	}
 	if err != nil {
 		g.counts.Refused++
@@ -121,12 +121,12 @@
 	return err
 }
 
-// read passes one read through the gate and waits as long as reads take.
-func (m *Mem) read(ctx context.Context) error {
+// admitRead passes one read through the gate and waits as long as reads take.
+func (m *Mem) admitRead(ctx context.Context) error {
 	m.mu.Lock()
-	m.gate.counts.Reads++
-	err := m.gate.pass(ctx, m.gate.reads)
-	slow := m.gate.faults.Slow
+	m.admission.counts.Reads++
+	err := m.admission.admit(ctx, m.admission.readLimiter)
+	slow := m.admission.faults.Latency
 	m.mu.Unlock()
 	if err != nil || slow <= 0 {
 		return err
@@ -139,7 +139,7 @@
 	}
 }
 
-type memAnswer struct {
+type writeResult struct {
 	rev Revision
 	err error
 }
@@ -148,37 +148,37 @@
 func (m *Mem) write(ctx context.Context, apply func() (Revision, error)) (Revision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gate.counts.Writes++
-	if err := m.gate.pass(ctx, m.gate.writes); err != nil {
+	m.admission.counts.Writes++
+	if err := m.admission.admit(ctx, m.admission.writeLimiter); err != nil {
 		return 0, err
 	}
-	f := &m.gate.faults
+	f := &m.admission.faults
 	switch {
-	case f.Late > 0:
-		m.gate.counts.Lost++
-		m.applyAfter(f.Late, apply)
+	case f.ApplyDelay > 0:
+		m.admission.counts.LostAnswers++
+		m.applyAfter(f.ApplyDelay, apply)
 		return 0, ErrUnknown
-	case f.DropNext > 0:
-		f.DropNext--
-		m.gate.counts.Lost++
+	case f.DropNextWrites > 0:
+		f.DropNextWrites--
+		m.admission.counts.LostAnswers++
 		return 0, ErrUnknown
-	case m.loses():
-		m.gate.counts.Lost++
-		m.applyAfter(f.Slow, apply)
+	case m.takeLostAnswer():
+		m.admission.counts.LostAnswers++
+		m.applyAfter(f.Latency, apply)
 		return 0, ErrUnknown
-	case f.Slow > 0:
-		return m.applySlowly(ctx, f.Slow, apply)
+	case f.Latency > 0:
+		return m.applySlowly(ctx, f.Latency, apply)
 	}
 	return apply()
 }
 
-func (m *Mem) loses() bool {
-	f := &m.gate.faults
-	if f.LoseNext > 0 {
-		f.LoseNext--
+func (m *Mem) takeLostAnswer() bool {
+	f := &m.admission.faults
+	if f.LoseNextAnswers > 0 {
+		f.LoseNextAnswers--
 		return true
 	}
-	return f.LoseEvery > 0 && m.gate.counts.Writes%int64(f.LoseEvery) == 0
+	return f.LoseEveryNthAnswer > 0 && m.admission.counts.Writes%int64(f.LoseEveryNthAnswer) == 0
 }
 
 // applyAfter applies a write whose answer nobody gets, at once when d is 0.
@@ -196,12 +196,12 @@
 
 // applySlowly gives up the lock while it waits for the answer of a slow write.
 func (m *Mem) applySlowly(ctx context.Context, d time.Duration, apply func() (Revision, error)) (Revision, error) {
-	answer := make(chan memAnswer, 1)
+	answer := make(chan writeResult, 1)
 	time.AfterFunc(d, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		rev, err := apply()
-		answer <- memAnswer{rev, err}
+		answer <- writeResult{rev, err}
 	})
 	m.mu.Unlock()
 	defer m.mu.Lock()
@@ -218,22 +218,22 @@
 func (m *Mem) openWatch(ctx context.Context) (broken, muted <-chan struct{}, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gate.counts.Watches++
-	if err := m.gate.pass(ctx, m.gate.reads); err != nil {
+	m.admission.counts.Watches++
+	if err := m.admission.admit(ctx, m.admission.readLimiter); err != nil {
 		return nil, nil, err
 	}
-	m.gate.counts.Waiting++
-	if m.broken == nil {
-		m.broken = make(chan struct{})
+	m.admission.counts.OpenWatches++
+	if m.watchesBroken == nil {
+		m.watchesBroken = make(chan struct{})
 	}
-	if m.muted == nil {
-		m.muted = make(chan struct{})
+	if m.watchesSilenced == nil {
+		m.watchesSilenced = make(chan struct{})
 	}
-	return m.broken, m.muted, nil
+	return m.watchesBroken, m.watchesSilenced, nil
 }
 
 func (m *Mem) closeWatch() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gate.counts.Waiting--
+	m.admission.counts.OpenWatches--
 }
--- a/shared/bbstore/gateway.go
+++ b/shared/bbstore/gateway.go
@@ -14,10 +14,10 @@
 
 // Codes of errors in the gateway's answers.
 const (
-	codeInvalid     = 3
-	codeNotFound    = 5
-	codeExhausted   = 8
-	codeUnavailable = 14
+	codeInvalidArgument   = 3
+	codeNotFound          = 5
+	codeResourceExhausted = 8
+	codeUnavailable       = 14
 )
 
 type gwHeader struct {
@@ -31,12 +31,12 @@
 	Lease       int64  `json:"lease,string,omitempty"`
 }
 
-type gwRange struct {
+type gwRangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-type gwRangeAnswer struct {
+type gwRangeResponse struct {
 	Header gwHeader     `json:"header"`
 	Kvs    []gwKeyValue `json:"kvs,omitempty"`
 	Count  int64        `json:"count,string,omitempty"`
@@ -56,16 +56,16 @@
 }
 
 type gwOp struct {
-	Put    *gwPut   `json:"request_put,omitempty"`
-	Delete *gwRange `json:"request_delete_range,omitempty"`
+	Put    *gwPut          `json:"request_put,omitempty"`
+	Delete *gwRangeRequest `json:"request_delete_range,omitempty"`
 }
 
-type gwTxn struct {
+type gwTxnRequest struct {
 	Compare []gwCompare `json:"compare"`
 	Success []gwOp      `json:"success"`
 }
 
-type gwTxnAnswer struct {
+type gwTxnResponse struct {
 	Header    gwHeader `json:"header"`
 	Succeeded bool     `json:"succeeded,omitempty"`
 }
@@ -76,15 +76,15 @@
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-type gwLeaseResult struct {
+type gwKeepAliveResponse struct {
 	Result gwLease `json:"result"`
 }
 
-type gwWatch struct {
-	Create gwWatchCreate `json:"create_request"`
+type gwWatchRequest struct {
+	Create gwWatchCreateRequest `json:"create_request"`
 }
 
-type gwWatchCreate struct {
+type gwWatchCreateRequest struct {
 	Key            []byte `json:"key"`
 	RangeEnd       []byte `json:"range_end,omitempty"`
 	StartRevision  int64  `json:"start_revision,string"`
@@ -96,7 +96,7 @@
 	Kv   gwKeyValue `json:"kv"`
 }
 
-type gwWatchAnswer struct {
+type gwWatchResponse struct {
 	Header          gwHeader  `json:"header"`
 	Created         bool      `json:"created,omitempty"`
 	Canceled        bool      `json:"canceled,omitempty"`
@@ -104,9 +104,9 @@
 	Events          []gwEvent `json:"events,omitempty"`
 }
 
-type gwWatchLine struct {
-	Result gwWatchAnswer `json:"result"`
-	Error  *gwError      `json:"error,omitempty"`
+type gwWatchMessage struct {
+	Result gwWatchResponse `json:"result"`
+	Error  *gwError        `json:"error,omitempty"`
 }
 
 type gwError struct {
--- a/shared/bbstore/mem.go
+++ b/shared/bbstore/mem.go
@@ -16,17 +16,17 @@
 // Mem is a Store in memory with leases, watches and faults that can be switched
 // while it runs. The zero value is an empty store without faults.
 type Mem struct {
-	mu      sync.Mutex
-	rev     Revision
-	keys    map[string]memValue
-	leases  map[LeaseID]*memLease
-	last    LeaseID
-	history []Event
-	dropped Revision // revision of the newest event that is no longer kept
-	changed chan struct{}
-	broken  chan struct{} // closed to break the open watches
-	muted   chan struct{} // closed to silence the open watches
-	gate    memGate
+	mu              sync.Mutex
+	rev             Revision
+	keys            map[string]memValue
+	leases          map[LeaseID]*memLease
+	lastLease       LeaseID
+	history         []Event
+	compactedTo     Revision // revision of the newest event that is no longer kept
+	nextWrite       chan struct{}
+	watchesBroken   chan struct{} // closed to break the open watches
+	watchesSilenced chan struct{} // closed to silence the open watches
+	admission       memAdmission
 }
 
 type memValue struct {
@@ -45,7 +45,7 @@
 
 // Get returns the entry, with Rev 0 and no error when the key is absent.
 func (m *Mem) Get(ctx context.Context, key string) (Entry, error) {
-	if err := m.read(ctx); err != nil {
+	if err := m.admitRead(ctx); err != nil {
 		return Entry{}, err
 	}
 	m.mu.Lock()
@@ -55,7 +55,7 @@
 
 // List returns the entries under the prefix in key order.
 func (m *Mem) List(ctx context.Context, prefix string) ([]Entry, Revision, error) {
-	if err := m.read(ctx); err != nil {
+	if err := m.admitRead(ctx); err != nil {
 		return nil, 0, err
 	}
 	m.mu.Lock()
@@ -72,37 +72,37 @@
 
 // CAS writes value if the key is at revision prev; a nil value deletes.
 func (m *Mem) CAS(ctx context.Context, key string, value []byte, prev Revision, lease LeaseID) (Revision, error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueBytes {
 		return 0, errors.Annotatef(ErrTooLarge, "%s: %d bytes", key, len(value))
 	}
 	if value != nil {
 		value = append([]byte{}, value...)
 	}
-	return m.write(ctx, func() (Revision, error) { return m.swap(key, value, prev, lease) })
+	return m.write(ctx, func() (Revision, error) { return m.applyCAS(key, value, prev, lease) })
 }
 
-func (m *Mem) swap(key string, value []byte, prev Revision, lease LeaseID) (Revision, error) {
+func (m *Mem) applyCAS(key string, value []byte, prev Revision, lease LeaseID) (Revision, error) {
 	if m.keys[key].rev != prev {
 		return 0, errors.Annotatef(ErrConflict, "%s at %d, not %d", key, m.keys[key].rev, prev)
 	}
 	if lease != 0 && m.leases[lease] == nil {
-		return 0, ErrLease
+		return 0, ErrLeaseNotFound
 	}
 	if value == nil && prev == 0 {
 		return m.rev, nil
 	}
-	m.set(key, value, lease)
+	m.putAtNextRevision(key, value, lease)
 	return m.rev, nil
 }
 
-// set writes or deletes the key at a new revision and wakes the watches.
-func (m *Mem) set(key string, value []byte, lease LeaseID) {
+// putAtNextRevision writes or deletes the key at a new revision and wakes the watches.
+func (m *Mem) putAtNextRevision(key string, value []byte, lease LeaseID) {
 	m.rev++
-	m.put(key, value, lease)
+	m.putAtRevision(key, value, lease)
 }
 
-// put writes or deletes the key at the revision in force and wakes the watches.
-func (m *Mem) put(key string, value []byte, lease LeaseID) {
+// putAtRevision writes or deletes the key at the revision in force and wakes the watches.
+func (m *Mem) putAtRevision(key string, value []byte, lease LeaseID) {
 	if value == nil {
 		delete(m.keys, key)
 	} else {
@@ -113,12 +113,12 @@
 	}
 	m.history = append(m.history, Event{Entry{Key: key, Value: value, Rev: m.rev}})
 	if len(m.history) > memHistory {
-		m.dropped = m.history[0].Rev
+		m.compactedTo = m.history[0].Rev
 		m.history = m.history[1:]
 	}
-	if m.changed != nil {
-		close(m.changed)
-		m.changed = nil
+	if m.nextWrite != nil {
+		close(m.nextWrite)
+		m.nextWrite = nil
 	}
 }
 
@@ -136,9 +136,9 @@
 		if m.leases == nil {
 			m.leases = map[LeaseID]*memLease{}
 		}
-		m.last++
-		id := m.last
-		m.leases[id] = &memLease{ttl: ttl, timer: time.AfterFunc(ttl, func() { m.Lapse(id) })}
+		m.lastLease++
+		id := m.lastLease
+		m.leases[id] = &memLease{ttl: ttl, timer: time.AfterFunc(ttl, func() { m.ExpireLease(id) })}
 		return Revision(id), nil
 	})
 	return LeaseID(id), err
@@ -149,7 +149,7 @@
 	_, err := m.write(ctx, func() (Revision, error) {
 		l := m.leases[id]
 		if l == nil || !l.timer.Stop() {
-			return 0, ErrLease
+			return 0, ErrLeaseNotFound
 		}
 		l.timer.Reset(l.ttl)
 		return 0, nil
@@ -161,22 +161,22 @@
 func (m *Mem) Revoke(ctx context.Context, id LeaseID) error {
 	_, err := m.write(ctx, func() (Revision, error) {
 		if m.leases[id] == nil {
-			return 0, ErrLease
+			return 0, ErrLeaseNotFound
 		}
-		m.lapse(id)
+		m.expireLease(id)
 		return 0, nil
 	})
 	return err
 }
 
-// Lapse ends a lease as if its time had run out. It does not block.
-func (m *Mem) Lapse(id LeaseID) {
+// ExpireLease ends a lease as if its time had run out. It does not block.
+func (m *Mem) ExpireLease(id LeaseID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lapse(id)
+	m.expireLease(id)
 }
 
-func (m *Mem) lapse(id LeaseID) {
+func (m *Mem) expireLease(id LeaseID) {
 	l := m.leases[id]
 	if l == nil {
 		return
@@ -191,7 +191,7 @@
 	}
 	sort.Strings(gone)
 	for _, k := range gone {
-		m.set(k, nil, 0)
+		m.putAtNextRevision(k, nil, 0)
 	}
 }
 
@@ -209,12 +209,12 @@
 	}
 	defer m.closeWatch()
 	for {
-		events, changed, err := m.since(prefix, from)
+		events, changed, err := m.eventsAfter(prefix, from)
 		if err != nil {
 			return err
 		}
 		for i := range events {
-			if err := ended(ctx, broken, muted); err != nil {
+			if err := watchEndError(ctx, broken, muted); err != nil {
 				return err
 			}
 			if err := fn(&events[i]); err != nil {
@@ -235,7 +235,7 @@
 		case <-ctx.Done():
 		}
 		if err == nil {
-			err = ended(ctx, broken, muted)
+			err = watchEndError(ctx, broken, muted)
 		}
 		if err != nil {
 			return err
@@ -243,8 +243,8 @@
 	}
 }
 
-// ended returns why a watch ends, or nil; a silenced one waits for its context.
-func ended(ctx context.Context, broken, muted <-chan struct{}) error {
+// watchEndError returns why a watch ends, or nil; a silenced one waits for its context.
+func watchEndError(ctx context.Context, broken, muted <-chan struct{}) error {
 	select {
 	case <-muted:
 		<-ctx.Done()
@@ -258,16 +258,16 @@
 	}
 }
 
-// since returns the kept events under prefix after a revision, and a channel
+// eventsAfter returns the kept events under prefix after a revision, and a channel
 // that is closed at the next write.
-func (m *Mem) since(prefix string, from Revision) ([]Event, <-chan struct{}, error) {
+func (m *Mem) eventsAfter(prefix string, from Revision) ([]Event, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if from < m.dropped {
+	if from < m.compactedTo {
 		return nil, nil, errors.Annotatef(ErrCompacted, "%d", from)
 	}
-	if m.changed == nil {
-		m.changed = make(chan struct{})
+	if m.nextWrite == nil {
+		m.nextWrite = make(chan struct{})
 	}
 	first := sort.Search(len(m.history), func(i int) bool { return m.history[i].Rev > from })
 	var out []Event
@@ -276,13 +276,13 @@
 			out = append(out, e)
 		}
 	}
-	return out, m.changed, nil
+	return out, m.nextWrite, nil
 }
 
 // Compact forgets the events up to now, so that older watches must list again.
 func (m *Mem) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.dropped = m.rev
+	m.compactedTo = m.rev
 	m.history = nil
 }
--- a/shared/bbstore/mem_swap.go
+++ b/shared/bbstore/mem_swap.go
@@ -12,7 +12,7 @@
 func (m *Mem) Swap(ctx context.Context, rows []Entry, lease LeaseID) (Revision, []Entry, error) {
 	own := make([]Entry, len(rows))
 	for i, r := range rows {
-		if len(r.Value) > MaxValue {
+		if len(r.Value) > MaxValueBytes {
 			return 0, nil, errors.Annotatef(ErrTooLarge, "%s: %d bytes", r.Key, len(r.Value))
 		}
 		own[i] = r
@@ -20,7 +20,7 @@
 			own[i].Value = append([]byte{}, r.Value...)
 		}
 	}
-	rev, err := m.write(ctx, func() (Revision, error) { return m.swapAll(own, lease) })
+	rev, err := m.write(ctx, func() (Revision, error) { return m.applySwap(own, lease) })
 	if !errors.Is(err, ErrConflict) {
 		return rev, nil, err
 	}
@@ -33,18 +33,18 @@
 	return 0, now, err
 }
 
-func (m *Mem) swapAll(rows []Entry, lease LeaseID) (Revision, error) {
+func (m *Mem) applySwap(rows []Entry, lease LeaseID) (Revision, error) {
 	for _, r := range rows {
 		if at := m.keys[r.Key].rev; at != r.Rev {
 			return 0, errors.Annotatef(ErrConflict, "%s at %d, not %d", r.Key, at, r.Rev)
 		}
 	}
 	if lease != 0 && m.leases[lease] == nil {
-		return 0, ErrLease
+		return 0, ErrLeaseNotFound
 	}
 	m.rev++
 	for _, r := range rows {
-		m.put(r.Key, r.Value, lease)
+		m.putAtRevision(r.Key, r.Value, lease)
 	}
 	return m.rev, nil
 }
@@ -63,7 +63,7 @@
 		m.mu.Lock()
 		at := m.rev
 		m.mu.Unlock()
-		events, changed, err := m.since(prefix, after)
+		events, changed, err := m.eventsAfter(prefix, after)
 		if err != nil || len(events) > 0 {
 			return events, at, err
 		}
--- a/shared/bbstore/server.go
+++ b/shared/bbstore/server.go
@@ -15,16 +15,16 @@
 // Server answers the JSON gateway of etcd v3 from a Mem, faults included. It
 // stands in for the platform's service in tests and demonstrations.
 type Server struct {
-	mem      *Mem
-	progress time.Duration
-	ctx      context.Context
+	mem              *Mem
+	progressInterval time.Duration
+	ctx              context.Context
 }
 
 // NewServer returns a server of m that sends a notice on a silent watch each
 // time progress (0: never) has passed, and a function that ends its watches.
 func NewServer(m *Mem, progress time.Duration) (*Server, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Server{mem: m, progress: progress, ctx: ctx}, cancel
+	return &Server{mem: m, progressInterval: progress, ctx: ctx}, cancel
 }
 
 // Handle answers one request.
@@ -50,34 +50,34 @@
 func handle[In, Out any](ctx *fasthttp.RequestCtx, fn func(context.Context, *In) (*Out, error)) {
 	in := new(In)
 	if err := json.Unmarshal(ctx.PostBody(), in); err != nil {
-		writeError(ctx, http.StatusBadRequest, codeInvalid, err.Error())
+		writeError(ctx, http.StatusBadRequest, codeInvalidArgument, err.Error())
 		return
 	}
 	out, err := fn(context.Background(), in)
 	if err != nil {
-		fail(ctx, err)
+		writeFailure(ctx, err)
 		return
 	}
 	writeJSON(ctx, out)
 }
 
-// fail answers with what the gateway sends for err; for a lost answer it closes
+// writeFailure answers with what the gateway sends for err; for a lost answer it closes
 // the connection.
-func fail(ctx *fasthttp.RequestCtx, err error) {
+func writeFailure(ctx *fasthttp.RequestCtx, err error) {
 	switch {
 	case errors.Is(err, ErrUnknown):
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(c net.Conn) { _ = c.Close() })
-	case errors.Is(err, ErrRate):
-		writeError(ctx, http.StatusTooManyRequests, codeExhausted, "etcdserver: too many requests")
+	case errors.Is(err, ErrRateLimited):
+		writeError(ctx, http.StatusTooManyRequests, codeResourceExhausted, "etcdserver: too many requests")
 	case errors.Is(err, ErrDown):
 		writeError(ctx, http.StatusServiceUnavailable, codeUnavailable, "etcdserver: no leader")
-	case errors.Is(err, ErrLease):
+	case errors.Is(err, ErrLeaseNotFound):
 		writeError(ctx, http.StatusNotFound, codeNotFound, "etcdserver: requested lease not found")
 	case errors.Is(err, ErrTooLarge):
-		writeError(ctx, http.StatusBadRequest, codeInvalid, "etcdserver: request is too large")
+		writeError(ctx, http.StatusBadRequest, codeInvalidArgument, "etcdserver: request is too large")
 	default:
-		writeError(ctx, http.StatusBadRequest, codeInvalid, err.Error())
+		writeError(ctx, http.StatusBadRequest, codeInvalidArgument, err.Error())
 	}
 }
 
@@ -96,21 +96,21 @@
 	ctx.SetBody(b)
 }
 
-func (s *Server) list(ctx context.Context, in *gwRange) (*gwRangeAnswer, error) {
+func (s *Server) list(ctx context.Context, in *gwRangeRequest) (*gwRangeResponse, error) {
 	if len(in.RangeEnd) == 0 {
 		e, err := s.mem.Get(ctx, string(in.Key))
 		if err != nil || e.Rev == 0 {
-			return &gwRangeAnswer{}, err
+			return &gwRangeResponse{}, err
 		}
-		return &gwRangeAnswer{Kvs: []gwKeyValue{keyValue(e)}, Count: 1}, nil
+		return &gwRangeResponse{Kvs: []gwKeyValue{newKeyValue(e)}, Count: 1}, nil
 	}
 	l, rev, err := s.mem.List(ctx, prefixOf(in.Key))
 	if err != nil {
 		return nil, err
 	}
-	out := &gwRangeAnswer{Header: gwHeader{Revision: int64(rev)}, Count: int64(len(l))}
+	out := &gwRangeResponse{Header: gwHeader{Revision: int64(rev)}, Count: int64(len(l))}
 	for _, e := range l {
-		out.Kvs = append(out.Kvs, keyValue(e))
+		out.Kvs = append(out.Kvs, newKeyValue(e))
 	}
 	return out, nil
 }
@@ -123,11 +123,11 @@
 	return string(key)
 }
 
-func keyValue(e Entry) gwKeyValue {
+func newKeyValue(e Entry) gwKeyValue {
 	return gwKeyValue{Key: []byte(e.Key), Value: e.Value, ModRevision: int64(e.Rev)}
 }
 
-func (s *Server) txn(ctx context.Context, in *gwTxn) (*gwTxnAnswer, error) {
+func (s *Server) txn(ctx context.Context, in *gwTxnRequest) (*gwTxnResponse, error) {
 	if len(in.Compare) != 1 || len(in.Success) != 1 || in.Compare[0].Target != "MOD" {
 		return nil, errors.New("only one compare of MOD with one operation is served")
 	}
@@ -139,9 +139,9 @@
 	}
 	rev, err := s.mem.CAS(ctx, string(in.Compare[0].Key), value, prev, lease)
 	if errors.Is(err, ErrConflict) {
-		return &gwTxnAnswer{}, nil
+		return &gwTxnResponse{}, nil
 	}
-	return &gwTxnAnswer{Header: gwHeader{Revision: int64(rev)}, Succeeded: true}, err
+	return &gwTxnResponse{Header: gwHeader{Revision: int64(rev)}, Succeeded: true}, err
 }
 
 func (s *Server) grant(ctx context.Context, in *gwLease) (*gwLease, error) {
@@ -149,12 +149,12 @@
 	return &gwLease{ID: int64(id), TTL: in.TTL}, err
 }
 
-func (s *Server) keepAlive(ctx context.Context, in *gwLease) (*gwLeaseResult, error) {
+func (s *Server) keepAlive(ctx context.Context, in *gwLease) (*gwKeepAliveResponse, error) {
 	err := s.mem.Renew(ctx, LeaseID(in.ID))
-	if errors.Is(err, ErrLease) {
-		return &gwLeaseResult{Result: gwLease{ID: in.ID}}, nil
+	if errors.Is(err, ErrLeaseNotFound) {
+		return &gwKeepAliveResponse{Result: gwLease{ID: in.ID}}, nil
 	}
-	return &gwLeaseResult{Result: gwLease{ID: in.ID, TTL: 1}}, err
+	return &gwKeepAliveResponse{Result: gwLease{ID: in.ID, TTL: 1}}, err
 }
 
 func (s *Server) revoke(ctx context.Context, in *gwLease) (*gwLease, error) {
@@ -164,22 +164,22 @@
 // watch streams one JSON line for each event until the caller goes, the service
 // goes down or the server stops.
 func (s *Server) watch(rc *fasthttp.RequestCtx) {
-	in := new(gwWatch)
+	in := new(gwWatchRequest)
 	if err := json.Unmarshal(rc.PostBody(), in); err != nil {
-		writeError(rc, http.StatusBadRequest, codeInvalid, err.Error())
+		writeError(rc, http.StatusBadRequest, codeInvalidArgument, err.Error())
 		return
 	}
 	if s.mem.Faults().Down {
-		fail(rc, ErrDown)
+		writeFailure(rc, ErrDown)
 		return
 	}
 	rc.SetContentType("application/json")
 	rc.SetBodyStreamWriter(func(w *bufio.Writer) { s.stream(s.ctx, w, &in.Create) })
 }
 
-func (s *Server) stream(ctx context.Context, w *bufio.Writer, in *gwWatchCreate) {
-	send := func(a gwWatchAnswer) error {
-		b, err := json.Marshal(&gwWatchLine{Result: a})
+func (s *Server) stream(ctx context.Context, w *bufio.Writer, in *gwWatchCreateRequest) {
+	send := func(a gwWatchResponse) error {
+		b, err := json.Marshal(&gwWatchMessage{Result: a})
 		if err != nil {
 			return err
 		}
@@ -188,21 +188,21 @@
 		}
 		return w.Flush()
 	}
-	if send(gwWatchAnswer{Created: true}) != nil {
+	if send(gwWatchResponse{Created: true}) != nil {
 		return
 	}
 	from := Revision(in.StartRevision) - 1
-	err := s.mem.watch(ctx, prefixOf(in.Key), from, s.progress, func(e *Event) error {
+	err := s.mem.watch(ctx, prefixOf(in.Key), from, s.progressInterval, func(e *Event) error {
 		if e == nil {
-			return send(gwWatchAnswer{})
+			return send(gwWatchResponse{})
 		}
-		ev := gwEvent{Type: eventPut, Kv: keyValue(e.Entry)}
+		ev := gwEvent{Type: eventPut, Kv: newKeyValue(e.Entry)}
 		if e.Value == nil {
 			ev.Type = eventDelete
 		}
-		return send(gwWatchAnswer{Header: gwHeader{Revision: int64(e.Rev)}, Events: []gwEvent{ev}})
+		return send(gwWatchResponse{Header: gwHeader{Revision: int64(e.Rev)}, Events: []gwEvent{ev}})
 	})
 	if errors.Is(err, ErrCompacted) {
-		_ = send(gwWatchAnswer{Canceled: true, CompactRevision: int64(from) + 1})
+		_ = send(gwWatchResponse{Canceled: true, CompactRevision: int64(from) + 1})
 	}
 }
--- a/shared/bbstore/store.go
+++ b/shared/bbstore/store.go
@@ -22,15 +22,15 @@
 	ErrDown = errors.ConstError("key-value service unavailable")
 	// ErrTooLarge means that the value is above MaxValue; nothing was sent.
 	ErrTooLarge = errors.ConstError("value too large")
-	// ErrLease means that the lease is unknown or has lapsed.
-	ErrLease = errors.ConstError("lease not found")
+	// ErrLeaseNotFound means that the lease is unknown or has lapsed.
+	ErrLeaseNotFound = errors.ConstError("lease not found")
 	// ErrCompacted means that a watch asked for events that are no longer kept;
 	// the caller lists the prefix and watches from the listed revision.
 	ErrCompacted = errors.ConstError("revision compacted")
 )
 
-// MaxValue is the largest value the service holds, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest value the service holds, in bytes.
+const MaxValueBytes = 1 << 20
 
 // Revision orders the writes of the whole service; 0 means absent.
 type Revision int64
--- a/shared/bbstore/store_test.go
+++ b/shared/bbstore/store_test.go
@@ -9,22 +9,22 @@
 	"github.com/matryer/is"
 )
 
-// storeMaker makes a Store for the contract, and the Mem behind it.
-type storeMaker struct {
-	name string
-	make func(t *testing.T) (Store, *Mem)
+// contractStore makes a Store for the contract, and the Mem behind it.
+type contractStore struct {
+	name     string
+	newStore func(t *testing.T) (Store, *Mem)
 }
 
-func storeMakers() []storeMaker {
-	return []storeMaker{
+func contractStores() []contractStore {
+	return []contractStore{
 		{"Mem", func(*testing.T) (Store, *Mem) { m := NewMem(); return m, m }},
-		{"Client", newServedClient},
+		{"Client", newClientWithServer},
 	}
 }
 
 type contractCase struct {
-	name string
-	run  func(is *is.I, ctx context.Context, s Store, m *Mem)
+	name  string
+	check func(is *is.I, ctx context.Context, s Store, m *Mem)
 }
 
 var contractCases = []contractCase{
@@ -69,10 +69,10 @@
 		is.True(rev >= l[0].Rev && rev >= l[1].Rev)
 	}},
 	{"value too large", func(is *is.I, ctx context.Context, s Store, m *Mem) {
-		_, err := s.CAS(ctx, "a", make([]byte, MaxValue+1), 0, 0)
+		_, err := s.CAS(ctx, "a", make([]byte, MaxValueBytes+1), 0, 0)
 		is.True(errors.Is(err, ErrTooLarge))
 		is.Equal(m.Counts().Writes, int64(0))
-		_, err = s.CAS(ctx, "a", make([]byte, MaxValue), 0, 0)
+		_, err = s.CAS(ctx, "a", make([]byte, MaxValueBytes), 0, 0)
 		is.NoErr(err)
 	}},
 	{"leases", func(is *is.I, ctx context.Context, s Store, m *Mem) {
@@ -81,17 +81,17 @@
 		_, err = s.CAS(ctx, "a", []byte("1"), 0, id)
 		is.NoErr(err)
 		is.NoErr(s.Renew(ctx, id))
-		m.Lapse(id)
+		m.ExpireLease(id)
 		e, err := s.Get(ctx, "a")
 		is.NoErr(err)
 		is.Equal(e.Rev, Revision(0))
-		is.True(errors.Is(s.Renew(ctx, id), ErrLease))
+		is.True(errors.Is(s.Renew(ctx, id), ErrLeaseNotFound))
 		_, err = s.CAS(ctx, "a", []byte("1"), 0, id)
-		is.True(errors.Is(err, ErrLease))
+		is.True(errors.Is(err, ErrLeaseNotFound))
 		id, err = s.Grant(ctx, time.Minute)
 		is.NoErr(err)
 		is.NoErr(s.Revoke(ctx, id))
-		is.True(errors.Is(s.Revoke(ctx, id), ErrLease))
+		is.True(errors.Is(s.Revoke(ctx, id), ErrLeaseNotFound))
 	}},
 	{"a lease lapses by itself", func(is *is.I, ctx context.Context, s Store, _ *Mem) {
 		id, err := s.Grant(ctx, time.Second)
@@ -101,7 +101,7 @@
 		var e Event
 		_ = s.Watch(ctx, "a", 1, func(ev Event) error { e = ev; return errStop })
 		is.Equal(e.Value, []byte(nil))
-		is.True(errors.Is(s.Renew(ctx, id), ErrLease))
+		is.True(errors.Is(s.Renew(ctx, id), ErrLeaseNotFound))
 	}},
 	{"down", func(is *is.I, ctx context.Context, s Store, m *Mem) {
 		m.SetFaults(Faults{Down: true})
@@ -116,7 +116,7 @@
 		is.True(errors.Is(s.Watch(ctx, "a", 0, func(Event) error { return nil }), ErrDown))
 	}},
 	{"answer lost after the write", func(is *is.I, ctx context.Context, s Store, m *Mem) {
-		m.SetFaults(Faults{LoseNext: 1})
+		m.SetFaults(Faults{LoseNextAnswers: 1})
 		_, err := s.CAS(ctx, "a", []byte("1"), 0, 0)
 		is.True(errors.Is(err, ErrUnknown))
 		e, err := s.Get(ctx, "a")
@@ -124,14 +124,14 @@
 		is.Equal(e.Value, []byte("1"))
 	}},
 	{"write lost", func(is *is.I, ctx context.Context, s Store, m *Mem) {
-		m.SetFaults(Faults{DropNext: 1})
+		m.SetFaults(Faults{DropNextWrites: 1})
 		_, err := s.CAS(ctx, "a", []byte("1"), 0, 0)
 		is.True(errors.Is(err, ErrUnknown))
 		_, err = s.CAS(ctx, "a", []byte("2"), 0, 0)
 		is.NoErr(err)
 	}},
 	{"write takes effect late", func(is *is.I, ctx context.Context, s Store, m *Mem) {
-		m.SetFaults(Faults{Late: 20 * time.Millisecond})
+		m.SetFaults(Faults{ApplyDelay: 20 * time.Millisecond})
 		_, err := s.CAS(ctx, "a", []byte("1"), 0, 0)
 		is.True(errors.Is(err, ErrUnknown))
 		m.SetFaults(Faults{})
@@ -141,7 +141,7 @@
 		is.Equal(e.Value, []byte("1"))
 	}},
 	{"a late write fails once the key has moved on", func(is *is.I, ctx context.Context, s Store, m *Mem) {
-		m.SetFaults(Faults{Late: 20 * time.Millisecond})
+		m.SetFaults(Faults{ApplyDelay: 20 * time.Millisecond})
 		_, err := s.CAS(ctx, "a", []byte("1"), 0, 0)
 		is.True(errors.Is(err, ErrUnknown))
 		m.SetFaults(Faults{})
@@ -153,7 +153,7 @@
 		is.Equal(e.Value, []byte("2"))
 	}},
 	{"slow past the deadline", func(is *is.I, ctx context.Context, s Store, m *Mem) {
-		m.SetFaults(Faults{Slow: 200 * time.Millisecond})
+		m.SetFaults(Faults{Latency: 200 * time.Millisecond})
 		short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		defer cancel()
 		_, err := s.CAS(short, "a", []byte("1"), 0, 0)
@@ -224,15 +224,15 @@
 const errStop = errors.ConstError("stop")
 
 func TestStoreContract(t *testing.T) {
-	for _, maker := range storeMakers() {
+	for _, maker := range contractStores() {
 		for _, c := range contractCases {
 			t.Run(maker.name+"/"+c.name, func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				defer cancel()
-				s, m := maker.make(t)
-				c.run(is, ctx, s, m)
+				s, m := maker.newStore(t)
+				c.check(is, ctx, s, m)
 				if ctx.Err() != nil {
 					t.Fatal("took too long")
 				}
