--- a/bluebellport/src/admit.go
+++ b/bluebellport/src/admit.go
@@ -19,59 +19,59 @@
 // Admit lets the request in, or returns a Refusal. It answers at once, but for
 // requests that wait their turn for a place: these wait no longer than they are
 // expected to be served in time, and end when Cancel is closed.
-func (r *Router) Admit(ask RouteRequest) (*Admission, error) {
-	pass, err := r.admit(&ask, true)
+func (r *Router) Admit(req RouteRequest) (*Admission, error) {
+	admission, err := r.admit(&req, true)
 	if err != nil {
 		r.refused.Inc(1)
 	}
-	return pass, err
+	return admission, err
 }
 
 // AdmitWithoutSlot is Admit without a place at the service, for a request that has to
 // be claimed before it may be sent: it would hold the place while it waits.
 // Enter takes the place then. It answers at once.
-func (r *Router) AdmitWithoutSlot(ask RouteRequest) (*Admission, error) {
-	pass, err := r.admit(&ask, false)
+func (r *Router) AdmitWithoutSlot(req RouteRequest) (*Admission, error) {
+	admission, err := r.admit(&req, false)
 	if err != nil {
 		r.refused.Inc(1)
 	}
-	return pass, err
+	return admission, err
 }
 
 // AcquireSlot takes a place for a request that AdmitLimits let in, as Admit does.
-func (r *Router) AcquireSlot(ask RouteRequest, p *Admission) error {
-	g, ok := r.group(ask.Service)
+func (r *Router) AcquireSlot(req RouteRequest, admission *Admission) error {
+	g, ok := r.group(req.Service)
 	if !ok {
 		return &Refusal{Cause: ErrNoTarget}
 	}
-	if err := r.acquireSlot(g, &ask, r.deps.Now()); err != nil {
+	if err := r.acquireSlot(g, &req, r.deps.Now()); err != nil {
 		r.refused.Inc(1)
 		return err
 	}
-	p.hasSlot.Store(true)
+	admission.hasSlot.Store(true)
 	return nil
 }
 
-func (r *Router) admit(ask *RouteRequest, place bool) (*Admission, error) {
+func (r *Router) admit(req *RouteRequest, withSlot bool) (*Admission, error) {
 	now := r.deps.Now()
-	g, ok := r.group(ask.Service)
+	g, ok := r.group(req.Service)
 	switch {
 	case !ok:
 		return nil, &Refusal{Cause: ErrNoTarget}
-	case r.poison.isPoisoned(ask.Fingerprint):
+	case r.poison.isPoisoned(req.Fingerprint):
 		return nil, &Refusal{Cause: ErrPoisoned}
-	case !ask.Deadline.IsZero() && !now.Before(ask.Deadline):
+	case !req.Deadline.IsZero() && !now.Before(req.Deadline):
 		return nil, &Refusal{Cause: ErrDeadline}
 	}
-	account, service := r.currentTable().AccountLimiter(ask.Account), g.Limiter()
+	account, service := r.currentTable().AccountLimiter(req.Account), g.Limiter()
 	if account != nil {
 		if err := account.Acquire(now); err != nil {
 			return nil, err
 		}
 	}
 	err := service.Acquire(now)
-	if err == nil && place {
-		if err = r.acquireSlot(g, ask, now); err != nil {
+	if err == nil && withSlot {
+		if err = r.acquireSlot(g, req, now); err != nil {
 			service.Cancel()
 		}
 	}
@@ -81,86 +81,86 @@
 		}
 		return nil, err
 	}
-	return newAdmission(g.Admission(), account, service, place), nil
+	return newAdmission(g.Admission(), account, service, withSlot), nil
 }
 
 // newAdmission returns what gives the place and the limits back, once.
-func newAdmission(gate *bbroute.AdmissionController, account, service *bbroute.Limiter, placed bool) *Admission {
+func newAdmission(controller *bbroute.AdmissionController, account, service *bbroute.Limiter, hasSlot bool) *Admission {
 	var ended atomic.Bool
-	p := &Admission{}
-	p.hasSlot.Store(placed)
-	p.Done = func() {
+	admission := &Admission{}
+	admission.hasSlot.Store(hasSlot)
+	admission.Done = func() {
 		if !ended.CompareAndSwap(false, true) {
 			return
 		}
-		if p.hasSlot.Load() {
-			gate.Release()
+		if admission.hasSlot.Load() {
+			controller.Release()
 		}
 		service.Release()
 		if account != nil {
 			account.Release()
 		}
 	}
-	return p
+	return admission
 }
 
 // acquireSlot takes a place, or lines the request up for one.
-func (r *Router) acquireSlot(g *bbroute.Group, ask *RouteRequest, now time.Time) error {
-	gate := g.Admission()
-	if gate.TryAcquire() {
+func (r *Router) acquireSlot(g *bbroute.Group, req *RouteRequest, now time.Time) error {
+	controller := g.Admission()
+	if controller.TryAcquire() {
 		return nil
 	}
-	w := &bbroute.Waiter{
-		Priority:         ask.Priority,
-		Deadline:         ask.Deadline,
-		ExpectedDuration: gate.ExpectedDuration(g.ExpectedWork(ask)),
+	waiter := &bbroute.Waiter{
+		Priority:         req.Priority,
+		Deadline:         req.Deadline,
+		ExpectedDuration: controller.ExpectedDuration(g.ExpectedWork(req)),
 		Ready:            make(chan error, 1),
 	}
-	if err := gate.Enqueue(w, now); err != nil {
+	if err := controller.Enqueue(waiter, now); err != nil {
 		return err
 	}
 	r.queued.Inc(1)
 	select {
-	case err := <-w.Ready:
+	case err := <-waiter.Ready:
 		return err
-	case <-ask.Cancel:
+	case <-req.Cancel:
 	}
-	if !gate.CancelWait(w) && <-w.Ready == nil {
-		gate.Release() // the place came as the caller left
+	if !controller.CancelWait(waiter) && <-waiter.Ready == nil {
+		controller.Release() // the place came as the caller left
 	}
 	return &Refusal{Cause: ErrCancelled}
 }
 
 // Pick chooses a target that is not among the tried ones, or returns a Refusal.
-func (r *Router) Pick(ask RouteRequest, tried []bbunit.TargetID) (*Attempt, error) {
+func (r *Router) Pick(req RouteRequest, tried []bbunit.TargetID) (*Attempt, error) {
 	now := r.deps.Now()
-	g, ok := r.group(ask.Service)
+	g, ok := r.group(req.Service)
 	if !ok {
 		return nil, &Refusal{Cause: ErrNoTarget}
 	}
-	crashes := r.poison.crashCount(ask.Fingerprint)
+	crashes := r.poison.crashCount(req.Fingerprint)
 	if crashes >= r.poison.policy.CrashThreshold {
 		return nil, &Refusal{Cause: ErrPoisoned}
 	}
-	c := bbroute.PickOptions{Now: now, Rand: rand.Uint64(), Exclude: tried, Suspect: crashes > 0}
-	place := g.Pick(&ask, &c, &r.pickPolicy)
-	if place == nil {
+	opts := bbroute.PickOptions{Now: now, Rand: rand.Uint64(), Exclude: tried, Suspect: crashes > 0}
+	candidate := g.Pick(&req, &opts, &r.pickPolicy)
+	if candidate == nil {
 		return nil, &Refusal{Cause: ErrNoTarget, RetryAfter: r.pickPolicy.Circuit.InitialOpen}
 	}
 	r.picks.Inc(1)
-	return r.newAttempt(g, place, &ask, c.Suspect), nil
+	return r.newAttempt(g, candidate, &req, opts.Suspect), nil
 }
 
 // PickSame chooses the given target once more, for a DecisionFresh. It returns
 // a Refusal when the target has become unusable.
-func (r *Router) PickSame(ask RouteRequest, id bbunit.TargetID) (*Attempt, error) {
-	g, ok := r.group(ask.Service)
+func (r *Router) PickSame(req RouteRequest, id bbunit.TargetID) (*Attempt, error) {
+	g, ok := r.group(req.Service)
 	if !ok {
 		return nil, &Refusal{Cause: ErrNoTarget}
 	}
-	place := g.Find(id)
-	if place == nil || !place.Allow(r.deps.Now(), &r.pickPolicy) {
+	candidate := g.Find(id)
+	if candidate == nil || !candidate.Allow(r.deps.Now(), &r.pickPolicy) {
 		return nil, &Refusal{Cause: ErrNoTarget, RetryAfter: r.pickPolicy.Circuit.InitialOpen}
 	}
-	return r.newAttempt(g, place, &ask, r.poison.crashCount(ask.Fingerprint) > 0), nil
+	return r.newAttempt(g, candidate, &req, r.poison.crashCount(req.Fingerprint) > 0), nil
 }
--- a/bluebellport/src/chat.go
+++ b/bluebellport/src/chat.go
@@ -48,9 +48,9 @@
 	if err := json.Unmarshal(body, c); err != nil {
 		return nil, errors.WithType(errors.Annotate(err, "body"), errInvalidRequest)
 	}
-	limit := "max_completion_tokens"
+	limitField := "max_completion_tokens"
 	if c.MaxCompletionTokens == nil {
-		c.MaxCompletionTokens, limit = c.MaxTokens, "max_tokens"
+		c.MaxCompletionTokens, limitField = c.MaxTokens, "max_tokens"
 	}
 	switch {
 	case c.Model == "":
@@ -58,7 +58,7 @@
 	case len(c.Messages) == 0:
 		return nil, badRequest("messages: must not be empty")
 	case c.MaxCompletionTokens != nil && (*c.MaxCompletionTokens < 1 || *c.MaxCompletionTokens > maxOutputTokens):
-		return nil, badRequest("%s: must be from 1 to %d, is %d", limit, maxOutputTokens, *c.MaxCompletionTokens)
+		return nil, badRequest("%s: must be from 1 to %d, is %d", limitField, maxOutputTokens, *c.MaxCompletionTokens)
 	case c.Choices != nil && (*c.Choices < 1 || *c.Choices > maxChoices):
 		return nil, badRequest("n: must be from 1 to %d, is %d", maxChoices, *c.Choices)
 	}
@@ -79,41 +79,41 @@
 
 // outputLimit is the most tokens one answer may have.
 func (c *chat) outputLimit(s bbticket.Service) bbunit.Tokens {
-	most := s.DefaultMaxOutput
-	if most <= 0 {
-		most = defaultOutputTokens
+	limit := s.DefaultMaxOutput
+	if limit <= 0 {
+		limit = defaultOutputTokens
 	}
 	if c.MaxCompletionTokens != nil {
-		most = bbunit.Tokens(*c.MaxCompletionTokens)
+		limit = bbunit.Tokens(*c.MaxCompletionTokens)
 	}
-	return most
+	return limit
 }
 
 // maxPrice is the highest price that the chat can come to. A token has at least
 // one byte, so that the body's length bounds the prompt.
-func (c *chat) maxPrice(s bbticket.Service, body int) bbunit.Tokens {
-	prompt := bbunit.Tokens(body + maxTemplateTokens*len(c.Messages))
-	return s.Price.Call + s.Price.Input*prompt + s.Price.Output*c.outputLimit(s)*c.choiceCount()
+func (c *chat) maxPrice(s bbticket.Service, bodyBytes int) bbunit.Tokens {
+	promptTokens := bbunit.Tokens(bodyBytes + maxTemplateTokens*len(c.Messages))
+	return s.Price.Call + s.Price.Input*promptTokens + s.Price.Output*c.outputLimit(s)*c.choiceCount()
 }
 
 // engineBody is the body sent to an engine: bounded, with usage asked for, and
 // going on after the text that the caller already has.
-func (c *chat) engineBody(s bbticket.Service, text string, used bbunit.Tokens) ([]byte, error) {
-	f := make(map[string]any, len(c.fields)+4)
+func (c *chat) engineBody(s bbticket.Service, prefix string, usedTokens bbunit.Tokens) ([]byte, error) {
+	fields := make(map[string]any, len(c.fields)+4)
 	for k, v := range c.fields {
-		f[k] = v
+		fields[k] = v
 	}
-	delete(f, "max_completion_tokens")
-	f["max_tokens"] = max(1, c.outputLimit(s)-used)
+	delete(fields, "max_completion_tokens")
+	fields["max_tokens"] = max(1, c.outputLimit(s)-usedTokens)
 	if c.Stream {
-		f["stream_options"] = map[string]bool{"include_usage": true}
+		fields["stream_options"] = map[string]bool{"include_usage": true}
 	}
-	if text != "" {
-		f["messages"] = append(c.Messages[:len(c.Messages):len(c.Messages)], assistantMessage(text))
-		f["continue_final_message"] = true
-		f["add_generation_prompt"] = false
+	if prefix != "" {
+		fields["messages"] = append(c.Messages[:len(c.Messages):len(c.Messages)], assistantMessage(prefix))
+		fields["continue_final_message"] = true
+		fields["add_generation_prompt"] = false
 	}
-	b, err := json.Marshal(f)
+	b, err := json.Marshal(fields)
 	return b, errors.Trace(err)
 }
 
--- a/bluebellport/src/client_request.go
+++ b/bluebellport/src/client_request.go
@@ -61,59 +61,59 @@
 
 // parse checks a request against the state in force. The error is errKey,
 // errService, errForbidden or errRequest; nothing has run.
-func (w *rawRequest) parse(s *bbticket.State, now time.Time, limit time.Duration) (*clientRequest, error) {
-	account, ok := s.ByKey[hashAPIKey(w.apiKey)]
+func (r *rawRequest) parse(s *bbticket.State, now time.Time, maxTimeout time.Duration) (*clientRequest, error) {
+	account, ok := s.ByKey[hashAPIKey(r.apiKey)]
 	if !ok {
 		return nil, errors.Trace(errUnknownKey)
 	}
-	return w.parseForAccount(s, account, now, limit)
+	return r.parseForAccount(s, account, now, maxTimeout)
 }
 
 // parseForAccount is parse for an account that is already known.
-func (w *rawRequest) parseForAccount(s *bbticket.State, account bbunit.AccountID, now time.Time, limit time.Duration) (*clientRequest, error) {
-	c := &clientRequest{
+func (r *rawRequest) parseForAccount(s *bbticket.State, account bbunit.AccountID, now time.Time, maxTimeout time.Duration) (*clientRequest, error) {
+	req := &clientRequest{
 		account: s.Accounts[account].Object,
 		budgets: s.ByAccount[account],
-		method:  w.method,
-		path:    w.path,
-		header:  w.header,
-		body:    w.body,
+		method:  r.method,
+		path:    r.path,
+		header:  r.header,
+		body:    r.body,
 	}
-	if w.service == "" {
+	if r.service == "" {
 		var err error
-		if c.chat, err = parseChat(w.body); err != nil {
+		if req.chat, err = parseChat(r.body); err != nil {
 			return nil, err
 		}
-		w.service = c.chat.Model
+		r.service = req.chat.Model
 	}
-	if err := c.setService(s, bbunit.ServiceID(w.service)); err != nil {
+	if err := req.setService(s, bbunit.ServiceID(r.service)); err != nil {
 		return nil, err
 	}
-	if err := c.setID(w.id); err != nil {
+	if err := req.setID(r.id); err != nil {
 		return nil, err
 	}
-	if err := c.setDeadlineAndPriority(w.deadlineMs, w.priority, now, limit); err != nil {
+	if err := req.setDeadlineAndPriority(r.deadlineMs, r.priority, now, maxTimeout); err != nil {
 		return nil, err
 	}
-	c.fingerprint = requestFingerprint(w.method, string(c.service.ID), w.path, w.body)
-	c.idempotent = c.chat != nil || isIdempotentMethod(c.service, c.method)
-	c.maxPrice = c.service.Price.Call
-	if c.chat != nil {
-		c.maxPrice = c.chat.maxPrice(c.service, len(c.body))
+	req.fingerprint = requestFingerprint(r.method, string(req.service.ID), r.path, r.body)
+	req.idempotent = req.chat != nil || isIdempotentMethod(req.service, req.method)
+	req.maxPrice = req.service.Price.Call
+	if req.chat != nil {
+		req.maxPrice = req.chat.maxPrice(req.service, len(req.body))
 	}
-	return c, nil
+	return req, nil
 }
 
 func (c *clientRequest) setService(s *bbticket.State, id bbunit.ServiceID) error {
-	v, ok := s.Services[id]
-	want := bbticket.KindPlain
+	service, ok := s.Services[id]
+	wantKind := bbticket.KindPlain
 	if c.chat != nil {
-		want = bbticket.KindEngine
+		wantKind = bbticket.KindEngine
 	}
-	if !ok || v.Object.Deleted || v.Object.Kind != want {
+	if !ok || service.Object.Deleted || service.Object.Kind != wantKind {
 		return errors.WithType(errors.Errorf("service: unknown: %q", id), errUnknownService)
 	}
-	c.service = v.Object
+	c.service = service.Object
 	if len(c.service.Accounts) == 0 {
 		return nil
 	}
@@ -150,14 +150,14 @@
 
 // setDeadlineAndPriority sets deadline and priority. A caller may lower its account's priority
 // but not raise it.
-func (c *clientRequest) setDeadlineAndPriority(ms, priority string, now time.Time, limit time.Duration) error {
-	c.deadline = now.Add(limit)
-	if ms != "" {
-		n, err := strconv.ParseInt(ms, 10, 64)
+func (c *clientRequest) setDeadlineAndPriority(deadlineMs, priority string, now time.Time, maxTimeout time.Duration) error {
+	c.deadline = now.Add(maxTimeout)
+	if deadlineMs != "" {
+		n, err := strconv.ParseInt(deadlineMs, 10, 64)
 		if err != nil || n <= 0 {
-			return badRequest("X-Request-Deadline-Ms: not a number above 0: %q", ms)
+			return badRequest("X-Request-Deadline-Ms: not a number above 0: %q", deadlineMs)
 		}
-		if n < limit.Milliseconds() {
+		if n < maxTimeout.Milliseconds() {
 			c.deadline = now.Add(time.Duration(n) * time.Millisecond)
 		}
 	}
@@ -174,11 +174,11 @@
 
 // isIdempotentMethod tells whether the service lets the method run more than once.
 func isIdempotentMethod(s bbticket.Service, method string) bool {
-	list := s.Idempotent
-	if len(list) == 0 {
-		list = []string{"GET", "HEAD", "OPTIONS"}
+	methods := s.Idempotent
+	if len(methods) == 0 {
+		methods = []string{"GET", "HEAD", "OPTIONS"}
 	}
-	for _, m := range list {
+	for _, m := range methods {
 		if m == method {
 			return true
 		}
@@ -203,12 +203,12 @@
 		return nil
 	}
 	d := xxhash.New()
-	out := make([]uint64, 0, len(c.chat.Messages))
+	hashes := make([]uint64, 0, len(c.chat.Messages))
 	for _, m := range c.chat.Messages {
 		_, _ = d.Write(bytes.TrimSpace(m))
-		out = append(out, d.Sum64())
+		hashes = append(hashes, d.Sum64())
 	}
-	return out
+	return hashes
 }
 
 // attemptID names one attempt of the owner at a target; accounts and instances
@@ -219,9 +219,9 @@
 }
 
 // price is what the request costs with what the engine counted.
-func (c *clientRequest) price(u tokenUsage) bbunit.Tokens {
-	p := c.service.Price
-	return min(c.maxPrice, p.Call+p.Input*u.Prompt+p.Output*u.Completion)
+func (c *clientRequest) price(usage tokenUsage) bbunit.Tokens {
+	prices := c.service.Price
+	return min(c.maxPrice, prices.Call+prices.Input*usage.Prompt+prices.Output*usage.Completion)
 }
 
 // bearerToken returns the key of an Authorization header.
--- a/bluebellport/src/engine_client.go
+++ b/bluebellport/src/engine_client.go
@@ -37,27 +37,27 @@
 }
 
 // run sends the chat to the target and relays its answer to out.
-func (g *engineClient) run(ctx context.Context, c *clientRequest, at *Attempt, n int, fresh bool, r *chatRelay, out *Answer) AttemptResult {
-	a := &engineAttempt{address: at.Target.Address, requestID: c.attemptID(g.owner, n), freshConn: fresh, started: time.Now()}
-	actx, cancel := context.WithCancelCause(ctx)
+func (ec *engineClient) run(ctx context.Context, req *clientRequest, attempt *Attempt, n int, fresh bool, relay *chatRelay, answer *Answer) AttemptResult {
+	ea := &engineAttempt{address: attempt.Target.Address, requestID: req.attemptID(ec.owner, n), freshConn: fresh, started: time.Now()}
+	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	go g.watchForSilence(actx, cancel, a)
-	err := g.sendChat(actx, c, a, r, out)
-	if err != nil && a.sent && ctx.Err() == nil && c.chat.Stream && !isFinalError(err) {
-		err = g.resume(ctx, c, a, r, out, err)
+	go ec.watchForSilence(attemptCtx, cancel, ea)
+	err := ec.sendChat(attemptCtx, req, ea, relay, answer)
+	if err != nil && ea.sent && ctx.Err() == nil && req.chat.Stream && !isFinalError(err) {
+		err = ec.resume(ctx, req, ea, relay, answer, err)
 	}
-	if a.sent && err != nil && (ctx.Err() != nil || errors.Is(err, errDeadlineExceeded)) {
-		g.runInBackground(func() { g.cancel(a) })
+	if ea.sent && err != nil && (ctx.Err() != nil || errors.Is(err, errDeadlineExceeded)) {
+		ec.runInBackground(func() { ec.cancel(ea) })
 		err = errors.WithType(err, ErrCancelled)
 	}
 	return AttemptResult{
 		Err:             err,
-		Sent:            a.sent,
-		Crashed:         errors.Is(err, errConnBroken) && a.sent && g.hasCrashed(ctx, a),
+		Sent:            ea.sent,
+		Crashed:         errors.Is(err, errConnBroken) && ea.sent && ec.hasCrashed(ctx, ea),
 		ConnReused:      !fresh,
-		TimeToFirstByte: a.timeToFirst,
-		Total:           time.Since(a.started),
-		OutputTokens:    r.attemptTokens,
+		TimeToFirstByte: ea.timeToFirst,
+		Total:           time.Since(ea.started),
+		OutputTokens:    relay.attemptTokens,
 	}
 }
 
@@ -70,38 +70,38 @@
 const errPassedThrough = errors.ConstError("target answered with an error")
 
 // sendChat sends the chat from the start and relays the answer.
-func (g *engineClient) sendChat(ctx context.Context, c *clientRequest, a *engineAttempt, r *chatRelay, out *Answer) error {
-	body, err := c.chat.engineBody(c.service, string(r.text), r.earlierTokens)
+func (ec *engineClient) sendChat(ctx context.Context, req *clientRequest, ea *engineAttempt, relay *chatRelay, answer *Answer) error {
+	body, err := req.chat.engineBody(req.service, string(relay.text), relay.earlierTokens)
 	if err != nil {
 		return err
 	}
-	req := fasthttp.AcquireRequest()
-	req.Header.SetMethod(http.MethodPost)
-	req.SetRequestURI("http://" + a.address + "/v1/chat/completions")
-	req.Header.SetContentType("application/json")
-	req.Header.Set("X-Request-Id", a.requestID)
-	req.Header.Set("X-Request-Priority", strconv.Itoa(int(c.priority)))
-	req.Header.Set("X-Request-Deadline-Ms", strconv.FormatInt(time.Until(c.deadline).Milliseconds(), 10))
-	req.SetBodyRaw(body)
-	resp, free, sent, err := g.conns.send(ctx, a.address, a.freshConn, req, c.deadline)
-	a.sent = sent
+	httpReq := fasthttp.AcquireRequest()
+	httpReq.Header.SetMethod(http.MethodPost)
+	httpReq.SetRequestURI("http://" + ea.address + "/v1/chat/completions")
+	httpReq.Header.SetContentType("application/json")
+	httpReq.Header.Set("X-Request-Id", ea.requestID)
+	httpReq.Header.Set("X-Request-Priority", strconv.Itoa(int(req.priority)))
+	httpReq.Header.Set("X-Request-Deadline-Ms", strconv.FormatInt(time.Until(req.deadline).Milliseconds(), 10))
+	httpReq.SetBodyRaw(body)
+	resp, releaseResp, sent, err := ec.conns.send(ctx, ea.address, ea.freshConn, httpReq, req.deadline)
+	ea.sent = sent
 	if err != nil {
 		return classifyConnError(err)
 	}
-	defer free()
-	defer context.AfterFunc(ctx, free)()
-	a.received.Add(1)
+	defer releaseResp()
+	defer context.AfterFunc(ctx, releaseResp)()
+	ea.received.Add(1)
 	if err := targetRefusal(resp); err != nil {
-		a.sent = false
+		ea.sent = false
 		return err
 	}
 	if resp.StatusCode() != http.StatusOK {
-		return passThroughError(ctx, resp, out)
+		return passThroughError(ctx, resp, answer)
 	}
-	if !c.chat.Stream {
-		return g.relayWhole(ctx, resp, a, r, out)
+	if !req.chat.Stream {
+		return ec.relayWhole(ctx, resp, ea, relay, answer)
 	}
-	return g.relayStream(ctx, resp, c, a, r, out)
+	return ec.relayStream(ctx, resp, req, ea, relay, answer)
 }
 
 // targetRefusal tells whether the target took the request at all.
@@ -118,7 +118,7 @@
 
 // passThroughError gives the caller the target's own error; a fault of the target is
 // returned instead, so that another can be tried.
-func passThroughError(ctx context.Context, resp *fasthttp.Response, out *Answer) error {
+func passThroughError(ctx context.Context, resp *fasthttp.Response, answer *Answer) error {
 	if resp.StatusCode() >= http.StatusInternalServerError {
 		return errors.WithType(errors.Errorf("target answered %d", resp.StatusCode()), errTargetFailed)
 	}
@@ -126,8 +126,8 @@
 	if err != nil {
 		return classifyConnError(err)
 	}
-	beginAnswer(out, resp.StatusCode(), string(resp.Header.ContentType()), nil)
-	if err := out.Write(ctx, b); err != nil {
+	beginAnswer(answer, resp.StatusCode(), string(resp.Header.ContentType()), nil)
+	if err := answer.Write(ctx, b); err != nil {
 		return err
 	}
 	return errors.Trace(errPassedThrough)
@@ -145,59 +145,59 @@
 }
 
 // beginAnswer sets the head of an answer.
-func beginAnswer(out *Answer, status int, ctype string, fields []HeaderField) {
-	out.SetHead(&ResponseHead{Status: status, Fields: append([]HeaderField{{"Content-Type", ctype}}, fields...)})
+func beginAnswer(answer *Answer, status int, contentType string, fields []HeaderField) {
+	answer.SetHead(&ResponseHead{Status: status, Fields: append([]HeaderField{{"Content-Type", contentType}}, fields...)})
 }
 
 // relayWhole relays an answer that is not streamed.
-func (g *engineClient) relayWhole(ctx context.Context, resp *fasthttp.Response, a *engineAttempt, r *chatRelay, out *Answer) error {
+func (ec *engineClient) relayWhole(ctx context.Context, resp *fasthttp.Response, ea *engineAttempt, relay *chatRelay, answer *Answer) error {
 	b, err := readBody(resp)
 	if err != nil {
 		return classifyConnError(err)
 	}
-	a.timeToFirst = time.Since(a.started)
-	var v struct {
+	ea.timeToFirst = time.Since(ea.started)
+	var response struct {
 		Usage *tokenUsage `json:"usage"`
 	}
-	if err := json.Unmarshal(b, &v); err != nil {
+	if err := json.Unmarshal(b, &response); err != nil {
 		return errors.WithType(errors.Annotate(err, "answer"), errTargetFailed)
 	}
-	r.usage = v.Usage
-	if v.Usage != nil {
-		r.attemptTokens = v.Usage.Completion
+	relay.usage = response.Usage
+	if response.Usage != nil {
+		relay.attemptTokens = response.Usage.Completion
 	}
-	beginAnswer(out, http.StatusOK, string(resp.Header.ContentType()), nil)
-	return out.Write(ctx, b)
+	beginAnswer(answer, http.StatusOK, string(resp.Header.ContentType()), nil)
+	return answer.Write(ctx, b)
 }
 
 // relayStream relays server-sent events until [DONE].
-func (g *engineClient) relayStream(ctx context.Context, resp *fasthttp.Response, c *clientRequest, a *engineAttempt, r *chatRelay, out *Answer) error {
-	er := newSSEReader(resp.BodyStream())
+func (ec *engineClient) relayStream(ctx context.Context, resp *fasthttp.Response, req *clientRequest, ea *engineAttempt, relay *chatRelay, answer *Answer) error {
+	events := newSSEReader(resp.BodyStream())
 	for {
-		e, err := er.next()
+		event, err := events.next()
 		if err != nil {
 			if errors.Is(err, io.EOF) {
 				err = errors.New("stream ended early")
 			}
 			return classifyConnError(err)
 		}
-		if a.timeToFirst == 0 {
-			a.timeToFirst = time.Since(a.started)
+		if ea.timeToFirst == 0 {
+			ea.timeToFirst = time.Since(ea.started)
 		}
-		a.received.Add(1)
-		if e.isDone() {
-			return out.Write(ctx, []byte("data: [DONE]\n\n"))
+		ea.received.Add(1)
+		if event.isDone() {
+			return answer.Write(ctx, []byte("data: [DONE]\n\n"))
 		}
-		data, err := r.process(e, c.chat.StreamOptions.IncludeUsage)
+		data, err := relay.process(event, req.chat.StreamOptions.IncludeUsage)
 		if err != nil {
 			return err
 		}
 		if data != nil {
-			if !r.headSent {
-				beginAnswer(out, http.StatusOK, "text/event-stream", nil)
-				r.headSent = true
+			if !relay.headSent {
+				beginAnswer(answer, http.StatusOK, "text/event-stream", nil)
+				relay.headSent = true
 			}
-			if err := out.Write(ctx, fmt.Appendf(nil, "data: %s\n\n", data)); err != nil {
+			if err := answer.Write(ctx, fmt.Appendf(nil, "data: %s\n\n", data)); err != nil {
 				return err
 			}
 		}
@@ -206,17 +206,17 @@
 
 // resume picks a broken stream up where it ended, on fresh connections. It
 // returns the first error when the engine cannot go on.
-func (g *engineClient) resume(ctx context.Context, c *clientRequest, a *engineAttempt, r *chatRelay, out *Answer, first error) error {
+func (ec *engineClient) resume(ctx context.Context, req *clientRequest, ea *engineAttempt, relay *chatRelay, answer *Answer, first error) error {
 	for range maxResumesPerEngine {
-		actx, cancel := context.WithCancelCause(ctx)
-		go g.watchForSilence(actx, cancel, a)
-		was := r.lastEvent
-		err := g.resumeOnce(actx, c, a, r, out)
+		attemptCtx, cancel := context.WithCancelCause(ctx)
+		go ec.watchForSilence(attemptCtx, cancel, ea)
+		lastEvent := relay.lastEvent
+		err := ec.resumeOnce(attemptCtx, req, ea, relay, answer)
 		cancel(nil)
 		if err == nil {
 			return nil
 		}
-		if ctx.Err() != nil || (errors.Is(err, errNotResumable) && r.lastEvent == was) {
+		if ctx.Err() != nil || (errors.Is(err, errNotResumable) && relay.lastEvent == lastEvent) {
 			return first
 		}
 	}
@@ -226,19 +226,19 @@
 // errNotResumable marks an engine that cannot resume the request.
 const errNotResumable = errors.ConstError("stream cannot be resumed")
 
-func (g *engineClient) resumeOnce(ctx context.Context, c *clientRequest, a *engineAttempt, r *chatRelay, out *Answer) error {
-	req := fasthttp.AcquireRequest()
-	req.SetRequestURI(fmt.Sprintf("http://%s/v1/requests/%s/stream?from=%d", a.address, a.requestID, r.lastEvent))
-	resp, free, _, err := g.conns.send(ctx, a.address, true, req, c.deadline)
+func (ec *engineClient) resumeOnce(ctx context.Context, req *clientRequest, ea *engineAttempt, relay *chatRelay, answer *Answer) error {
+	httpReq := fasthttp.AcquireRequest()
+	httpReq.SetRequestURI(fmt.Sprintf("http://%s/v1/requests/%s/stream?from=%d", ea.address, ea.requestID, relay.lastEvent))
+	resp, releaseResp, _, err := ec.conns.send(ctx, ea.address, true, httpReq, req.deadline)
 	if err != nil {
 		return errors.WithType(err, errNotResumable)
 	}
-	defer free()
-	defer context.AfterFunc(ctx, free)()
+	defer releaseResp()
+	defer context.AfterFunc(ctx, releaseResp)()
 	if resp.StatusCode() != http.StatusOK {
 		return errors.Trace(errNotResumable)
 	}
-	return g.relayStream(ctx, resp, c, a, r, out)
+	return ec.relayStream(ctx, resp, req, ea, relay, answer)
 }
 
 // engineStatus is what an engine says of one request.
@@ -251,69 +251,69 @@
 func (s engineStatus) ended() bool { return s.State != "running" && s.State != "waiting" }
 
 // probe asks the engine for a request over a fresh connection.
-func (g *engineClient) probe(ctx context.Context, a *engineAttempt) (engineStatus, error) {
+func (ec *engineClient) probe(ctx context.Context, ea *engineAttempt) (engineStatus, error) {
 	req := fasthttp.AcquireRequest()
-	req.SetRequestURI("http://" + a.address + "/v1/requests/" + a.requestID)
-	resp, free, _, err := g.conns.send(ctx, a.address, true, req, time.Now().Add(targetProbeTimeout))
+	req.SetRequestURI("http://" + ea.address + "/v1/requests/" + ea.requestID)
+	resp, releaseResp, _, err := ec.conns.send(ctx, ea.address, true, req, time.Now().Add(targetProbeTimeout))
 	if err != nil {
 		return engineStatus{}, errors.Trace(err)
 	}
-	defer free()
+	defer releaseResp()
 	if resp.StatusCode() != http.StatusOK {
-		return engineStatus{}, errors.NotFoundf("request %s", a.requestID)
+		return engineStatus{}, errors.NotFoundf("request %s", ea.requestID)
 	}
 	b, err := readBody(resp)
 	if err != nil {
 		return engineStatus{}, errors.Trace(err)
 	}
-	var s engineStatus
-	return s, errors.Trace(json.Unmarshal(b, &s))
+	var status engineStatus
+	return status, errors.Trace(json.Unmarshal(b, &status))
 }
 
 // hasCrashed tells whether the engine takes no connection any more, or was started
 // anew and knows the request no more.
-func (g *engineClient) hasCrashed(ctx context.Context, a *engineAttempt) bool {
-	_, err := g.probe(ctx, a)
-	return errors.Is(err, errNotSent) || errors.Is(err, errors.NotFound) && a.received.Load() > 0
+func (ec *engineClient) hasCrashed(ctx context.Context, ea *engineAttempt) bool {
+	_, err := ec.probe(ctx, ea)
+	return errors.Is(err, errNotSent) || errors.Is(err, errors.NotFound) && ea.received.Load() > 0
 }
 
 // watchForSilence gives a connection up when nothing arrives on it although the engine
 // has ended the request, goes on generating, or is gone. A request that waits
 // in the engine's queue is left alone.
-func (g *engineClient) watchForSilence(ctx context.Context, cancel context.CancelCauseFunc, a *engineAttempt) {
-	tick := time.NewTicker(g.silenceTimeout)
+func (ec *engineClient) watchForSilence(ctx context.Context, cancel context.CancelCauseFunc, ea *engineAttempt) {
+	tick := time.NewTicker(ec.silenceTimeout)
 	defer tick.Stop()
-	seen, generated := a.received.Load(), bbunit.Tokens(-1)
+	lastReceived, lastGenerated := ea.received.Load(), bbunit.Tokens(-1)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		if now := a.received.Load(); now != seen {
-			seen, generated = now, -1
+		if received := ea.received.Load(); received != lastReceived {
+			lastReceived, lastGenerated = received, -1
 			continue
 		}
-		s, err := g.probe(ctx, a)
-		if a.received.Load() != seen || ctx.Err() != nil {
+		status, err := ec.probe(ctx, ea)
+		if ea.received.Load() != lastReceived || ctx.Err() != nil {
 			continue
 		}
-		grew := generated >= 0 && s.Usage.Completion > generated && a.timeToFirst > 0
-		if err != nil || s.ended() || grew {
+		generating := lastGenerated >= 0 && status.Usage.Completion > lastGenerated && ea.timeToFirst > 0
+		if err != nil || status.ended() || generating {
 			cancel(errTargetSilent)
 			return
 		}
-		generated = s.Usage.Completion
+		lastGenerated = status.Usage.Completion
 	}
 }
 
 // cancel tells the engine that nobody waits for the request any more.
-func (g *engineClient) cancel(a *engineAttempt) {
+func (ec *engineClient) cancel(ea *engineAttempt) {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(http.MethodDelete)
-	req.SetRequestURI("http://" + a.address + "/v1/requests/" + a.requestID)
-	_, free, _, err := g.conns.send(context.Background(), a.address, true, req, time.Now().Add(cancelTimeout))
+	req.SetRequestURI("http://" + ea.address + "/v1/requests/" + ea.requestID)
+	_, releaseResp, _, err := ec.conns.send(context.Background(), ea.address, true, req, time.Now().Add(cancelTimeout))
 	if err == nil {
-		free()
+		releaseResp()
 	}
 }
--- a/bluebellport/src/engine_client_test.go
+++ b/bluebellport/src/engine_client_test.go
@@ -40,33 +40,33 @@
 	return b.String()
 }
 
-func (s *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.mu.Lock()
-	gone := s.diesAfterCut && s.chats > 0
-	s.mu.Unlock()
-	if gone {
+func (e *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	e.mu.Lock()
+	dead := e.diesAfterCut && e.chats > 0
+	e.mu.Unlock()
+	if dead {
 		closeConnection(w)
 		return
 	}
 	switch {
 	case r.Method == http.MethodPost:
-		s.chat(w, r)
+		e.chat(w, r)
 	case r.Method == http.MethodDelete:
-		s.mu.Lock()
-		s.cancels++
-		s.mu.Unlock()
+		e.mu.Lock()
+		e.cancels++
+		e.mu.Unlock()
 	case strings.HasSuffix(r.URL.Path, "/stream"):
-		s.resume(w, r)
+		e.resume(w, r)
 	default:
 		state := "done"
-		if s.queueDelay > 0 {
+		if e.queueDelay > 0 {
 			state = "waiting"
 		}
 		fmt.Fprintf(w, `{"state":%q,"usage":{"completion_tokens":10}}`, state)
 	}
 }
 
-func (s *fakeEngine) chat(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEngine) chat(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Messages []chatMessage `json:"messages"`
 		Go       bool          `json:"continue_final_message"`
@@ -76,14 +76,14 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.mu.Lock()
-	s.chats++
-	cut := s.cutAt
-	s.cutAt = 0
-	s.mu.Unlock()
+	e.mu.Lock()
+	e.chats++
+	cut := e.cutAt
+	e.cutAt = 0
+	e.mu.Unlock()
 	_, _ = io.Copy(io.Discard, r.Body)
 	select {
-	case <-time.After(s.queueDelay):
+	case <-time.After(e.queueDelay):
 	case <-r.Context().Done():
 		return
 	}
@@ -95,18 +95,18 @@
 		fmt.Fprintf(w, `{"choices":[{"message":{"content":%q}}],"usage":{"prompt_tokens":3,"completion_tokens":10}}`, fakeEngineText())
 		return
 	}
-	s.events(w, r, from, from, cut)
+	e.events(w, r, from, from, cut)
 }
 
 // events sends tokens from a number on and fails after the cut; so many were
 // given in the prompt.
-func (s *fakeEngine) events(w http.ResponseWriter, r *http.Request, from, given, cut int) {
+func (e *fakeEngine) events(w http.ResponseWriter, r *http.Request, from, given, cut int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	id := r.Header.Get("X-Request-Id")
 	for i := from; i < fakeEngineTokens; i++ {
 		if cut > 0 && i == cut {
 			w.(http.Flusher).Flush()
-			if s.silent {
+			if e.silent {
 				<-r.Context().Done()
 			}
 			panic(http.ErrAbortHandler)
@@ -118,23 +118,23 @@
 	fmt.Fprint(w, "id: 13\ndata: [DONE]\n\n")
 }
 
-func (s *fakeEngine) resume(w http.ResponseWriter, r *http.Request) {
-	s.mu.Lock()
-	s.resumes++
-	s.mu.Unlock()
-	if !s.resumable {
+func (e *fakeEngine) resume(w http.ResponseWriter, r *http.Request) {
+	e.mu.Lock()
+	e.resumes++
+	e.mu.Unlock()
+	if !e.resumable {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	from := 0
 	_, _ = fmt.Sscanf(r.URL.Query().Get("from"), "%d", &from)
-	s.events(w, r, from, 0, 0)
+	e.events(w, r, from, 0, 0)
 }
 
 const streamedChat = `{"model":"chat","stream":true,"stream_options":{"include_usage":true},"messages":[{"role":"user","content":"hi"}]}`
 
 // readStream puts a stream's text together and checks its form.
-func readStream(is *is.I, body string) (text string, u tokenUsage) {
+func readStream(is *is.I, body string) (text string, usage tokenUsage) {
 	is.Helper()
 	is.True(strings.HasSuffix(body, "data: [DONE]\n\n"))
 	id := ""
@@ -142,20 +142,20 @@
 		if line == "" {
 			continue
 		}
-		var c chatChunk
-		is.NoErr(json.Unmarshal([]byte(strings.TrimPrefix(line, "data: ")), &c))
+		var chunk chatChunk
+		is.NoErr(json.Unmarshal([]byte(strings.TrimPrefix(line, "data: ")), &chunk))
 		if id == "" {
-			id = c.ID
+			id = chunk.ID
 		}
-		is.Equal(c.ID, id) // one id, whoever generated
-		for _, ch := range c.Choices {
-			text += ch.Delta.Content
+		is.Equal(chunk.ID, id) // one id, whoever generated
+		for _, choice := range chunk.Choices {
+			text += choice.Delta.Content
 		}
-		if c.Usage != nil {
-			u = *c.Usage
+		if chunk.Usage != nil {
+			usage = *chunk.Usage
 		}
 	}
-	return text, u
+	return text, usage
 }
 
 // TestStreamFaults: the caller sees the whole text once, whatever happens to
@@ -175,29 +175,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := c.first
-			b := newTestFrontend(t, s.ServeHTTP, s.ServeHTTP)
-			resp, body := b.do(t, "POST", "/v1/chat/completions", streamedChat)
+			engine := c.first
+			f := newTestFrontend(t, engine.ServeHTTP, engine.ServeHTTP)
+			resp, body := f.do(t, "POST", "/v1/chat/completions", streamedChat)
 			is.Equal(resp.StatusCode, 200)
 			is.Equal(resp.Header.Get("Content-Type"), "text/event-stream")
-			text, u := readStream(is, body)
+			text, usage := readStream(is, body)
 			is.Equal(text, fakeEngineText())
-			is.Equal(u, tokenUsage{Prompt: 3, Completion: 10})
-			b.waitSettled(is)
-			is.Equal(len(b.journal.bills), 1)
-			is.Equal(b.journal.lastBill().Amount, int64(13))
-			is.Equal(b.budgets.used, bbunit.Tokens(13))
-			is.Equal(s.chats, c.asks) // waiting in a queue is no silence
-			is.Equal(s.resumes > 0 && s.resumable, c.resumed)
+			is.Equal(usage, tokenUsage{Prompt: 3, Completion: 10})
+			f.waitSettled(is)
+			is.Equal(len(f.journal.bills), 1)
+			is.Equal(f.journal.lastBill().Amount, int64(13))
+			is.Equal(f.budgets.used, bbunit.Tokens(13))
+			is.Equal(engine.chats, c.asks) // waiting in a queue is no silence
+			is.Equal(engine.resumes > 0 && engine.resumable, c.resumed)
 		})
 	}
 }
 
-// TestStreamEngineDies: the other engine goes on after the text so far.
-func TestStreamEngineDies(t *testing.T) {
+// TestStreamContinuesOnAnotherEngine: the other engine goes on after the text so far.
+func TestStreamContinuesOnAnotherEngine(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
-	dying, well := &fakeEngine{cutAt: 4, diesAfterCut: true}, &fakeEngine{}
+	dying, healthy := &fakeEngine{cutAt: 4, diesAfterCut: true}, &fakeEngine{}
 	first := 0 // which target was asked first, from 1
 	pick := func(n int) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -205,40 +205,40 @@
 			if first == 0 {
 				first = n
 			}
-			s := well
+			engine := healthy
 			if first == n {
-				s = dying
+				engine = dying
 			}
 			mu.Unlock()
-			s.ServeHTTP(w, r)
+			engine.ServeHTTP(w, r)
 		}
 	}
-	b := newTestFrontend(t, pick(1), pick(2))
-	_, body := b.do(t, "POST", "/v1/chat/completions", streamedChat)
-	text, u := readStream(is, body)
+	f := newTestFrontend(t, pick(1), pick(2))
+	_, body := f.do(t, "POST", "/v1/chat/completions", streamedChat)
+	text, usage := readStream(is, body)
 	is.Equal(text, fakeEngineText())
-	is.Equal(u, tokenUsage{Prompt: 3, Completion: 10})
-	b.waitSettled(is)
-	is.Equal(b.journal.lastBill().Amount, int64(13))
+	is.Equal(usage, tokenUsage{Prompt: 3, Completion: 10})
+	f.waitSettled(is)
+	is.Equal(f.journal.lastBill().Amount, int64(13))
 }
 
-// TestStreamLost: when no engine can go on, the stream ends with the outcome
+// TestStreamFailsWithoutAnotherEngine: when no engine can go on, the stream ends with the outcome
 // and without [DONE], and the caller pays for what it got.
-func TestStreamLost(t *testing.T) {
+func TestStreamFailsWithoutAnotherEngine(t *testing.T) {
 	is := is.New(t)
-	s := &fakeEngine{cutAt: 4, diesAfterCut: true}
-	b := newTestFrontend(t, s.ServeHTTP)
-	resp, body := b.do(t, "POST", "/v1/chat/completions", streamedChat)
+	engine := &fakeEngine{cutAt: 4, diesAfterCut: true}
+	f := newTestFrontend(t, engine.ServeHTTP)
+	resp, body := f.do(t, "POST", "/v1/chat/completions", streamedChat)
 	is.Equal(resp.StatusCode, 200)
 	is.True(!strings.Contains(body, "[DONE]"))
 	is.True(strings.Contains(body, `"outcome":"failed"`))
-	b.waitSettled(is)
-	is.Equal(b.journal.lastBill().Kind, bbwire.Record_BILL)
-	is.Equal(b.journal.lastBill().Amount, int64(4))
+	f.waitSettled(is)
+	is.Equal(f.journal.lastBill().Kind, bbwire.Record_BILL)
+	is.Equal(f.journal.lastBill().Amount, int64(4))
 }
 
-// TestWholeFaults: an answer that is not streamed is asked for again elsewhere.
-func TestWholeFaults(t *testing.T) {
+// TestUnstreamedAnswerIsRetried: an answer that is not streamed is asked for again elsewhere.
+func TestUnstreamedAnswerIsRetried(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	cuts := 1
@@ -255,59 +255,59 @@
 		}
 		(&fakeEngine{}).ServeHTTP(w, r)
 	}
-	b := newTestFrontend(t, h, h)
-	resp, body := b.do(t, "POST", "/v1/chat/completions", plainChat)
+	f := newTestFrontend(t, h, h)
+	resp, body := f.do(t, "POST", "/v1/chat/completions", plainChat)
 	is.Equal(resp.StatusCode, 200)
 	is.True(strings.Contains(body, fakeEngineText()))
-	b.waitSettled(is)
-	is.Equal(len(b.journal.bills), 1)
-	is.Equal(b.journal.lastBill().Amount, int64(13))
+	f.waitSettled(is)
+	is.Equal(len(f.journal.bills), 1)
+	is.Equal(f.journal.lastBill().Amount, int64(13))
 }
 
 // TestDeadlineCancels: past its deadline a chat is refused at once and
 // cancelled at the engine.
 func TestDeadlineCancels(t *testing.T) {
 	is := is.New(t)
-	s := &fakeEngine{queueDelay: 2 * time.Second}
-	b := newTestFrontend(t, s.ServeHTTP)
+	engine := &fakeEngine{queueDelay: 2 * time.Second}
+	f := newTestFrontend(t, engine.ServeHTTP)
 	started := time.Now()
-	resp, body := b.do(t, "POST", "/v1/chat/completions", streamedChat, "X-Request-Deadline-Ms", "300")
+	resp, body := f.do(t, "POST", "/v1/chat/completions", streamedChat, "X-Request-Deadline-Ms", "300")
 	took := time.Since(started)
 	is.Equal(resp.StatusCode, http.StatusGatewayTimeout)
 	is.True(strings.Contains(body, `"outcome":"failed"`))
 	is.True(took > 250*time.Millisecond && took < time.Second) // neither early nor held back
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		s.mu.Lock()
-		n := s.cancels
-		s.mu.Unlock()
+		engine.mu.Lock()
+		n := engine.cancels
+		engine.mu.Unlock()
 		if n > 0 {
 			break
 		}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	is.Equal(s.cancels, 1)
+	engine.mu.Lock()
+	defer engine.mu.Unlock()
+	is.Equal(engine.cancels, 1)
 }
 
-// TestCallerLeaves: a chat whose caller is gone is cancelled at the engine after
+// TestRunEndsAfterAllCallersLeft: a chat whose caller is gone is cancelled at the engine after
 // the grace.
-func TestCallerLeaves(t *testing.T) {
+func TestRunEndsAfterAllCallersLeft(t *testing.T) {
 	is := is.New(t)
-	s := &fakeEngine{queueDelay: 10 * time.Second}
-	b := newTestFrontend(t, s.ServeHTTP)
-	out, leader, err := b.dedup.Join("norra", "x", 1)
+	engine := &fakeEngine{queueDelay: 10 * time.Second}
+	f := newTestFrontend(t, engine.ServeHTTP)
+	answer, leader, err := f.dedup.Join("norra", "x", 1)
 	is.NoErr(err)
 	is.True(leader)
-	w := &rawRequest{method: "POST", path: "/v1/chat/completions", apiKey: testKey, body: []byte(streamedChat)}
-	c, err := w.parse(b.deps.Board.State.Load(), time.Now(), 3*time.Second)
+	raw := &rawRequest{method: "POST", path: "/v1/chat/completions", apiKey: testKey, body: []byte(streamedChat)}
+	req, err := raw.parse(f.deps.Board.State.Load(), time.Now(), 3*time.Second)
 	is.NoErr(err)
 	done := make(chan struct{})
 	go func() {
-		b.runner.run(out.Context(), c, out)
+		f.runner.run(answer.Context(), req, answer)
 		close(done)
 	}()
 	time.Sleep(50 * time.Millisecond)
-	out.Leave()
+	answer.Leave()
 	select {
 	case <-done:
 	case <-time.After(2500 * time.Millisecond):
--- a/bluebellport/src/frontend.go
+++ b/bluebellport/src/frontend.go
@@ -43,21 +43,21 @@
 }
 
 // NewFrontend returns the callers' side of an instance.
-func NewFrontend(p Deps, r *runner) *Frontend {
+func NewFrontend(deps Deps, r *runner) *Frontend {
 	f := &Frontend{
-		deps:            p,
-		opts:            &p.Opts.Front,
+		deps:            deps,
+		opts:            &deps.Opts.Front,
 		runner:          r,
-		dedup:           NewDeduplicator(&p.Opts.Record, p.Now),
+		dedup:           NewDeduplicator(&deps.Opts.Record, deps.Now),
 		tracer:          otel.Tracer("bluebellport"),
-		requests:        metrics.GetOrRegisterCounter("front.requests", p.Metrics),
-		refusals:        metrics.GetOrRegisterCounter("front.refusals", p.Metrics),
-		brokenResponses: metrics.GetOrRegisterCounter("front.cut", p.Metrics),
-		duration:        metrics.GetOrRegisterTimer("front.time", p.Metrics),
+		requests:        metrics.GetOrRegisterCounter("front.requests", deps.Metrics),
+		refusals:        metrics.GetOrRegisterCounter("front.refusals", deps.Metrics),
+		brokenResponses: metrics.GetOrRegisterCounter("front.cut", deps.Metrics),
+		duration:        metrics.GetOrRegisterTimer("front.time", deps.Metrics),
 	}
-	r.outcomeIfNotRun = newCopyFinder(p, f.dedup).outcome
+	r.outcomeIfNotRun = newCopyFinder(deps, f.dedup).outcome
 	r.rejoin = func(c *clientRequest) (*Answer, bool, error) { return f.dedup.Join(c.account.ID, c.id, c.fingerprint) }
-	metrics.NewRegisteredFunctionalGauge("front.open", p.Metrics, f.openRequests.Load)
+	metrics.NewRegisteredFunctionalGauge("front.open", deps.Metrics, f.openRequests.Load)
 	f.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		BodyLimit:             int(f.opts.MaxBodyBytes) + maxBodyOverrun,
@@ -77,14 +77,14 @@
 
 // handleError answers what the HTTP library refuses before a handler runs.
 func (f *Frontend) handleError(c *fiber.Ctx, err error) error {
-	var fe *fiber.Error
+	var fiberErr *fiber.Error
 	switch {
-	case errors.As(err, &fe) && fe.Code == http.StatusRequestEntityTooLarge:
+	case errors.As(err, &fiberErr) && fiberErr.Code == http.StatusRequestEntityTooLarge:
 		err = errBodyTooLarge
-	case errors.As(err, &fe) && fe.Code == http.StatusNotFound:
+	case errors.As(err, &fiberErr) && fiberErr.Code == http.StatusNotFound:
 		err = errUnknownService
-	case errors.As(err, &fe):
-		err = errors.WithType(fe, errInvalidRequest)
+	case errors.As(err, &fiberErr):
+		err = errors.WithType(fiberErr, errInvalidRequest)
 	}
 	return f.refuseNotRun(c, "", err)
 }
@@ -92,14 +92,14 @@
 // refuseUnadmitted answers a request that was not let in. Where it was understood and
 // its caller named it, an earlier copy may have run; where it could not even be
 // told whose it is, nothing is known of others.
-func (f *Frontend) refuseUnadmitted(ctx context.Context, c *fiber.Ctx, w *rawRequest, cl *clientRequest, err error) error {
+func (f *Frontend) refuseUnadmitted(ctx context.Context, c *fiber.Ctx, raw *rawRequest, req *clientRequest, err error) error {
 	switch {
-	case cl != nil:
-		return f.refuse(c, cl.id, err, f.runner.outcomeIfNotRun(ctx, cl, ""))
-	case errors.Is(err, errNotReady) && w.id != "":
-		return f.refuse(c, bbunit.RequestID(w.id), err, bbunit.OutcomeUnknown)
+	case req != nil:
+		return f.refuse(c, req.id, err, f.runner.outcomeIfNotRun(ctx, req, ""))
+	case errors.Is(err, errNotReady) && raw.id != "":
+		return f.refuse(c, bbunit.RequestID(raw.id), err, bbunit.OutcomeUnknown)
 	}
-	return f.refuseNotRun(c, bbunit.RequestID(w.id), err)
+	return f.refuseNotRun(c, bbunit.RequestID(raw.id), err)
 }
 
 // refuseNotRun answers a request that did not run.
@@ -107,11 +107,11 @@
 	return f.refuse(c, id, err, bbunit.OutcomeNotRun)
 }
 
-func (f *Frontend) refuse(c *fiber.Ctx, id bbunit.RequestID, err error, o bbunit.Outcome) error {
+func (f *Frontend) refuse(c *fiber.Ctx, id bbunit.RequestID, err error, outcome bbunit.Outcome) error {
 	f.refusals.Inc(1)
-	r := newRefusalResponse(err, o)
-	f.writeHead(c, id, &ResponseHead{Status: r.Status, Fields: append(r.headerFields(), HeaderField{"Content-Type", "application/problem+json"})})
-	return c.Send(r.body(id))
+	resp := newRefusalResponse(err, outcome)
+	f.writeHead(c, id, &ResponseHead{Status: resp.Status, Fields: append(resp.headerFields(), HeaderField{"Content-Type", "application/problem+json"})})
+	return c.Send(resp.body(id))
 }
 
 func (f *Frontend) handleChat(c *fiber.Ctx) error {
@@ -131,24 +131,24 @@
 	f.requests.Inc(1)
 	ctx := otel.GetTextMapPropagator().Extract(context.Background(), headerCarrier{&c.Request().Header})
 	ctx, span := f.tracer.Start(ctx, "request", trace.WithSpanKind(trace.SpanKindServer))
-	w := newRawRequest(c, service, path)
-	cl, err := f.validate(w, started)
+	raw := newRawRequest(c, service, path)
+	req, err := f.validate(raw, started)
 	if err == nil {
 		err = f.checkAccepting()
 	}
 	if err != nil {
 		span.RecordError(err)
 		span.End()
-		return f.refuseUnadmitted(ctx, c, w, cl, err)
+		return f.refuseUnadmitted(ctx, c, raw, req, err)
 	}
-	span.SetAttributes(attribute.String("account", string(cl.account.ID)), attribute.String("request", string(cl.id)))
-	out, err := f.join(ctx, cl)
+	span.SetAttributes(attribute.String("account", string(req.account.ID)), attribute.String("request", string(req.id)))
+	answer, err := f.join(ctx, req)
 	if err != nil {
 		span.End()
-		return f.refuseNotRun(c, cl.id, err)
+		return f.refuseNotRun(c, req.id, err)
 	}
-	return f.writeAnswer(ctx, c, cl, out, func() {
-		f.leave(out)
+	return f.writeAnswer(ctx, c, req, answer, func() {
+		f.leave(answer)
 		span.End()
 		f.duration.UpdateSince(started)
 	})
@@ -156,48 +156,48 @@
 
 // join attaches a caller to the request's answer; the first copy runs it, here
 // or at its home.
-func (f *Frontend) join(ctx context.Context, cl *clientRequest) (*Answer, error) {
-	out, leader, err := f.dedup.Join(cl.account.ID, cl.id, cl.fingerprint)
+func (f *Frontend) join(ctx context.Context, req *clientRequest) (*Answer, error) {
+	answer, leader, err := f.dedup.Join(req.account.ID, req.id, req.fingerprint)
 	if err != nil {
 		return nil, err
 	}
 	f.openRequests.Add(1)
 	if leader {
-		run := trace.ContextWithSpan(out.Context(), trace.SpanFromContext(ctx))
-		f.tasks.Go(func() { f.dispatch(run, cl, out) })
+		runCtx := trace.ContextWithSpan(answer.Context(), trace.SpanFromContext(ctx))
+		f.tasks.Go(func() { f.dispatch(runCtx, req, answer) })
 	}
-	return out, nil
+	return answer, nil
 }
 
 // leave detaches a caller from an answer.
-func (f *Frontend) leave(out *Answer) {
-	out.Leave()
+func (f *Frontend) leave(answer *Answer) {
+	answer.Leave()
 	f.openRequests.Add(-1)
 }
 
 // dispatch runs the request at its home, or here when that is self or silent.
-func (f *Frontend) dispatch(ctx context.Context, cl *clientRequest, out *Answer) {
+func (f *Frontend) dispatch(ctx context.Context, req *clientRequest, answer *Answer) {
 	if f.forwarder != nil {
-		if to, ok := f.forwarder.homeOf(cl); ok {
-			err := f.forwarder.forward(ctx, cl, to, out)
+		if home, ok := f.forwarder.homeOf(req); ok {
+			err := f.forwarder.forward(ctx, req, home, answer)
 			if err == nil {
 				return
 			}
-			f.deps.Log.WithField("event", "home").WithField("home", to.ID).WithError(err).Warn("home passed over")
+			f.deps.Log.WithField("event", "home").WithField("home", home.ID).WithError(err).Warn("home passed over")
 		}
 	}
-	f.runner.run(ctx, cl, out)
+	f.runner.run(ctx, req, answer)
 }
 
 // validate refuses what can be told without looking at load or money.
-func (f *Frontend) validate(w *rawRequest, now time.Time) (*clientRequest, error) {
+func (f *Frontend) validate(raw *rawRequest, now time.Time) (*clientRequest, error) {
 	if f.deps.Board.State.Load().Number == 0 {
 		return nil, errors.Trace(errNotReady)
 	}
-	if int64(len(w.body)) > f.opts.MaxBodyBytes {
-		return nil, errors.WithType(errors.Errorf("body: %d bytes, at most %d", len(w.body), f.opts.MaxBodyBytes), errBodyTooLarge)
+	if int64(len(raw.body)) > f.opts.MaxBodyBytes {
+		return nil, errors.WithType(errors.Errorf("body: %d bytes, at most %d", len(raw.body), f.opts.MaxBodyBytes), errBodyTooLarge)
 	}
-	return w.parse(f.deps.Board.State.Load(), now, f.opts.DefaultDeadline)
+	return raw.parse(f.deps.Board.State.Load(), now, f.opts.DefaultDeadline)
 }
 
 // checkAccepting tells whether the instance takes new requests at all.
@@ -215,7 +215,7 @@
 
 // newRawRequest copies a request out of the HTTP library's buffers.
 func newRawRequest(c *fiber.Ctx, service, path string) *rawRequest {
-	w := &rawRequest{
+	raw := &rawRequest{
 		method:     strings.Clone(c.Method()),
 		path:       path,
 		service:    service,
@@ -226,27 +226,27 @@
 		body:       append([]byte(nil), c.Body()...),
 	}
 	if service != "" {
-		w.header = append(w.header, HeaderField{"Content-Type", strings.Clone(c.Get("Content-Type"))})
+		raw.header = append(raw.header, HeaderField{"Content-Type", strings.Clone(c.Get("Content-Type"))})
 		for k, v := range c.Request().Header.All() {
 			if isForwardedHeader(string(k)) {
-				w.header = append(w.header, HeaderField{string(k), string(v)})
+				raw.header = append(raw.header, HeaderField{string(k), string(v)})
 			}
 		}
 	}
-	return w
+	return raw
 }
 
 // writeHead writes the status and fields of an answer.
-func (f *Frontend) writeHead(c *fiber.Ctx, id bbunit.RequestID, h *ResponseHead) {
-	c.Status(h.Status)
+func (f *Frontend) writeHead(c *fiber.Ctx, id bbunit.RequestID, head *ResponseHead) {
+	c.Status(head.Status)
 	if id != "" {
 		c.Set("Idempotency-Key", string(id))
 	}
-	for _, x := range h.Fields {
-		if x.Name == "Content-Type" {
-			c.Set(x.Name, x.Value)
+	for _, field := range head.Fields {
+		if field.Name == "Content-Type" {
+			c.Set(field.Name, field.Value)
 		} else {
-			c.Response().Header.Add(x.Name, x.Value)
+			c.Response().Header.Add(field.Name, field.Value)
 		}
 	}
 	if f.deps.Board.Leaving.Load() {
@@ -255,35 +255,35 @@
 }
 
 // writeAnswer writes the answer to the caller and calls done once, after its end.
-func (f *Frontend) writeAnswer(ctx context.Context, c *fiber.Ctx, cl *clientRequest, out *Answer, done func()) error {
-	h, err := out.Head(ctx)
-	if err == nil && h == nil {
+func (f *Frontend) writeAnswer(ctx context.Context, c *fiber.Ctx, req *clientRequest, answer *Answer, done func()) error {
+	head, err := answer.Head(ctx)
+	if err == nil && head == nil {
 		err = errors.Trace(errTargetFailed)
 	}
 	if err != nil {
 		done()
 		return errors.Trace(err)
 	}
-	f.writeHead(c, cl.id, h)
-	if cl.chat != nil && cl.chat.Stream && h.Status == http.StatusOK {
+	f.writeHead(c, req.id, head)
+	if req.chat != nil && req.chat.Stream && head.Status == http.StatusOK {
 		c.Set("Cache-Control", "no-store")
 		c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
 			defer done()
-			f.writeStream(ctx, w, out)
+			f.writeStream(ctx, w, answer)
 		})
 		return nil
 	}
 	defer done()
 	var body bytes.Buffer
-	for at := 0; ; {
-		parts, end, err := out.Read(ctx, at)
+	for next := 0; ; {
+		parts, end, err := answer.Read(ctx, next)
 		if err != nil {
 			return errors.Trace(err)
 		}
 		for _, p := range parts {
 			body.Write(p)
 		}
-		at += len(parts)
+		next += len(parts)
 		if end {
 			c.Response().SetBodyRaw(body.Bytes())
 			return nil
@@ -292,9 +292,9 @@
 }
 
 // writeStream writes a streamed answer part by part.
-func (f *Frontend) writeStream(ctx context.Context, w *bufio.Writer, out *Answer) {
-	for at := 0; ; {
-		parts, end, err := out.Read(ctx, at)
+func (f *Frontend) writeStream(ctx context.Context, w *bufio.Writer, answer *Answer) {
+	for next := 0; ; {
+		parts, end, err := answer.Read(ctx, next)
 		if err != nil {
 			return
 		}
@@ -308,7 +308,7 @@
 			f.brokenResponses.Inc(1)
 			return
 		}
-		at += len(parts)
+		next += len(parts)
 		if end {
 			return
 		}
@@ -325,18 +325,18 @@
 
 // handleModels lists the services with an engine that the account may use.
 func (f *Frontend) handleModels(c *fiber.Ctx) error {
-	s := f.deps.Board.State.Load()
-	account, ok := s.ByKey[hashAPIKey(bearerToken(c.Get("Authorization")))]
+	state := f.deps.Board.State.Load()
+	account, ok := state.ByKey[hashAPIKey(bearerToken(c.Get("Authorization")))]
 	if !ok {
 		return f.refuseNotRun(c, "", errUnknownKey)
 	}
-	list := []modelEntry{}
-	for id, v := range s.Services {
-		cl := &clientRequest{account: s.Accounts[account].Object, chat: &chat{}}
-		if v.Object.Kind == bbticket.KindEngine && cl.setService(s, id) == nil {
-			list = append(list, modelEntry{ID: string(id), Object: "model", Owner: "bluebellport"})
+	entries := []modelEntry{}
+	for id, service := range state.Services {
+		req := &clientRequest{account: state.Accounts[account].Object, chat: &chat{}}
+		if service.Object.Kind == bbticket.KindEngine && req.setService(state, id) == nil {
+			entries = append(entries, modelEntry{ID: string(id), Object: "model", Owner: "bluebellport"})
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-	return c.JSON(map[string]any{"object": "list", "data": list})
+	sort.Slice(entries, func(i, j int) bool { return entries[i].ID < entries[j].ID })
+	return c.JSON(map[string]any{"object": "list", "data": entries})
 }
--- a/bluebellport/src/frontend_bench_test.go
+++ b/bluebellport/src/frontend_bench_test.go
@@ -21,44 +21,44 @@
 		time.Sleep(5 * time.Millisecond)
 		_, _ = w.Write([]byte("ok"))
 	}
-	d := newTestFrontend(b, target)
-	d.budgets.available = 1 << 50
-	direct := "http://" + d.deps.Board.State.Load().ByService["desk"][0].Address + "/x"
-	for _, open := range []int{1, 16, 64} {
-		for name, url := range map[string]string{"direct": direct, "through": d.url + "/services/desk/x"} {
-			b.Run(fmt.Sprintf("%s/open=%d", name, open), func(b *testing.B) {
-				h := measureLatency(b, url, open)
+	f := newTestFrontend(b, target)
+	f.budgets.available = 1 << 50
+	direct := "http://" + f.deps.Board.State.Load().ByService["desk"][0].Address + "/x"
+	for _, inFlight := range []int{1, 16, 64} {
+		for name, url := range map[string]string{"direct": direct, "through": f.url + "/services/desk/x"} {
+			b.Run(fmt.Sprintf("%s/open=%d", name, inFlight), func(b *testing.B) {
+				h := measureLatency(b, url, inFlight)
 				b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50-us")
 				b.ReportMetric(float64(h.ValueAtQuantile(95)), "p95-us")
 				b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99-us")
 			})
 		}
 	}
-	if d.budgets.used < 0 || bbunit.Tokens(d.budgets.openReservations) < 0 {
+	if f.budgets.used < 0 || bbunit.Tokens(f.budgets.openReservations) < 0 {
 		b.Fatal("reservations do not add up")
 	}
 }
 
 // measureLatency sends b.N requests with so many in flight and returns their times in
 // microseconds.
-func measureLatency(b *testing.B, url string, open int) *hdrhistogram.Histogram {
+func measureLatency(b *testing.B, url string, inFlight int) *hdrhistogram.Histogram {
 	var mu sync.Mutex
 	all := hdrhistogram.New(1, 60_000_000, 3)
 	var wg sync.WaitGroup
-	client := &fasthttp.Client{MaxConnsPerHost: open + 1}
-	left := make(chan struct{}, b.N)
+	client := &fasthttp.Client{MaxConnsPerHost: inFlight + 1}
+	tokens := make(chan struct{}, b.N)
 	for range b.N {
-		left <- struct{}{}
+		tokens <- struct{}{}
 	}
-	close(left)
+	close(tokens)
 	b.ResetTimer()
-	for range open {
+	for range inFlight {
 		wg.Go(func() {
 			h := hdrhistogram.New(1, 60_000_000, 3)
 			req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 			req.SetRequestURI(url)
 			req.Header.Set("Authorization", "Bearer "+testKey)
-			for range left {
+			for range tokens {
 				started := time.Now()
 				if err := client.Do(req, resp); err != nil || resp.StatusCode() != http.StatusOK {
 					b.Errorf("status %d, %v", resp.StatusCode(), err)
--- a/bluebellport/src/frontend_test.go
+++ b/bluebellport/src/frontend_test.go
@@ -34,21 +34,21 @@
 	openReservations int
 }
 
-func (m *fakeBudgets) Reserve(_ context.Context, b []bbunit.BudgetID, most bbunit.Tokens) (*Reservation, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.available < most {
+func (fb *fakeBudgets) Reserve(_ context.Context, budgets []bbunit.BudgetID, most bbunit.Tokens) (*Reservation, error) {
+	fb.mu.Lock()
+	defer fb.mu.Unlock()
+	if fb.available < most {
 		return nil, ErrBudgetExhausted
 	}
-	m.available -= most
-	m.openReservations++
-	return &Reservation{Budget: b[0], Holder: "h", Max: most, Commit: func(used bbunit.Tokens) {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		m.available += most - used
-		m.used += used
-		m.openReservations--
-	}, Refund: func(n bbunit.Tokens) { m.available += n; m.used -= n }}, nil
+	fb.available -= most
+	fb.openReservations++
+	return &Reservation{Budget: budgets[0], Holder: "h", Max: most, Commit: func(used bbunit.Tokens) {
+		fb.mu.Lock()
+		defer fb.mu.Unlock()
+		fb.available += most - used
+		fb.used += used
+		fb.openReservations--
+	}, Refund: func(n bbunit.Tokens) { fb.available += n; fb.used -= n }}, nil
 }
 
 // fakeJournal keeps records in memory.
@@ -60,41 +60,41 @@
 	claimErr  error
 }
 
-func (l *fakeJournal) Claim(_ context.Context, r *bbwire.Record) (*bbwire.Record, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.claimErr != nil {
-		return nil, l.claimErr
+func (j *fakeJournal) Claim(_ context.Context, r *bbwire.Record) (*bbwire.Record, error) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if j.claimErr != nil {
+		return nil, j.claimErr
 	}
-	if s := l.claims[r.Request]; s != nil {
-		return s, ErrAlreadyClaimed
+	if existing := j.claims[r.Request]; existing != nil {
+		return existing, ErrAlreadyClaimed
 	}
-	l.claims[r.Request] = r
+	j.claims[r.Request] = r
 	return nil, nil
 }
 func (l *fakeJournal) Open(*bbwire.Record) {}
 func (l *fakeJournal) Full() bool          { return false }
 
-func (l *fakeJournal) Withdraw(r *bbwire.Record) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.claims, r.Request)
-	l.withdrawn++
+func (j *fakeJournal) Withdraw(r *bbwire.Record) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	delete(j.claims, r.Request)
+	j.withdrawn++
 }
 
-func (l *fakeJournal) BillThen(r *bbwire.Record, _ func(*bbwire.Verdict)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.bills = append(l.bills, r)
+func (j *fakeJournal) BillThen(r *bbwire.Record, _ func(*bbwire.Verdict)) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.bills = append(j.bills, r)
 }
 
-func (l *fakeJournal) lastBill() *bbwire.Record {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.bills) == 0 {
+func (j *fakeJournal) lastBill() *bbwire.Record {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if len(j.bills) == 0 {
 		return &bbwire.Record{}
 	}
-	return l.bills[len(l.bills)-1]
+	return j.bills[len(j.bills)-1]
 }
 
 // testFrontend is a front with fakes behind it and scripted targets.
@@ -111,7 +111,7 @@
 // is a target that cannot be reached.
 func newTestFrontend(t testing.TB, targets ...http.HandlerFunc) *testFrontend {
 	t.Helper()
-	tk := bbticket.Ticket{
+	ticket := bbticket.Ticket{
 		Number: 1,
 		Accounts: []bbticket.Account{
 			{ID: "norra", Keys: []string{hashAPIKey(testKey)}, Priority: 5},
@@ -124,51 +124,51 @@
 			{ID: "closed", Kind: bbticket.KindPlain, Accounts: []bbunit.AccountID{"poor"}},
 		},
 	}
-	for i, h := range targets {
+	for i, handler := range targets {
 		address := unusedAddress(t)
-		if h != nil {
+		if handler != nil {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == "/load" {
 					w.WriteHeader(http.StatusNotFound) // reports are tested elsewhere
 					return
 				}
-				h(w, r)
+				handler(w, r)
 			}))
 			t.Cleanup(s.Close)
 			address = s.Listener.Addr().String()
 		}
 		for _, service := range []bbunit.ServiceID{"chat", "desk"} {
 			id := bbunit.TargetID(fmt.Sprintf("%s-%d", service, i))
-			tk.Targets = append(tk.Targets, bbticket.Target{ID: id, Service: service, Address: address, Domain: "d"})
+			ticket.Targets = append(ticket.Targets, bbticket.Target{ID: id, Service: service, Address: address, Domain: "d"})
 		}
 	}
-	return startTestFrontend(t, (&bbticket.State{}).Apply(tk))
+	return startTestFrontend(t, (&bbticket.State{}).Apply(ticket))
 }
 
-func startTestFrontend(t testing.TB, s *bbticket.State) *testFrontend {
+func startTestFrontend(t testing.TB, state *bbticket.State) *testFrontend {
 	t.Helper()
 	o := &Options{}
 	parseOptions(t, o, "--instance", "i1", "--domain", "d", "--store", "127.0.0.1:1", "--silence", "100ms", "--timeout", "3s", "--late", "1s")
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	p := Deps{
+	deps := Deps{
 		Board: NewBoard(bbmember.Member{ID: "i1", Inc: 7, Domain: "d"}), Log: log,
 		Metrics: metrics.NewRegistry(), Opts: o, Now: time.Now, Store: bbstore.NewMem(),
 	}
-	p.Board.State.Store(s)
-	p.Board.Ready.Store(true)
-	router, stop := NewRouter(p)
+	deps.Board.State.Store(state)
+	deps.Board.Ready.Store(true)
+	router, stop := NewRouter(deps)
 	t.Cleanup(stop)
-	b := &testFrontend{budgets: &fakeBudgets{available: 100000}, journal: &fakeJournal{claims: map[string]*bbwire.Record{}}}
-	b.Frontend = NewFrontend(p, newRunner(p, router, b.budgets, b.journal))
+	f := &testFrontend{budgets: &fakeBudgets{available: 100000}, journal: &fakeJournal{claims: map[string]*bbwire.Record{}}}
+	f.Frontend = NewFrontend(deps, newRunner(deps, router, f.budgets, f.journal))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = b.app.Listener(ln) }()
-	t.Cleanup(func() { _ = bbserve.Stop(b.app, ln, time.Second) })
-	b.url = "http://" + ln.Addr().String()
-	return b
+	go func() { _ = f.app.Listener(ln) }()
+	t.Cleanup(func() { _ = bbserve.Stop(f.app, ln, time.Second) })
+	f.url = "http://" + ln.Addr().String()
+	return f
 }
 
 func unusedAddress(t testing.TB) string {
@@ -181,9 +181,9 @@
 }
 
 // do sends a request; fields come as name, value pairs.
-func (b *testFrontend) do(t *testing.T, method, path, body string, fields ...string) (*http.Response, string) {
+func (f *testFrontend) do(t *testing.T, method, path, body string, fields ...string) (*http.Response, string) {
 	t.Helper()
-	r, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, f.url+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,13 +204,13 @@
 }
 
 // waitSettled waits until no reservation is open.
-func (b *testFrontend) waitSettled(is *is.I) {
+func (f *testFrontend) waitSettled(is *is.I) {
 	is.Helper()
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		b.budgets.mu.Lock()
-		open := b.budgets.openReservations
-		b.budgets.mu.Unlock()
-		if open == 0 && b.openRequests.Load() == 0 {
+		f.budgets.mu.Lock()
+		open := f.budgets.openReservations
+		f.budgets.mu.Unlock()
+		if open == 0 && f.openRequests.Load() == 0 {
 			return
 		}
 	}
@@ -222,7 +222,7 @@
 // TestRefusals holds the head and body of each refusal in a golden file; none
 // of them may leave money set aside.
 func TestRefusals(t *testing.T) {
-	b := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
+	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
 	long := strings.Repeat("k", maxRequestIDBytes+1)
 	for name, c := range map[string]struct {
 		method, path, body string
@@ -250,15 +250,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			resp, body := b.do(t, c.method, c.path, c.body, c.fields...)
+			resp, body := f.do(t, c.method, c.path, c.body, c.fields...)
 			is.Equal(resp.StatusCode, c.status)
 			is.Equal(resp.Header.Get("Content-Type"), "application/problem+json")
 			got := fmt.Sprintf("%d Retry-After=%q\n%s\n", resp.StatusCode, resp.Header.Get("Retry-After"), removeGeneratedID(body))
 			goldie.New(t).Assert(t, "refusal/"+name, []byte(got))
 		})
 	}
-	b.waitSettled(is.New(t))
-	is.New(t).Equal(b.budgets.used, bbunit.Tokens(0))
+	f.waitSettled(is.New(t))
+	is.New(t).Equal(f.budgets.used, bbunit.Tokens(0))
 }
 
 // removeGeneratedID takes the made request id out of a problem.
@@ -269,53 +269,53 @@
 // generatedID is a request id that the instance made.
 var generatedID = regexp.MustCompile(`,"request":"0[^"]*"`)
 
-// TestPlainPassedWhole checks what reaches a plain service and what comes back.
-func TestPlainPassedWhole(t *testing.T) {
+// TestPlainRequestsAreForwarded checks what reaches a plain service and what comes back.
+func TestPlainRequestsAreForwarded(t *testing.T) {
 	is := is.New(t)
 	var seen *http.Request
-	var got []byte
-	b := newTestFrontend(t, func(w http.ResponseWriter, r *http.Request) {
+	var gotBody []byte
+	f := newTestFrontend(t, func(w http.ResponseWriter, r *http.Request) {
 		seen = r
-		got, _ = io.ReadAll(r.Body)
+		gotBody, _ = io.ReadAll(r.Body)
 		w.Header().Set("X-Answer", "yes")
 		w.Header().Set("Content-Type", "text/weird")
 		w.WriteHeader(http.StatusAccepted)
 		_, _ = w.Write([]byte("whole"))
 	})
-	resp, body := b.do(t, "POST", "/services/desk/a%20b/c?x=1&y=%2F", "payload", "X-Mine", "1", "Idempotency-Key", "k1", "Content-Type", "text/odd")
+	resp, body := f.do(t, "POST", "/services/desk/a%20b/c?x=1&y=%2F", "payload", "X-Mine", "1", "Idempotency-Key", "k1", "Content-Type", "text/odd")
 	is.Equal(resp.StatusCode, http.StatusAccepted)
 	is.Equal(body, "whole")
 	is.Equal(resp.Header.Get("X-Answer"), "yes")
 	is.Equal(resp.Header.Get("Content-Type"), "text/weird")
 	is.Equal(seen.RequestURI, "/a%20b/c?x=1&y=%2F")
-	is.Equal(string(got), "payload")
+	is.Equal(string(gotBody), "payload")
 	is.Equal(seen.Header.Get("X-Mine"), "1")
 	is.Equal(seen.Header.Get("Content-Type"), "text/odd")
 	is.Equal(seen.Header.Get("Authorization"), "") // the key stays here
 	is.Equal(seen.Header.Get("Idempotency-Key"), "k1")
-	b.waitSettled(is)
-	is.Equal(b.journal.lastBill().Amount, int64(10))
-	is.Equal(b.budgets.used, bbunit.Tokens(10))
+	f.waitSettled(is)
+	is.Equal(f.journal.lastBill().Amount, int64(10))
+	is.Equal(f.budgets.used, bbunit.Tokens(10))
 }
 
-// TestSameIDTwice: the same body joins the kept answer, another body is refused.
-func TestSameIDTwice(t *testing.T) {
+// TestRepeatedRequestID: the same body joins the kept answer, another body is refused.
+func TestRepeatedRequestID(t *testing.T) {
 	is := is.New(t)
 	runs := 0
-	b := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) {
+	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) {
 		runs++
 		_, _ = fmt.Fprintf(w, "run %d", runs)
 	})
-	_, first := b.do(t, "POST", "/services/desk/book", "road=4", "Idempotency-Key", "k")
-	_, again := b.do(t, "POST", "/services/desk/book", "road=4", "Idempotency-Key", "k")
+	_, first := f.do(t, "POST", "/services/desk/book", "road=4", "Idempotency-Key", "k")
+	_, again := f.do(t, "POST", "/services/desk/book", "road=4", "Idempotency-Key", "k")
 	is.Equal(first, again)
 	is.Equal(runs, 1)
-	resp, body := b.do(t, "POST", "/services/desk/book", "road=5", "Idempotency-Key", "k")
+	resp, body := f.do(t, "POST", "/services/desk/book", "road=5", "Idempotency-Key", "k")
 	is.Equal(resp.StatusCode, http.StatusConflict)
 	is.True(strings.Contains(body, `"outcome":"not-run"`))
 	is.Equal(runs, 1)
-	b.waitSettled(is)
-	is.Equal(len(b.journal.bills), 1) // one bill
+	f.waitSettled(is)
+	is.Equal(len(f.journal.bills), 1) // one bill
 }
 
 // TestPlainFaults is the table of a plain service's faults: what the caller is
@@ -371,18 +371,18 @@
 			if c.fault == nil {
 				targets[0] = nil
 			}
-			b := newTestFrontend(t, targets...)
-			resp, body := b.do(t, c.method, "/services/desk/x", "", "X-Request-Deadline-Ms", "700")
+			f := newTestFrontend(t, targets...)
+			resp, body := f.do(t, c.method, "/services/desk/x", "", "X-Request-Deadline-Ms", "700")
 			is.Equal(resp.StatusCode, c.status)
 			if c.outcome != "" {
 				is.True(strings.Contains(body, `"outcome":"`+c.outcome+`"`))
 			}
-			b.waitSettled(is)
+			f.waitSettled(is)
 			mu.Lock()
 			defer mu.Unlock()
 			is.Equal(runs, c.runs)
-			is.Equal(b.journal.lastBill().Kind, c.kind)
-			is.Equal(len(b.journal.bills), 1)
+			is.Equal(f.journal.lastBill().Kind, c.kind)
+			is.Equal(len(f.journal.bills), 1)
 		})
 	}
 }
@@ -393,22 +393,22 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	runs := 0
-	b := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) {
+	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		runs++
 		mu.Unlock()
 		time.Sleep(600 * time.Millisecond)
 		_, _ = w.Write([]byte("booked"))
 	})
-	resp, body := b.do(t, "POST", "/services/desk/x", "", "Idempotency-Key", "k", "X-Request-Deadline-Ms", "200")
+	resp, body := f.do(t, "POST", "/services/desk/x", "", "Idempotency-Key", "k", "X-Request-Deadline-Ms", "200")
 	is.Equal(resp.StatusCode, http.StatusGatewayTimeout)
 	is.True(strings.Contains(body, `"outcome":"unknown"`))
-	is.Equal(b.journal.lastBill().Kind, bbwire.Record_UNKNOWN)
-	for end := time.Now().Add(3 * time.Second); b.journal.lastBill().Kind != bbwire.Record_BILL && time.Now().Before(end); {
+	is.Equal(f.journal.lastBill().Kind, bbwire.Record_UNKNOWN)
+	for end := time.Now().Add(3 * time.Second); f.journal.lastBill().Kind != bbwire.Record_BILL && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	is.Equal(b.journal.lastBill().Kind, bbwire.Record_BILL)
-	resp, body = b.do(t, "POST", "/services/desk/x", "", "Idempotency-Key", "k")
+	is.Equal(f.journal.lastBill().Kind, bbwire.Record_BILL)
+	resp, body = f.do(t, "POST", "/services/desk/x", "", "Idempotency-Key", "k")
 	is.Equal(resp.StatusCode, 200)
 	is.Equal(body, "booked")
 	mu.Lock()
@@ -422,71 +422,71 @@
 	}
 }
 
-// TestClosedIsNoCrash: a service that closes connections without an answer, but
+// TestClosedConnectionIsNotACrash: a service that closes connections without an answer, but
 // takes new ones, does not make the request poison.
-func TestClosedIsNoCrash(t *testing.T) {
+func TestClosedConnectionIsNotACrash(t *testing.T) {
 	is := is.New(t)
-	b := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }, func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
+	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }, func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
 	for range 3 {
-		resp, body := b.do(t, "GET", "/services/desk/x", "")
+		resp, body := f.do(t, "GET", "/services/desk/x", "")
 		is.Equal(resp.StatusCode, http.StatusBadGateway)
 		is.True(!strings.Contains(body, ErrPoisoned.Error()))
 	}
 }
 
-// TestNotRunLeavesNoClaim: when no target can be reached the caller may come
+// TestClaimIsWithdrawnIfNotRun: when no target can be reached the caller may come
 // again with the same id.
-func TestNotRunLeavesNoClaim(t *testing.T) {
+func TestClaimIsWithdrawnIfNotRun(t *testing.T) {
 	is := is.New(t)
-	b := newTestFrontend(t, nil)
-	resp, body := b.do(t, "POST", "/services/desk/x", "", "Idempotency-Key", "k")
+	f := newTestFrontend(t, nil)
+	resp, body := f.do(t, "POST", "/services/desk/x", "", "Idempotency-Key", "k")
 	is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 	is.True(strings.Contains(body, `"outcome":"not-run"`))
 	is.True(resp.Header.Get("Retry-After") != "")
-	b.waitSettled(is)
-	is.Equal(b.journal.withdrawn, 1)
-	is.Equal(len(b.journal.claims), 0)
-	is.Equal(b.budgets.used, bbunit.Tokens(0))
+	f.waitSettled(is)
+	is.Equal(f.journal.withdrawn, 1)
+	is.Equal(len(f.journal.claims), 0)
+	is.Equal(f.budgets.used, bbunit.Tokens(0))
 }
 
-// TestNoClaimNotSent: without a claim nothing leaves for a target.
-func TestNoClaimNotSent(t *testing.T) {
+// TestRequestIsNotSentWithoutItsClaim: without a claim nothing leaves for a target.
+func TestRequestIsNotSentWithoutItsClaim(t *testing.T) {
 	is := is.New(t)
 	runs := 0
-	b := newTestFrontend(t, func(http.ResponseWriter, *http.Request) { runs++ })
-	b.journal.claimErr = ErrClaimNotWritten
-	resp, body := b.do(t, "POST", "/services/desk/x", "")
+	f := newTestFrontend(t, func(http.ResponseWriter, *http.Request) { runs++ })
+	f.journal.claimErr = ErrClaimNotWritten
+	resp, body := f.do(t, "POST", "/services/desk/x", "")
 	is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 	is.True(strings.Contains(body, `"outcome":"not-run"`))
 	is.Equal(runs, 0)
-	b.waitSettled(is)
+	f.waitSettled(is)
 }
 
-// TestDrainCutsNothing: a stopping instance ends open streams whole and refuses
+// TestDrainFinishesOpenRequests: a stopping instance ends open streams whole and refuses
 // new requests as not run.
-func TestDrainCutsNothing(t *testing.T) {
+func TestDrainFinishesOpenRequests(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	b := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) {
+	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) {
 		<-release
 		_, _ = w.Write([]byte("whole"))
 	})
-	b.opts.LingerTime = 0
+	f.opts.LingerTime = 0
 	var wg sync.WaitGroup
 	var got string
-	wg.Go(func() { _, got = b.do(t, "GET", "/services/desk/x", "", "X-Request-Deadline-Ms", "2000") })
-	for b.Frontend.openRequests.Load() == 0 {
+	wg.Go(func() { _, got = f.do(t, "GET", "/services/desk/x", "", "X-Request-Deadline-Ms", "2000") })
+	for f.Frontend.openRequests.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	drained := make(chan struct{})
 	go func() {
-		b.drain(context.Background())
+		f.drain(context.Background())
 		close(drained)
 	}()
-	for !b.deps.Board.Draining.Load() {
+	for !f.deps.Board.Draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	resp, body := b.do(t, "GET", "/services/desk/x", "")
+	resp, body := f.do(t, "GET", "/services/desk/x", "")
 	is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 	is.True(strings.Contains(body, `"outcome":"not-run"`))
 	close(release)
@@ -507,21 +507,21 @@
 	}
 }
 
-// TestForgetsTargets: connections to a target that is no longer in force are
+// TestClientsOfRemovedTargetsAreDropped: connections to a target that is no longer in force are
 // closed and its client is dropped; the others stay.
-func TestForgetsTargets(t *testing.T) {
+func TestClientsOfRemovedTargetsAreDropped(t *testing.T) {
 	is := is.New(t)
-	b := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) })
-	resp, _ := b.do(t, "GET", "/services/desk/x", "")
+	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) })
+	resp, _ := f.do(t, "GET", "/services/desk/x", "")
 	is.Equal(resp.StatusCode, 200)
-	up := b.runner.plainClient.conns
-	address := b.deps.Board.State.Load().ByService["desk"][0].Address
-	_, ok := up.pooled.Load(address)
+	conns := f.runner.plainClient.conns
+	address := f.deps.Board.State.Load().ByService["desk"][0].Address
+	_, ok := conns.pooled.Load(address)
 	is.True(ok)
-	up.closeUnused(map[string]bool{address: true})
-	_, ok = up.pooled.Load(address)
+	conns.closeUnused(map[string]bool{address: true})
+	_, ok = conns.pooled.Load(address)
 	is.True(ok)
-	up.closeUnused(nil)
-	_, ok = up.pooled.Load(address)
+	conns.closeUnused(nil)
+	_, ok = conns.pooled.Load(address)
 	is.True(!ok)
 }
--- a/bluebellport/src/load.go
+++ b/bluebellport/src/load.go
@@ -62,7 +62,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + t.Address + "/load")
-	at := h.now()
+	asked := h.now()
 	deadline, _ := ctx.Deadline()
 	if err := h.client.DoDeadline(req, resp, deadline); err != nil {
 		return nil, errors.Trace(err)
@@ -70,13 +70,13 @@
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return nil, errors.Errorf("status %d", resp.StatusCode())
 	}
-	var a loadResponse
-	if err := json.Unmarshal(resp.Body(), &a); err != nil {
+	var answer loadResponse
+	if err := json.Unmarshal(resp.Body(), &answer); err != nil {
 		return nil, errors.Trace(err)
 	}
 	return &bbwire.Load{
-		Target: string(t.ID), Running: a.Running, Waiting: a.Waiting, Slots: a.Slots,
-		At: a.sampledAt(at), Leaving: a.Leaving,
+		Target: string(t.ID), Running: answer.Running, Waiting: answer.Waiting, Slots: answer.Slots,
+		At: answer.sampledAt(asked), Leaving: answer.Leaving,
 	}, nil
 }
 
@@ -91,14 +91,14 @@
 	failed       metrics.Counter
 }
 
-func newLoadPoller(p Deps, probe loadProber, observe func([]*bbwire.Load)) *loadPoller {
+func newLoadPoller(deps Deps, probe loadProber, observe func([]*bbwire.Load)) *loadPoller {
 	l := &loadPoller{
-		deps: p, prober: probe, observe: observe,
-		polled: metrics.GetOrRegisterCounter("load.asked", p.Metrics),
-		failed: metrics.GetOrRegisterCounter("load.failed", p.Metrics),
+		deps: deps, prober: probe, observe: observe,
+		polled: metrics.GetOrRegisterCounter("load.asked", deps.Metrics),
+		failed: metrics.GetOrRegisterCounter("load.failed", deps.Metrics),
 	}
-	if p.Bus != nil {
-		p.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{}}}, l.handleLoads)
+	if deps.Bus != nil {
+		deps.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{}}}, l.handleLoads)
 	}
 	return l
 }
@@ -117,11 +117,11 @@
 	var mu sync.Mutex
 	var loads []*bbwire.Load
 	var wg conc.WaitGroup
-	places := make(chan struct{}, maxConcurrentLoadPolls)
+	sem := make(chan struct{}, maxConcurrentLoadPolls)
 	for _, t := range targets {
-		places <- struct{}{}
+		sem <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-sem }()
 			l.polled.Inc(1)
 			load, err := l.prober.Load(ctx, t)
 			if err != nil {
@@ -180,9 +180,9 @@
 	var out []bbticket.Target
 	for _, g := range t.Groups() {
 		for i := range g.Local {
-			decl := g.Local[i].Declared
-			if home, ok := view.Home("load/"+string(decl.ID), domain); ok && home.ID == l.deps.Opts.Self.ID() {
-				out = append(out, decl)
+			target := g.Local[i].Declared
+			if home, ok := view.Home("load/"+string(target.ID), domain); ok && home.ID == l.deps.Opts.Self.ID() {
+				out = append(out, target)
 			}
 		}
 	}
--- a/bluebellport/src/load_test.go
+++ b/bluebellport/src/load_test.go
@@ -37,32 +37,32 @@
 	return nil
 }
 
-// TestHomePollsAndTellsItsDomain holds that each target is asked by one instance
+// TestLoadIsPolledByHomeAndSharedInDomain holds that each target is asked by one instance
 // of its own failure domain, which tells the others there and nobody else.
-func TestHomePollsAndTellsItsDomain(t *testing.T) {
+func TestLoadIsPolledByHomeAndSharedInDomain(t *testing.T) {
 	is := is.New(t)
 	members := []bbmember.Member{{ID: "i1", Domain: "d1"}, {ID: "i2", Domain: "d1"}, {ID: "i3", Domain: "d2"}}
-	asked := map[bbunit.TargetID]int{}
+	polls := map[bbunit.TargetID]int{}
 	for _, self := range members {
-		rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"}, bbticket.Target{ID: "b", Domain: "d1"}, bbticket.Target{ID: "c", Domain: "d2"})
+		tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"}, bbticket.Target{ID: "b", Domain: "d1"}, bbticket.Target{ID: "c", Domain: "d2"})
 		bus := &recordingBus{sent: map[bbunit.InstanceID]*bbwire.Envelope{}}
-		rig.deps.Bus = bus
-		rig.deps.Opts.Self.Instance, rig.deps.Opts.Self.Domain = string(self.ID), string(self.Domain)
-		rig.deps.Board.View.Store(&bbmember.View{Self: self, Members: members})
-		r := newRouter(rig.deps, proberFunc(func(tg bbticket.Target) (*bbwire.Load, error) {
+		tr.deps.Bus = bus
+		tr.deps.Opts.Self.Instance, tr.deps.Opts.Self.Domain = string(self.ID), string(self.Domain)
+		tr.deps.Board.View.Store(&bbmember.View{Self: self, Members: members})
+		r := newRouter(tr.deps, proberFunc(func(tg bbticket.Target) (*bbwire.Load, error) {
 			is.Equal(tg.Domain, self.Domain)
-			return &bbwire.Load{Target: string(tg.ID), Slots: 4, At: rig.now.UnixMilli()}, nil
+			return &bbwire.Load{Target: string(tg.ID), Slots: 4, At: tr.now.UnixMilli()}, nil
 		}))
-		mine := r.poller.homeTargets(r.currentTable())
-		r.poller.pollOnce(context.Background(), mine)
-		for _, tg := range mine {
-			asked[tg.ID]++
+		homeTargets := r.poller.homeTargets(r.currentTable())
+		r.poller.pollOnce(context.Background(), homeTargets)
+		for _, tg := range homeTargets {
+			polls[tg.ID]++
 		}
 		for to := range bus.sent {
 			is.True(to != self.ID && to != "i3")
 		}
 	}
-	is.Equal(asked, map[bbunit.TargetID]int{"a": 1, "b": 1, "c": 1})
+	is.Equal(polls, map[bbunit.TargetID]int{"a": 1, "b": 1, "c": 1})
 }
 
 // TestMessagesAreBounded holds that neither loads nor rumors grow with what
@@ -76,26 +76,26 @@
 		targets = append(targets, bbticket.Target{ID: id, Domain: "d1"})
 		loads = append(loads, &bbwire.Load{Target: string(id), Running: 60, Waiting: 3, Slots: 64, At: time.Now().UnixMilli()})
 	}
-	rig := newTestRouter(t, targets...)
-	every := rig.router.poller.shareInterval()
+	tr := newTestRouter(t, targets...)
+	interval := tr.router.poller.shareInterval()
 	size := proto.Size(&bbwire.Loads{Loads: loads})
-	is.True(float64(size)/every.Seconds() < 10_000)
-	is.True(every < 5*time.Second) // reports stay of use
+	is.True(float64(size)/interval.Seconds() < 10_000)
+	is.True(interval < 5*time.Second) // reports stay of use
 	for i := range uint64(1000) {
-		rig.router.poison.merge(i+1, []bbunit.TargetID{"target-with-a-name-1", "target-with-a-name-2"}, rig.now)
+		tr.router.poison.merge(i+1, []bbunit.TargetID{"target-with-a-name-1", "target-with-a-name-2"}, tr.now)
 	}
-	rig.router.limits.ownUsage = map[string]bbroute.Usage{}
+	tr.router.limits.ownUsage = map[string]bbroute.Usage{}
 	for i := range 100 {
-		rig.router.limits.ownUsage[fmt.Sprintf("account/with-a-name-%d", i)] = bbroute.Usage{Rate: float64(i)}
+		tr.router.limits.ownUsage[fmt.Sprintf("account/with-a-name-%d", i)] = bbroute.Usage{Rate: float64(i)}
 	}
 	g := &bbwire.Gossip{}
-	rig.router.Fill(g)
-	t.Logf("loads: %d bytes every %s; rumors: %d bytes a message", size, every, proto.Size(g))
+	tr.router.Fill(g)
+	t.Logf("loads: %d bytes every %s; rumors: %d bytes a message", size, interval, proto.Size(g))
 	is.True(proto.Size(g) < 4096)
 }
 
-// TestTargetsLoadAnswer is the contract of GET /load.
-func TestTargetsLoadAnswer(t *testing.T) {
+// TestLoadResponse is the contract of GET /load.
+func TestLoadResponse(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name   string
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestLoadAnswerTime(t *testing.T) {
+func TestLoadSampleTime(t *testing.T) {
 	is := is.New(t)
 	asked := time.UnixMilli(1_000_000)
 	is.Equal((&loadResponse{}).sampledAt(asked), int64(1_000_000))
@@ -143,19 +143,19 @@
 // change nothing else.
 func TestBadMessagesAreDropped(t *testing.T) {
 	is := is.New(t)
-	rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
-	at := rig.now.UnixMilli()
-	rig.router.observeLoads([]*bbwire.Load{
+	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
+	at := tr.now.UnixMilli()
+	tr.router.observeLoads([]*bbwire.Load{
 		{Target: "a", Running: -1, At: at},
-		{Target: "a", At: rig.now.Add(time.Hour).UnixMilli()},
+		{Target: "a", At: tr.now.Add(time.Hour).UnixMilli()},
 		{Target: "unknown", At: at},
 		nil,
 	})
-	is.Equal(rig.router.droppedMessages.Count(), int64(4))
-	rig.deps.Board.View.Store(&bbmember.View{Members: []bbmember.Member{{ID: "i1", Domain: "d1"}, {ID: "i2", Domain: "d1"}}})
-	rig.router.tick()
+	is.Equal(tr.router.droppedMessages.Count(), int64(4))
+	tr.deps.Board.View.Store(&bbmember.View{Members: []bbmember.Member{{ID: "i1", Domain: "d1"}, {ID: "i2", Domain: "d1"}}})
+	tr.router.tick()
 	nan := 0.0
-	rig.router.Take("i2", &bbwire.Gossip{
+	tr.router.Take("i2", &bbwire.Gossip{
 		Poisons: []*bbwire.Poison{{Print: 0, Targets: []string{"a"}}, {Print: 1}, nil},
 		Leaving: []string{"unknown"},
 		Usages: []*bbwire.Usage{
@@ -165,8 +165,8 @@
 			{Key: "account/none", Instance: "i2", Rate: 1},
 		},
 	})
-	is.Equal(rig.router.droppedMessages.Count(), int64(4+8))
-	is.Equal(rig.pickN(1)["a"], 1)
+	is.Equal(tr.router.droppedMessages.Count(), int64(4+8))
+	is.Equal(tr.pickN(1)["a"], 1)
 }
 
 // TestInstancesShareALimit lets two instances tell each other their usage: the
@@ -174,44 +174,44 @@
 func TestInstancesShareALimit(t *testing.T) {
 	is := is.New(t)
 	members := []bbmember.Member{{ID: "i1", Domain: "d1"}, {ID: "i2", Domain: "d1"}}
-	var rigs []*testRouter
+	var routers []*testRouter
 	for _, self := range members {
-		rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
-		rig.deps.Opts.Self.Instance = string(self.ID)
-		rig.deps.Board.View.Store(&bbmember.View{Self: self, Members: members})
-		rigs = append(rigs, rig)
+		tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
+		tr.deps.Opts.Self.Instance = string(self.ID)
+		tr.deps.Board.View.Store(&bbmember.View{Self: self, Members: members})
+		routers = append(routers, tr)
 	}
-	in := []int{0, 0}
+	admitted := []int{0, 0}
 	for step := range 200 { // 20 s, 30 requests a second to i1 and 2 to i2, limit 10
-		for i, rig := range rigs {
-			rig.now = rig.now.Add(100 * time.Millisecond)
+		for i, tr := range routers {
+			tr.now = tr.now.Add(100 * time.Millisecond)
 			for range []int{3, (step + 1) % 5 / 4}[i] {
-				if pass, err := rig.router.Admit(RouteRequest{Service: "s1", Account: "ten"}); err == nil {
+				if pass, err := tr.router.Admit(RouteRequest{Service: "s1", Account: "ten"}); err == nil {
 					pass.Done()
 					if step >= 100 {
-						in[i]++
+						admitted[i]++
 					}
 				}
 			}
-			rig.router.tick()
+			tr.router.tick()
 			g := &bbwire.Gossip{}
-			rig.router.Fill(g)
-			rigs[1-i].router.Take(members[i].ID, g)
+			tr.router.Fill(g)
+			routers[1-i].router.Take(members[i].ID, g)
 		}
 	}
-	is.True(in[0] >= 80)
-	is.True(in[0]+in[1] <= 110) // 10 s at 10 a second
+	is.True(admitted[0] >= 80)
+	is.True(admitted[0]+admitted[1] <= 110) // 10 s at 10 a second
 }
 
-func TestLeavingSpreadsByGossip(t *testing.T) {
+func TestLeavingIsGossiped(t *testing.T) {
 	is := is.New(t)
 	targets := []bbticket.Target{{ID: "a", Domain: "d1"}, {ID: "b", Domain: "d1"}}
-	rig, other := newTestRouter(t, targets...), newTestRouter(t, targets...)
-	rig.router.observeLoads([]*bbwire.Load{{Target: "a", At: rig.now.UnixMilli(), Leaving: true}})
+	tr, other := newTestRouter(t, targets...), newTestRouter(t, targets...)
+	tr.router.observeLoads([]*bbwire.Load{{Target: "a", At: tr.now.UnixMilli(), Leaving: true}})
 	g := &bbwire.Gossip{}
-	rig.router.Fill(g)
+	tr.router.Fill(g)
 	other.router.Take("i1", g)
-	is.Equal(rig.pickN(10)["a"], 0)
+	is.Equal(tr.pickN(10)["a"], 0)
 	is.Equal(other.pickN(10)["a"], 0)
 }
 
@@ -222,11 +222,11 @@
 	for i := range 70 {
 		targets = append(targets, bbticket.Target{ID: bbunit.TargetID(rune('A' + i)), Domain: "d1", Slots: 16})
 	}
-	rig := newTestRouter(b, targets...)
+	tr := newTestRouter(b, targets...)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			a, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil)
+			a, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -236,11 +236,11 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	rig := newTestRouter(b, bbticket.Target{ID: "a", Domain: "d1"})
+	tr := newTestRouter(b, bbticket.Target{ID: "a", Domain: "d1"})
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			pass, err := rig.router.Admit(RouteRequest{Service: "s1", Account: "many"})
+			pass, err := tr.router.Admit(RouteRequest{Service: "s1", Account: "many"})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/bluebellport/src/openai_test.go
+++ b/bluebellport/src/openai_test.go
@@ -14,7 +14,7 @@
 // not run.
 func TestClientLibraryReadsRefusals(t *testing.T) {
 	is := is.New(t)
-	b := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
+	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
 	for key, want := range map[string]struct {
 		status  int
 		message string
@@ -22,14 +22,14 @@
 		"nobody":   {http.StatusUnauthorized, "unknown API key"},
 		"poor-key": {http.StatusPaymentRequired, "budget exhausted"},
 	} {
-		client := openai.NewClient(option.WithBaseURL(b.url+"/v1"), option.WithAPIKey(key), option.WithMaxRetries(0))
+		client := openai.NewClient(option.WithBaseURL(f.url+"/v1"), option.WithAPIKey(key), option.WithMaxRetries(0))
 		_, err := client.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{
 			Model: "chat", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hi")},
 		})
-		var told *openai.Error
-		is.True(errors.As(err, &told))
-		is.Equal(told.StatusCode, want.status)
-		is.Equal(told.Message, want.message)
-		is.Equal(told.Code, "not-run")
+		var apiErr *openai.Error
+		is.True(errors.As(err, &apiErr))
+		is.Equal(apiErr.StatusCode, want.status)
+		is.Equal(apiErr.Message, want.message)
+		is.Equal(apiErr.Code, "not-run")
 	}
 }
--- a/bluebellport/src/order.go
+++ b/bluebellport/src/order.go
@@ -54,8 +54,8 @@
 
 // NewOrders returns the orders of an instance, and a function that stops it.
 // The home of the orders in each failure domain sends again what must be.
-func NewOrders(p Deps) (*Orders, func()) {
-	o := newOrders(p, &httpOrderSender{client: fasthttp.Client{MaxConnsPerHost: 2, MaxResponseBodySize: maxOrderResponseBytes}})
+func NewOrders(deps Deps) (*Orders, func()) {
+	o := newOrders(deps, &httpOrderSender{client: fasthttp.Client{MaxConnsPerHost: 2, MaxResponseBodySize: maxOrderResponseBytes}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() {
@@ -69,11 +69,11 @@
 	}
 }
 
-func newOrders(p Deps, sender orderSender) *Orders {
+func newOrders(deps Deps, sender orderSender) *Orders {
 	return &Orders{
-		deps: p, sender: sender, sleep: sleepFor,
+		deps: deps, sender: sender, sleep: sleepFor,
 		resenders: make(map[bbunit.TargetID]*bbroute.Resender),
-		failed:    metrics.GetOrRegisterCounter("order.failed", p.Metrics),
+		failed:    metrics.GetOrRegisterCounter("order.failed", deps.Metrics),
 	}
 }
 
@@ -84,12 +84,12 @@
 func (o *Orders) Order(ctx context.Context, t bbticket.Target, action, model string) (bbunit.Fence, error) {
 	order := bbroute.NewOrder(action, model, string(o.deps.Opts.Self.ID())+"/"+uuid.NewString())
 	for ctx.Err() == nil {
-		began := o.deps.Now()
-		top, rev, err := o.readIntent(ctx, t.ID)
+		readAt := o.deps.Now()
+		stored, rev, err := o.readIntent(ctx, t.ID)
 		if err != nil {
 			return order.Intent.Fence, errors.Trace(err)
 		}
-		done, err := o.runStep(ctx, t, order, top, rev, began)
+		done, err := o.runStep(ctx, t, order, stored, rev, readAt)
 		if done || err != nil {
 			return order.Intent.Fence, err
 		}
@@ -98,8 +98,8 @@
 }
 
 // runStep does the order's next step and tells whether it is over.
-func (o *Orders) runStep(ctx context.Context, t bbticket.Target, order *bbroute.Order, top bbroute.Intent, rev bbstore.Revision, began time.Time) (bool, error) {
-	switch order.OnRead(o.deps.Now(), top, t.Fence, orderCallTimeout) {
+func (o *Orders) runStep(ctx context.Context, t bbticket.Target, order *bbroute.Order, stored bbroute.Intent, rev bbstore.Revision, readAt time.Time) (bool, error) {
+	switch order.OnRead(o.deps.Now(), stored, t.Fence, orderCallTimeout) {
 	case bbroute.OrderStepWrite:
 		err := o.writeIntent(ctx, t.ID, order.Intent, rev)
 		if err == nil {
@@ -111,7 +111,7 @@
 	case bbroute.OrderStepWait:
 		_ = o.sleep(ctx, order.WaitUntil.Sub(o.deps.Now()))
 	case bbroute.OrderStepSend:
-		err := o.sender.Send(t, order.Intent, began.Add(orderCallTimeout))
+		err := o.sender.Send(t, order.Intent, readAt.Add(orderCallTimeout))
 		if errors.Is(err, ErrStaleFence) {
 			return true, errors.Trace(err)
 		}
@@ -145,7 +145,7 @@
 	if !ok || home.ID != o.deps.Opts.Self.ID() {
 		return
 	}
-	began := o.deps.Now()
+	readAt := o.deps.Now()
 	entries, _, err := o.deps.Store.List(ctx, orderKeyPrefix)
 	if err != nil {
 		o.deps.Log.WithError(err).Warn("orders not read")
@@ -158,50 +158,50 @@
 		if !ok || t.Object.Deleted || string(t.Object.Domain) != o.deps.Opts.Self.Domain {
 			continue
 		}
-		o.resendIfDue(ctx, t.Object, e, began)
+		o.resendIfDue(ctx, t.Object, e, readAt)
 	}
 }
 
 // resendIfDue sends the order that was read at began, and marks it done. What could
 // not be sent in the time of a call is left for the next round.
-func (o *Orders) resendIfDue(ctx context.Context, t bbticket.Target, e bbstore.Entry, began time.Time) {
-	var top bbroute.Intent
-	if err := json.Unmarshal(e.Value, &top); err != nil {
+func (o *Orders) resendIfDue(ctx context.Context, t bbticket.Target, e bbstore.Entry, readAt time.Time) {
+	var stored bbroute.Intent
+	if err := json.Unmarshal(e.Value, &stored); err != nil {
 		o.deps.Log.WithError(err).WithField("target", t.ID).Error("order unreadable")
 		return
 	}
-	again, ok := o.resenders[t.ID]
+	resender, ok := o.resenders[t.ID]
 	if !ok {
-		again = &bbroute.Resender{}
-		o.resenders[t.ID] = again
+		resender = &bbroute.Resender{}
+		o.resenders[t.ID] = resender
 	}
 	now := o.deps.Now()
-	if !again.ShouldSend(now, top, t.Fence, orderCallTimeout) || now.After(began.Add(orderCallTimeout)) {
+	if !resender.ShouldSend(now, stored, t.Fence, orderCallTimeout) || now.After(readAt.Add(orderCallTimeout)) {
 		return
 	}
-	if err := o.sender.Send(t, top, began.Add(orderCallTimeout)); err != nil {
+	if err := o.sender.Send(t, stored, readAt.Add(orderCallTimeout)); err != nil {
 		o.failed.Inc(1)
 		o.deps.Log.WithError(err).WithField("target", t.ID).Warn("order not acknowledged")
 		return
 	}
-	if !top.Done {
-		top.Done = true
-		_ = o.writeIntent(ctx, t.ID, top, e.Rev) // a conflict means that a later order counts
+	if !stored.Done {
+		stored.Done = true
+		_ = o.writeIntent(ctx, t.ID, stored, e.Rev) // a conflict means that a later order counts
 	}
 }
 
 // readIntent returns the last order to the target, an empty one when there is none.
 func (o *Orders) readIntent(ctx context.Context, id bbunit.TargetID) (bbroute.Intent, bbstore.Revision, error) {
-	var top bbroute.Intent
-	e, err := o.deps.Store.Get(ctx, orderKeyPrefix+string(id))
-	if err != nil || e.Rev == 0 {
-		return top, 0, errors.Trace(err)
+	var intent bbroute.Intent
+	entry, err := o.deps.Store.Get(ctx, orderKeyPrefix+string(id))
+	if err != nil || entry.Rev == 0 {
+		return intent, 0, errors.Trace(err)
 	}
-	return top, e.Rev, errors.Annotatef(json.Unmarshal(e.Value, &top), "order to %s", id)
+	return intent, entry.Rev, errors.Annotatef(json.Unmarshal(entry.Value, &intent), "order to %s", id)
 }
 
-func (o *Orders) writeIntent(ctx context.Context, id bbunit.TargetID, i bbroute.Intent, prev bbstore.Revision) error {
-	b, err := json.Marshal(i)
+func (o *Orders) writeIntent(ctx context.Context, id bbunit.TargetID, intent bbroute.Intent, prev bbstore.Revision) error {
+	b, err := json.Marshal(intent)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -215,11 +215,11 @@
 }
 
 // Send posts the order and waits for the answer.
-func (h *httpOrderSender) Send(t bbticket.Target, i bbroute.Intent, deadline time.Time) error {
+func (h *httpOrderSender) Send(t bbticket.Target, intent bbroute.Intent, deadline time.Time) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	b, err := json.Marshal(orderRequest{Fence: i.Fence, Action: i.Action, Model: i.Model})
+	b, err := json.Marshal(orderRequest{Fence: intent.Fence, Action: intent.Action, Model: intent.Model})
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -232,7 +232,7 @@
 	}
 	switch code := resp.StatusCode(); {
 	case code == fasthttp.StatusConflict:
-		return errors.Annotatef(ErrStaleFence, "%d at %s", i.Fence, t.ID)
+		return errors.Annotatef(ErrStaleFence, "%d at %s", intent.Fence, t.ID)
 	case code < 200 || code > 299:
 		return errors.Annotatef(ErrNotAcknowledged, "status %d", code)
 	}
--- a/bluebellport/src/order_test.go
+++ b/bluebellport/src/order_test.go
@@ -58,12 +58,12 @@
 
 // newTestOrders returns orders whose waits pass at once and are summed up.
 func newTestOrders(t *testing.T, s *singleKeyStore, f senderFunc) (*Orders, *time.Duration) {
-	rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
-	rig.deps.Store = s
-	o := newOrders(rig.deps, f)
+	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
+	tr.deps.Store = s
+	o := newOrders(tr.deps, f)
 	waited := new(time.Duration)
 	o.sleep = func(_ context.Context, d time.Duration) error {
-		rig.now = rig.now.Add(d)
+		tr.now = tr.now.Add(d)
 		*waited += d
 		return nil
 	}
@@ -79,7 +79,7 @@
 			return true, nil
 		}
 	}
-	before := bbstore.Entry{Key: orderKeyPrefix + "a", Rev: 3, Value: []byte(`{"fence":4,"by":"other","done":true}`)}
+	existing := bbstore.Entry{Key: orderKeyPrefix + "a", Rev: 3, Value: []byte(`{"fence":4,"by":"other","done":true}`)}
 	for _, c := range []struct {
 		name   string
 		store  singleKeyStore
@@ -91,8 +91,8 @@
 		waited time.Duration
 	}{
 		{name: "first order", fence: 1, sent: 1},
-		{name: "over another", store: singleKeyStore{entry: before}, checks: true, fence: 5, sent: 1},
-		{name: "over another, unchecked", store: singleKeyStore{entry: before}, fence: 5, sent: 1, waited: orderCallTimeout},
+		{name: "over another", store: singleKeyStore{entry: existing}, checks: true, fence: 5, sent: 1},
+		{name: "over another, unchecked", store: singleKeyStore{entry: existing}, fence: 5, sent: 1, waited: orderCallTimeout},
 		{name: "answer lost, took effect", store: singleKeyStore{onWrite: unknown(true)}, fence: 1, sent: 1},
 		{name: "answer lost, no effect", store: singleKeyStore{onWrite: unknown(false)}, fence: 1, sent: 1},
 		{name: "service down", store: singleKeyStore{readErr: bbstore.ErrDown}, err: bbstore.ErrDown},
@@ -137,7 +137,7 @@
 	is.True(strings.Contains(string(s.entry.Value), `"later"`)) // it marks nothing
 }
 
-func TestReissue(t *testing.T) {
+func TestResend(t *testing.T) {
 	is := is.New(t)
 	s := &singleKeyStore{entry: bbstore.Entry{Key: orderKeyPrefix + "a", Rev: 1, Value: []byte(`{"fence":4,"model":"m","by":"gone"}`)}}
 	var got []bbroute.Intent
@@ -155,8 +155,8 @@
 	is.True(got[1].Done)
 }
 
-// TestOrderAtTheTarget is the contract of POST /v1/orders.
-func TestOrderAtTheTarget(t *testing.T) {
+// TestOrderRequest is the contract of POST /v1/orders.
+func TestOrderRequest(t *testing.T) {
 	for status, want := range map[int]error{200: nil, 204: nil, 409: ErrStaleFence, 400: ErrNotAcknowledged, 503: ErrNotAcknowledged} {
 		is := is.New(t)
 		var mu sync.Mutex
--- a/bluebellport/src/plain_client.go
+++ b/bluebellport/src/plain_client.go
@@ -35,80 +35,80 @@
 // run passes the request on whole and relays the whole answer. A request that
 // may not be repeated goes over a connection of its own, so that no forgotten
 // one can swallow it; an answer that comes after its deadline goes to late.
-func (p *plainClient) run(ctx context.Context, c *clientRequest, at *Attempt, n int, fresh bool, out *Answer, late func(*fasthttp.Response)) AttemptResult {
+func (pc *plainClient) run(ctx context.Context, req *clientRequest, attempt *Attempt, n int, fresh bool, answer *Answer, onLate func(*fasthttp.Response)) AttemptResult {
 	started := time.Now()
-	fresh = fresh || !c.idempotent
-	end := AttemptResult{ConnReused: !fresh}
-	ctx, cancel := context.WithTimeoutCause(ctx, p.silenceLimit(c), errors.Trace(errTargetSilent))
+	fresh = fresh || !req.idempotent
+	result := AttemptResult{ConnReused: !fresh}
+	ctx, cancel := context.WithTimeoutCause(ctx, pc.silenceLimit(req), errors.Trace(errTargetSilent))
 	defer cancel()
-	deadline := c.deadline
-	if late != nil {
-		deadline = deadline.Add(p.lateWindow)
+	deadline := req.deadline
+	if onLate != nil {
+		deadline = deadline.Add(pc.lateWindow)
 	}
-	resp, free, sent, err := p.conns.sendWithLateHandler(ctx, at.Target.Address, fresh, p.newRequest(c, at, n), deadline, late)
-	end.Sent = sent
+	resp, releaseResp, sent, err := pc.conns.sendWithLateHandler(ctx, attempt.Target.Address, fresh, pc.newRequest(req, attempt, n), deadline, onLate)
+	result.Sent = sent
 	if err == nil {
-		defer free()
-		defer context.AfterFunc(ctx, free)()
-		end.TimeToFirstByte = time.Since(started)
-		end.Err = p.relay(ctx, resp, c, out)
-		if errors.Is(end.Err, ErrLeaving) || errors.Is(end.Err, ErrBusy) {
-			end.Sent = false
+		defer releaseResp()
+		defer context.AfterFunc(ctx, releaseResp)()
+		result.TimeToFirstByte = time.Since(started)
+		result.Err = pc.relay(ctx, resp, req, answer)
+		if errors.Is(result.Err, ErrLeaving) || errors.Is(result.Err, ErrBusy) {
+			result.Sent = false
 		}
 	} else {
-		end.Err = classifyConnError(err)
-		end.Crashed = sent && errors.Is(end.Err, errConnBroken) && !reachable(at.Target.Address)
+		result.Err = classifyConnError(err)
+		result.Crashed = sent && errors.Is(result.Err, errConnBroken) && !reachable(attempt.Target.Address)
 	}
-	end.Total = time.Since(started)
-	return end
+	result.Total = time.Since(started)
+	return result
 }
 
 // silenceLimit is how long a plain service may stay silent. A request that cannot
 // be sent again waits up to its deadline.
-func (p *plainClient) silenceLimit(c *clientRequest) time.Duration {
-	left := time.Until(c.deadline)
-	if c.idempotent {
-		return min(left, p.silenceTimeout)
+func (pc *plainClient) silenceLimit(req *clientRequest) time.Duration {
+	left := time.Until(req.deadline)
+	if req.idempotent {
+		return min(left, pc.silenceTimeout)
 	}
 	return left
 }
 
-func (p *plainClient) newRequest(c *clientRequest, at *Attempt, n int) *fasthttp.Request {
-	req := fasthttp.AcquireRequest()
-	req.Header.SetMethod(c.method)
-	req.SetRequestURI("http://" + at.Target.Address + c.path)
-	for _, h := range c.header {
-		req.Header.Add(h.Name, h.Value)
+func (pc *plainClient) newRequest(req *clientRequest, attempt *Attempt, n int) *fasthttp.Request {
+	httpReq := fasthttp.AcquireRequest()
+	httpReq.Header.SetMethod(req.method)
+	httpReq.SetRequestURI("http://" + attempt.Target.Address + req.path)
+	for _, h := range req.header {
+		httpReq.Header.Add(h.Name, h.Value)
 	}
-	req.Header.Set("Idempotency-Key", string(c.id))
-	req.Header.Set("X-Request-Id", c.attemptID(p.owner, n))
-	req.Header.Set("X-Request-Priority", strconv.Itoa(int(c.priority)))
-	req.Header.Set("X-Request-Deadline-Ms", strconv.FormatInt(time.Until(c.deadline).Milliseconds(), 10))
-	req.SetBodyRaw(c.body)
-	return req
+	httpReq.Header.Set("Idempotency-Key", string(req.id))
+	httpReq.Header.Set("X-Request-Id", req.attemptID(pc.owner, n))
+	httpReq.Header.Set("X-Request-Priority", strconv.Itoa(int(req.priority)))
+	httpReq.Header.Set("X-Request-Deadline-Ms", strconv.FormatInt(time.Until(req.deadline).Milliseconds(), 10))
+	httpReq.SetBodyRaw(req.body)
+	return httpReq
 }
 
 // relay gives the caller the target's answer. A fault of the target is an
 // error only where another target may be tried.
-func (p *plainClient) relay(ctx context.Context, resp *fasthttp.Response, c *clientRequest, out *Answer) error {
-	if err := targetRefusal(resp); err != nil && (c.idempotent || errors.Is(err, ErrLeaving)) {
+func (pc *plainClient) relay(ctx context.Context, resp *fasthttp.Response, req *clientRequest, answer *Answer) error {
+	if err := targetRefusal(resp); err != nil && (req.idempotent || errors.Is(err, ErrLeaving)) {
 		return err
 	}
-	if c.idempotent && resp.StatusCode() >= http.StatusInternalServerError {
+	if req.idempotent && resp.StatusCode() >= http.StatusInternalServerError {
 		return errors.WithType(errors.Errorf("target answered %d", resp.StatusCode()), errTargetFailed)
 	}
 	b, err := readBody(resp)
 	if err != nil {
 		return classifyConnError(err)
 	}
-	var hs []HeaderField
+	var fields []HeaderField
 	for k, v := range resp.Header.All() {
 		if isForwardedHeader(string(k)) {
-			hs = append(hs, HeaderField{string(k), string(v)})
+			fields = append(fields, HeaderField{string(k), string(v)})
 		}
 	}
-	beginAnswer(out, resp.StatusCode(), string(resp.Header.ContentType()), hs)
-	return out.Write(ctx, b)
+	beginAnswer(answer, resp.StatusCode(), string(resp.Header.ContentType()), fields)
+	return answer.Write(ctx, b)
 }
 
 // reachable tells whether the address takes a connection. A service that closes
--- a/bluebellport/src/refusal.go
+++ b/bluebellport/src/refusal.go
@@ -64,14 +64,14 @@
 
 // clientError returns the refusal as client libraries read it.
 func (r refusalResponse) clientError() problemError {
-	e := problemError{Message: r.Title, Type: errorTypeRequest, Code: r.Outcome}
+	problem := problemError{Message: r.Title, Type: errorTypeRequest, Code: r.Outcome}
 	if r.Detail != "" {
-		e.Message = r.Detail
+		problem.Message = r.Detail
 	}
 	if r.Status >= http.StatusInternalServerError {
-		e.Type = errorTypeServer
+		problem.Type = errorTypeServer
 	}
-	return e
+	return problem
 }
 
 // body returns the problem details for the request id.
@@ -127,23 +127,23 @@
 }
 
 // newRefusalResponse turns an error into what the caller is told.
-func newRefusalResponse(err error, o bbunit.Outcome) refusalResponse {
-	r := refusalResponse{Status: http.StatusInternalServerError, Title: "internal error", Detail: err.Error(), Outcome: o}
-	for _, s := range errorStatuses {
-		if !errors.Is(err, s.err) {
+func newRefusalResponse(err error, outcome bbunit.Outcome) refusalResponse {
+	resp := refusalResponse{Status: http.StatusInternalServerError, Title: "internal error", Detail: err.Error(), Outcome: outcome}
+	for _, status := range errorStatuses {
+		if !errors.Is(err, status.err) {
 			continue
 		}
-		r.Status, r.Title = s.status, s.err.Error()
-		if s.retry {
-			r.RetryAfter = defaultRetryAfter
+		resp.Status, resp.Title = status.status, status.err.Error()
+		if status.retry {
+			resp.RetryAfter = defaultRetryAfter
 		}
 		break
 	}
-	var told *Refusal
-	if errors.As(err, &told) && told.RetryAfter > 0 {
-		r.RetryAfter = told.RetryAfter
+	var routeRefusal *Refusal
+	if errors.As(err, &routeRefusal) && routeRefusal.RetryAfter > 0 {
+		resp.RetryAfter = routeRefusal.RetryAfter
 	}
-	return r
+	return resp
 }
 
 // retryAfterSeconds is the value of Retry-After: whole seconds, rounded up.
--- a/bluebellport/src/retry.go
+++ b/bluebellport/src/retry.go
@@ -19,30 +19,30 @@
 
 // Retry decides what follows the end of an attempt and moves the state on. A
 // refusal of a leaving target costs nothing of the service's retry budget.
-func (r *Router) Retry(s *RetryState, ask RouteRequest, end AttemptResult) Decision {
-	if !s.Reconnected {
-		s.Attempts++
+func (r *Router) Retry(state *RetryState, req RouteRequest, result AttemptResult) Decision {
+	if !state.Reconnected {
+		state.Attempts++
 	}
 	now := r.deps.Now()
-	e := routeResult(&end)
-	d := bbroute.DecideRetry(*s, &e, &ask, &r.retryPolicy, now)
-	s.Reconnected = d == DecisionRetrySame
-	if d == DecisionStop || r.poison.isPoisoned(ask.Fingerprint) {
+	routeRes := routeResult(&result)
+	decision := bbroute.DecideRetry(*state, &routeRes, &req, &r.retryPolicy, now)
+	state.Reconnected = decision == DecisionRetrySame
+	if decision == DecisionStop || r.poison.isPoisoned(req.Fingerprint) {
 		return DecisionStop
 	}
-	g, ok := r.group(ask.Service)
+	g, ok := r.group(req.Service)
 	if !ok {
 		return DecisionStop
 	}
-	if !e.RefusedAsLeaving() && !g.RetryBudget().Spend(now, &r.retryPolicy) {
+	if !routeRes.RefusedAsLeaving() && !g.RetryBudget().Spend(now, &r.retryPolicy) {
 		r.exhaustedRetries.Inc(1)
 		return DecisionStop
 	}
 	r.retries.Inc(1)
-	return d
+	return decision
 }
 
 // routeResult returns what the core needs of an attempt's end.
-func routeResult(end *AttemptResult) bbroute.AttemptResult {
-	return bbroute.AttemptResult{Err: end.Err, Sent: end.Sent, Crashed: end.Crashed, ConnReused: end.ConnReused}
+func routeResult(result *AttemptResult) bbroute.AttemptResult {
+	return bbroute.AttemptResult{Err: result.Err, Sent: result.Sent, Crashed: result.Crashed, ConnReused: result.ConnReused}
 }
--- a/bluebellport/src/router.go
+++ b/bluebellport/src/router.go
@@ -56,23 +56,23 @@
 }
 
 func newRouterMetrics(r metrics.Registry) routerMetrics {
-	c := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("route."+name, r) }
+	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("route."+name, r) }
 	return routerMetrics{
-		picks: c("picks"), failedAttempts: c("attempts.failed"), openedCircuits: c("circuits.opened"),
-		retries: c("retries"), exhaustedRetries: c("retries.exhausted"),
-		refused: c("refused"), droppedMessages: c("messages.dropped"), queued: c("lined-up"),
+		picks: counter("picks"), failedAttempts: counter("attempts.failed"), openedCircuits: counter("circuits.opened"),
+		retries: counter("retries"), exhaustedRetries: counter("retries.exhausted"),
+		refused: counter("refused"), droppedMessages: counter("messages.dropped"), queued: counter("lined-up"),
 	}
 }
 
 // NewRouter returns a router over the board's state, and a function that stops
 // it.
-func NewRouter(p Deps) (*Router, func()) {
-	r := newRouter(p, newHTTPLoadProber(p.Now))
+func NewRouter(deps Deps) (*Router, func()) {
+	r := newRouter(deps, newHTTPLoadProber(deps.Now))
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() { r.runEvery(ctx, routeTickInterval, r.tick) })
 	wg.Go(func() {
-		r.runEvery(ctx, p.Opts.Route.LoadPollInterval, func() { r.poller.pollOnce(ctx, r.poller.homeTargets(r.currentTable())) })
+		r.runEvery(ctx, deps.Opts.Route.LoadPollInterval, func() { r.poller.pollOnce(ctx, r.poller.homeTargets(r.currentTable())) })
 	})
 	return r, func() {
 		cancel()
@@ -81,23 +81,23 @@
 }
 
 // newRouter returns a router that does nothing on its own.
-func newRouter(p Deps, probe loadProber) *Router {
+func newRouter(deps Deps, prober loadProber) *Router {
 	r := &Router{
-		deps:          p,
-		pickPolicy:    p.Opts.Route.pickPolicy(),
-		retryPolicy:   p.Opts.Route.retryPolicy(),
-		poison:        newPoisonTracker(p.Opts.Route.poisonPolicy()),
-		limits:        newSharedLimits(p),
-		routerMetrics: newRouterMetrics(p.Metrics),
+		deps:          deps,
+		pickPolicy:    deps.Opts.Route.pickPolicy(),
+		retryPolicy:   deps.Opts.Route.retryPolicy(),
+		poison:        newPoisonTracker(deps.Opts.Route.poisonPolicy()),
+		limits:        newSharedLimits(deps),
+		routerMetrics: newRouterMetrics(deps.Metrics),
 	}
-	r.poller = newLoadPoller(p, probe, r.observeLoads)
+	r.poller = newLoadPoller(deps, prober, r.observeLoads)
 	r.table.Store(&bbroute.Table{})
 	return r
 }
 
 // runEvery calls fn at each interval until ctx ends.
-func (r *Router) runEvery(ctx context.Context, d time.Duration, fn func()) {
-	t := time.NewTicker(d)
+func (r *Router) runEvery(ctx context.Context, interval time.Duration, fn func()) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
@@ -129,56 +129,56 @@
 			r.droppedMessages.Inc(1)
 			continue
 		}
-		news, err := t.Observe(newLoadReport(m), now)
+		changed, err := t.Observe(newLoadReport(m), now)
 		switch {
 		case errors.Is(err, bbroute.ErrBadReport):
 			r.droppedMessages.Inc(1)
 			r.deps.Log.WithError(err).WithField("target", t.ID).Warn("load report dropped")
-		case news:
+		case changed:
 			r.deps.Log.WithField("target", t.ID).WithField("leaving", m.Leaving).Info("target's own report")
 		}
 	}
 }
 
 // newAttempt counts the request at the target until Done.
-func (r *Router) newAttempt(g *bbroute.Group, place *bbroute.Candidate, ask *RouteRequest, suspect bool) *Attempt {
-	work, fp := g.ExpectedWork(ask), ask.Fingerprint
-	t := place.State
+func (r *Router) newAttempt(g *bbroute.Group, candidate *bbroute.Candidate, req *RouteRequest, suspect bool) *Attempt {
+	work, fingerprint := g.ExpectedWork(req), req.Fingerprint
+	t := candidate.State
 	t.Begin(work, suspect)
 	var ended atomic.Bool
-	return &Attempt{Target: place.Declared, Done: func(end AttemptResult) {
+	return &Attempt{Target: candidate.Declared, Done: func(result AttemptResult) {
 		if !ended.CompareAndSwap(false, true) {
 			return
 		}
 		t.End(work, suspect)
-		r.recordAttempt(g, t, fp, &end)
+		r.recordAttempt(g, t, fingerprint, &result)
 	}}
 }
 
 // recordAttempt draws the conclusions from the end of an attempt.
-func (r *Router) recordAttempt(g *bbroute.Group, t *bbroute.TargetState, fp uint64, end *AttemptResult) {
-	now, e := r.deps.Now(), routeResult(end)
+func (r *Router) recordAttempt(g *bbroute.Group, t *bbroute.TargetState, fingerprint uint64, result *AttemptResult) {
+	now, routeRes := r.deps.Now(), routeResult(result)
 	switch {
-	case e.Err == nil:
-		g.RecordCompletion(t, end.OutputTokens, end.Total)
+	case routeRes.Err == nil:
+		g.RecordCompletion(t, result.OutputTokens, result.Total)
 		g.RetryBudget().Earn(&r.retryPolicy)
-		r.poison.knownGood.Add(fp)
+		r.poison.knownGood.Add(fingerprint)
 		t.Circuit.RecordSuccess()
-	case errors.Is(e.Err, ErrLeaving):
+	case errors.Is(routeRes.Err, ErrLeaving):
 		if t.MarkLeaving(now) {
 			r.deps.Log.WithField("target", t.ID).Info("target leaving by its refusal")
 		}
-	case errors.Is(e.Err, ErrBusy):
+	case errors.Is(routeRes.Err, ErrBusy):
 		t.MarkBusy(now.Add(busyBackoff))
-	case e.IsTargetFault():
+	case routeRes.IsTargetFault():
 		r.failedAttempts.Inc(1)
 		if t.Circuit.RecordFailure(now, &r.pickPolicy.Circuit) {
 			r.openedCircuits.Inc(1)
-			r.deps.Log.WithField("target", t.ID).WithError(e.Err).Warn("circuit open")
+			r.deps.Log.WithField("target", t.ID).WithError(routeRes.Err).Warn("circuit open")
 		}
 	}
-	if e.Crashed && r.poison.recordCrash(fp, t.ID, now) {
-		r.broadcastPoisons([]uint64{fp}, true)
+	if routeRes.Crashed && r.poison.recordCrash(fingerprint, t.ID, now) {
+		r.broadcastPoisons([]uint64{fingerprint}, true)
 	}
 }
 
@@ -216,9 +216,9 @@
 		return nil
 	}
 	out := make([]bbticket.Target, 0, len(g.Local)+len(g.Remote))
-	for _, places := range [][]bbroute.Candidate{g.Local, g.Remote} {
-		for i := range places {
-			out = append(out, places[i].Declared)
+	for _, candidates := range [][]bbroute.Candidate{g.Local, g.Remote} {
+		for i := range candidates {
+			out = append(out, candidates[i].Declared)
 		}
 	}
 	return out
--- a/bluebellport/src/router_test.go
+++ b/bluebellport/src/router_test.go
@@ -35,7 +35,7 @@
 // newTestRouter returns a router in failure domain d1 with default settings.
 func newTestRouter(t testing.TB, targets ...bbticket.Target) *testRouter {
 	t.Helper()
-	rig := &testRouter{now: time.Unix(1000, 0)}
+	tr := &testRouter{now: time.Unix(1000, 0)}
 	opts := &Options{}
 	app := kingpin.New("test", "")
 	opts.Route.flags(app.Command("serve", ""))
@@ -43,20 +43,20 @@
 		t.Fatal(err)
 	}
 	opts.Self = SelfOptions{Instance: "i1", Domain: "d1"}
-	rig.deps = Deps{
+	tr.deps = Deps{
 		Board:   NewBoard(bbmember.Member{ID: "i1", Domain: "d1"}),
 		Log:     discardLogger(),
 		Metrics: metrics.NewRegistry(),
 		Opts:    opts,
-		Now:     func() time.Time { return rig.now },
+		Now:     func() time.Time { return tr.now },
 	}
-	rig.setTargets(1, targets...)
-	rig.router = newRouter(rig.deps, proberFunc(func(bbticket.Target) (*bbwire.Load, error) { return nil, errors.New("no load") }))
-	return rig
+	tr.setTargets(1, targets...)
+	tr.router = newRouter(tr.deps, proberFunc(func(bbticket.Target) (*bbwire.Load, error) { return nil, errors.New("no load") }))
+	return tr
 }
 
 // setTargets puts service s1 with the targets in force.
-func (rig *testRouter) setTargets(n bbunit.TicketNumber, targets ...bbticket.Target) {
+func (tr *testRouter) setTargets(n bbunit.TicketNumber, targets ...bbticket.Target) {
 	s := &bbticket.State{
 		Number:   n,
 		Services: map[bbunit.ServiceID]bbticket.Numbered[bbticket.Service]{"s1": {Number: n, Object: bbticket.Service{ID: "s1"}}},
@@ -72,30 +72,30 @@
 		t.Service = "s1"
 		s.Targets[t.ID] = bbticket.Numbered[bbticket.Target]{Number: n, Object: t}
 	}
-	rig.deps.Board.State.Store(s)
+	tr.deps.Board.State.Store(s)
 }
 
 // pickN picks n times with all attempts left open, and counts the targets.
-func (rig *testRouter) pickN(n int) map[bbunit.TargetID]int {
-	got := map[bbunit.TargetID]int{}
+func (tr *testRouter) pickN(n int) map[bbunit.TargetID]int {
+	picks := map[bbunit.TargetID]int{}
 	for range n {
-		if a, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil); err == nil {
-			got[a.Target.ID]++
+		if a, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil); err == nil {
+			picks[a.Target.ID]++
 		}
 	}
-	return got
+	return picks
 }
 
-func TestPickSpreadsByOwnWork(t *testing.T) {
+func TestPickBalancesByInFlight(t *testing.T) {
 	is := is.New(t)
-	rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1", Slots: 8}, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
-	got := rig.pickN(10)
-	is.Equal(got["a"], 5)
-	is.Equal(got["b"], 5)
+	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1", Slots: 8}, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
+	picks := tr.pickN(10)
+	is.Equal(picks["a"], 5)
+	is.Equal(picks["b"], 5)
 }
 
-func TestPickLeavesOut(t *testing.T) {
-	boom := errors.New("boom")
+func TestPickExcludes(t *testing.T) {
+	failure := errors.New("boom")
 	for _, c := range []struct {
 		name  string
 		decl  bbticket.Target
@@ -104,20 +104,20 @@
 	}{
 		{name: "a leaving target", decl: bbticket.Target{Leaving: true}},
 		{name: "a target that refused as leaving", ends: []AttemptResult{{Err: ErrLeaving}}},
-		{name: "an open circuit", ends: []AttemptResult{{Err: boom}, {Err: boom}, {Err: boom}}},
+		{name: "an open circuit", ends: []AttemptResult{{Err: failure}, {Err: failure}, {Err: failure}}},
 		{name: "a tried target", tried: []bbunit.TargetID{"a"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			c.decl.ID, c.decl.Domain, c.decl.Slots = "a", "d1", 8
-			rig := newTestRouter(t, c.decl, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
+			tr := newTestRouter(t, c.decl, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
 			for _, end := range c.ends {
-				a, err := rig.router.Pick(RouteRequest{Service: "s1"}, []bbunit.TargetID{"b"})
+				a, err := tr.router.Pick(RouteRequest{Service: "s1"}, []bbunit.TargetID{"b"})
 				is.NoErr(err)
 				a.Done(end)
 			}
 			for range 20 {
-				a, err := rig.router.Pick(RouteRequest{Service: "s1"}, c.tried)
+				a, err := tr.router.Pick(RouteRequest{Service: "s1"}, c.tried)
 				is.NoErr(err)
 				is.Equal(a.Target.ID, bbunit.TargetID("b"))
 			}
@@ -127,65 +127,65 @@
 
 func TestPickHasNoTarget(t *testing.T) {
 	is := is.New(t)
-	rig := newTestRouter(t)
-	_, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil)
+	tr := newTestRouter(t)
+	_, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil)
 	is.True(errors.Is(err, ErrNoTarget))
-	_, err = rig.router.Pick(RouteRequest{Service: "none"}, nil)
+	_, err = tr.router.Pick(RouteRequest{Service: "none"}, nil)
 	is.True(errors.Is(err, ErrNoTarget))
-	_, err = rig.router.Admit(RouteRequest{Service: "none"})
+	_, err = tr.router.Admit(RouteRequest{Service: "none"})
 	var refusal *Refusal
 	is.True(errors.As(err, &refusal))
 }
 
 func TestDoneCountsOnce(t *testing.T) {
 	is := is.New(t)
-	rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
-	a, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil)
+	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
+	a, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil)
 	is.NoErr(err)
-	known, ok := rig.router.currentTable().TargetState("a")
+	state, ok := tr.router.currentTable().TargetState("a")
 	is.True(ok)
-	is.Equal(known.InFlight(), 1)
+	is.Equal(state.InFlight(), 1)
 	a.Done(AttemptResult{})
 	a.Done(AttemptResult{})
-	is.Equal(known.InFlight(), 0)
+	is.Equal(state.InFlight(), 0)
 }
 
 func TestOpenCircuitLetsOneProbeThrough(t *testing.T) {
 	is := is.New(t)
-	rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
+	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
 	for range 3 {
-		a, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil)
+		a, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil)
 		is.NoErr(err)
 		a.Done(AttemptResult{Err: errors.New("boom")})
 	}
-	is.Equal(rig.pickN(3)["a"], 0)
-	rig.now = rig.now.Add(rig.deps.Opts.Route.InitialCircuitOpen)
-	is.Equal(rig.pickN(3)["a"], 1) // a single probe
+	is.Equal(tr.pickN(3)["a"], 0)
+	tr.now = tr.now.Add(tr.deps.Opts.Route.InitialCircuitOpen)
+	is.Equal(tr.pickN(3)["a"], 1) // a single probe
 }
 
-func TestNewTicketEndsAnOlderLeavingWord(t *testing.T) {
+func TestNewTicketEndsEarlierLeaving(t *testing.T) {
 	is := is.New(t)
 	a := bbticket.Target{ID: "a", Domain: "d1"}
-	rig := newTestRouter(t, a)
-	at, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil)
+	tr := newTestRouter(t, a)
+	at, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil)
 	is.NoErr(err)
 	at.Done(AttemptResult{Err: ErrLeaving})
-	is.Equal(rig.pickN(1)["a"], 0)
-	rig.setTargets(2, a)
-	is.Equal(rig.pickN(1)["a"], 1)
+	is.Equal(tr.pickN(1)["a"], 0)
+	tr.setTargets(2, a)
+	is.Equal(tr.pickN(1)["a"], 1)
 }
 
-// TestFirstRequestsFindTheirService lets many requests come at once just after
+// TestRequestsDuringTableBuild lets many requests come at once just after
 // a ticket: none may be refused because another one builds the table.
-func TestFirstRequestsFindTheirService(t *testing.T) {
+func TestRequestsDuringTableBuild(t *testing.T) {
 	is := is.New(t)
 	for range 50 {
-		rig := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
+		tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
 		var wg conc.WaitGroup
 		var refused atomic.Int64
 		for range 8 {
 			wg.Go(func() {
-				if _, err := rig.router.Pick(RouteRequest{Service: "s1"}, nil); err != nil {
+				if _, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil); err != nil {
 					refused.Add(1)
 				}
 			})
--- a/bluebellport/src/runner.go
+++ b/bluebellport/src/runner.go
@@ -26,12 +26,12 @@
 	owner        string
 	tracer       trace.Tracer
 	// outcomeIfNotRun is what may be said of a request of which this copy did not run.
-	outcomeIfNotRun func(ctx context.Context, c *clientRequest, owner string) bbunit.Outcome
+	outcomeIfNotRun func(ctx context.Context, req *clientRequest, owner string) bbunit.Outcome
 	// rejoin attaches to the answer of a request anew, to lead it.
-	rejoin func(c *clientRequest) (*Answer, bool, error)
+	rejoin func(req *clientRequest) (*Answer, bool, error)
 	// fetchFromOwner has the instance that owns a claim bring the answer; errHome
 	// when it cannot.
-	fetchFromOwner func(ctx context.Context, c *clientRequest, to bbunit.InstanceID, out *Answer) error
+	fetchFromOwner func(ctx context.Context, req *clientRequest, to bbunit.InstanceID, answer *Answer) error
 }
 
 // execution is one request under way.
@@ -55,195 +55,195 @@
 //
 //	admit -> reserve -> claim or open -> (place) -> attempts -> bill
 //	   \________\___________\______________\__________\______-> refusal
-func (r *runner) run(ctx context.Context, c *clientRequest, out *Answer) {
-	ctx, cancel := context.WithDeadlineCause(ctx, c.deadline, errors.Trace(errDeadlineExceeded))
+func (r *runner) run(ctx context.Context, req *clientRequest, answer *Answer) {
+	ctx, cancel := context.WithDeadlineCause(ctx, req.deadline, errors.Trace(errDeadlineExceeded))
 	defer cancel()
-	j := &execution{runner: r, req: c, answer: out, routeReq: newRouteRequest(ctx, c), ended: make(chan struct{})}
-	defer close(j.ended)
-	pass, err := r.admit(j.routeReq)
+	e := &execution{runner: r, req: req, answer: answer, routeReq: newRouteRequest(ctx, req), ended: make(chan struct{})}
+	defer close(e.ended)
+	admission, err := r.admit(e.routeReq)
 	if err != nil {
-		j.refuse(ctx, err)
+		e.refuse(ctx, err)
 		return
 	}
-	defer pass.Done()
-	if j.reservation, err = r.reserve(ctx, c); err != nil {
-		j.refuse(ctx, err)
+	defer admission.Done()
+	if e.reservation, err = r.reserve(ctx, req); err != nil {
+		e.refuse(ctx, err)
 		return
 	}
-	if stands, err := j.recordStart(ctx); err != nil {
-		j.reservation.Commit(0)
-		j.handleClaimRefused(ctx, err, stands)
+	if existing, err := e.recordStart(ctx); err != nil {
+		e.reservation.Commit(0)
+		e.handleClaimRefused(ctx, err, existing)
 		return
 	}
-	if !c.idempotent {
-		if err := r.router.AcquireSlot(j.routeReq, pass); err != nil {
-			j.finish(ctx, err)
+	if !req.idempotent {
+		if err := r.router.AcquireSlot(e.routeReq, admission); err != nil {
+			e.finish(ctx, err)
 			return
 		}
 	}
-	j.finish(ctx, j.runAttempts(ctx))
+	e.finish(ctx, e.runAttempts(ctx))
 }
 
 // admit lets the request in; one that has to be claimed gets its place at the
 // service afterwards, so that its wait keeps nobody out.
-func (r *runner) admit(ask RouteRequest) (*Admission, error) {
-	if ask.Idempotent {
-		return r.router.Admit(ask)
+func (r *runner) admit(req RouteRequest) (*Admission, error) {
+	if req.Idempotent {
+		return r.router.Admit(req)
 	}
-	return r.router.AdmitWithoutSlot(ask)
+	return r.router.AdmitWithoutSlot(req)
 }
 
-func newRouteRequest(ctx context.Context, c *clientRequest) RouteRequest {
-	a := RouteRequest{
-		Service:      c.service.ID,
-		Account:      c.account.ID,
-		Priority:     c.priority,
-		Deadline:     c.deadline,
-		PrefixHashes: c.prefixHashes(),
-		Fingerprint:  requestFingerprint(c.method, string(c.service.ID), c.path, c.body),
-		Idempotent:   c.idempotent,
+func newRouteRequest(ctx context.Context, req *clientRequest) RouteRequest {
+	routeReq := RouteRequest{
+		Service:      req.service.ID,
+		Account:      req.account.ID,
+		Priority:     req.priority,
+		Deadline:     req.deadline,
+		PrefixHashes: req.prefixHashes(),
+		Fingerprint:  requestFingerprint(req.method, string(req.service.ID), req.path, req.body),
+		Idempotent:   req.idempotent,
 		Cancel:       ctx.Done(),
 	}
-	if c.chat != nil {
-		a.ExpectedOutput = c.chat.outputLimit(c.service)
+	if req.chat != nil {
+		routeReq.ExpectedOutput = req.chat.outputLimit(req.service)
 	}
-	return a
+	return routeReq
 }
 
 // reserve sets the request's highest price aside.
-func (r *runner) reserve(ctx context.Context, c *clientRequest) (*Reservation, error) {
-	ctx, span := r.tracer.Start(ctx, "reserve", trace.WithAttributes(attribute.Int64("tokens", int64(c.maxPrice))))
+func (r *runner) reserve(ctx context.Context, req *clientRequest) (*Reservation, error) {
+	ctx, span := r.tracer.Start(ctx, "reserve", trace.WithAttributes(attribute.Int64("tokens", int64(req.maxPrice))))
 	defer span.End()
-	if len(c.budgets) == 0 {
+	if len(req.budgets) == 0 {
 		return nil, errors.Trace(ErrBudgetExhausted)
 	}
-	return r.budgets.Reserve(ctx, c.budgets, c.maxPrice)
+	return r.budgets.Reserve(ctx, req.budgets, req.maxPrice)
 }
 
 // recordStart claims a request that must not run twice, and notes any other. With
 // an error it returns the record that stands, if there is one.
-func (j *execution) recordStart(ctx context.Context) (*bbwire.Record, error) {
-	j.rec = &bbwire.Record{
+func (e *execution) recordStart(ctx context.Context) (*bbwire.Record, error) {
+	e.rec = &bbwire.Record{
 		Kind:    bbwire.Record_OPEN,
-		Account: string(j.req.account.ID),
-		Request: string(j.req.id),
-		Print:   j.req.fingerprint,
-		Budget:  string(j.reservation.Budget),
-		Holder:  string(j.reservation.Holder),
-		Service: string(j.req.service.ID),
-		Amount:  int64(j.req.maxPrice),
-		Made:    j.deps.Now().UnixMilli(),
+		Account: string(e.req.account.ID),
+		Request: string(e.req.id),
+		Print:   e.req.fingerprint,
+		Budget:  string(e.reservation.Budget),
+		Holder:  string(e.reservation.Holder),
+		Service: string(e.req.service.ID),
+		Amount:  int64(e.req.maxPrice),
+		Made:    e.deps.Now().UnixMilli(),
 	}
-	if j.req.idempotent {
-		j.journal.Open(j.rec)
+	if e.req.idempotent {
+		e.journal.Open(e.rec)
 		return nil, nil
 	}
-	ctx, span := j.tracer.Start(ctx, "claim")
+	ctx, span := e.tracer.Start(ctx, "claim")
 	defer span.End()
-	return j.journal.Claim(ctx, j.rec)
+	return e.journal.Claim(ctx, e.rec)
 }
 
 // handleClaimRefused ends the answer of a request whose claim was refused. Where another
 // claim or a bill stands, its owner is asked for the answer; else the request
 // may have run, and the caller is told so.
-func (j *execution) handleClaimRefused(ctx context.Context, err error, stands *bbwire.Record) {
-	if !errors.Is(err, ErrAlreadyClaimed) || stands == nil {
-		j.refuse(ctx, err)
+func (e *execution) handleClaimRefused(ctx context.Context, err error, existing *bbwire.Record) {
+	if !errors.Is(err, ErrAlreadyClaimed) || existing == nil {
+		e.refuse(ctx, err)
 		return
 	}
-	owner, perr := bbjournal.ParseOwner(stands.Owner)
-	if perr == nil && j.fetchFromOwner != nil && j.fetchFromOwner(ctx, j.req, owner.Instance, j.answer) == nil {
+	owner, parseErr := bbjournal.ParseOwner(existing.Owner)
+	if parseErr == nil && e.fetchFromOwner != nil && e.fetchFromOwner(ctx, e.req, owner.Instance, e.answer) == nil {
 		return
 	}
 	detail := "another copy of the request was sent and its end was not seen"
-	if stands.Kind == bbwire.Record_BILL {
-		detail = fmt.Sprintf("the request ran and was billed %d tokens; its answer is no longer kept", stands.Amount)
+	if existing.Kind == bbwire.Record_BILL {
+		detail = fmt.Sprintf("the request ran and was billed %d tokens; its answer is no longer kept", existing.Amount)
 	}
-	j.fail(errors.Annotate(err, detail), bbunit.OutcomeUnknown)
+	e.fail(errors.Annotate(err, detail), bbunit.OutcomeUnknown)
 }
 
 // runAttempts tries targets until one answers or nothing more may be tried.
-func (j *execution) runAttempts(ctx context.Context) error {
+func (e *execution) runAttempts(ctx context.Context) error {
 	var state RetryState
 	var last error
-	at, err := j.router.Pick(j.routeReq, nil)
+	attempt, err := e.router.Pick(e.routeReq, nil)
 	for n := 0; ; n++ {
 		if err != nil {
-			if j.sent && last != nil && !errors.Is(err, ErrPoisoned) {
+			if e.sent && last != nil && !errors.Is(err, ErrPoisoned) {
 				return last // what happened to it says more than that no other is left
 			}
 			return err
 		}
-		end := j.runAttempt(ctx, at, n, state.Reconnected)
-		at.Done(end)
-		j.sent, last = j.sent || end.Sent, end.Err
-		if end.Err == nil || errors.Is(end.Err, errPassedThrough) {
-			return end.Err
+		result := e.runAttempt(ctx, attempt, n, state.Reconnected)
+		attempt.Done(result)
+		e.sent, last = e.sent || result.Sent, result.Err
+		if result.Err == nil || errors.Is(result.Err, errPassedThrough) {
+			return result.Err
 		}
-		j.logFailedAttempt(at, n, end)
+		e.logFailedAttempt(attempt, n, result)
 		if ctx.Err() != nil {
-			return errors.Annotate(context.Cause(ctx), end.Err.Error())
+			return errors.Annotate(context.Cause(ctx), result.Err.Error())
 		}
-		if j.relay.multipleChoices && len(j.relay.text) > 0 {
-			return end.Err // several choices cannot be gone on with elsewhere
+		if e.relay.multipleChoices && len(e.relay.text) > 0 {
+			return result.Err // several choices cannot be gone on with elsewhere
 		}
-		switch j.router.Retry(&state, j.routeReq, end) {
+		switch e.router.Retry(&state, e.routeReq, result) {
 		case DecisionStop:
-			return end.Err
+			return result.Err
 		case DecisionRetrySame:
-			at, err = j.router.PickSame(j.routeReq, at.Target.ID)
+			attempt, err = e.router.PickSame(e.routeReq, attempt.Target.ID)
 		case DecisionRetryOther:
-			j.triedTargets = append(j.triedTargets, at.Target.ID)
-			at, err = j.router.Pick(j.routeReq, j.triedTargets)
+			e.triedTargets = append(e.triedTargets, attempt.Target.ID)
+			attempt, err = e.router.Pick(e.routeReq, e.triedTargets)
 		}
-		j.relay.startNextAttempt()
+		e.relay.startNextAttempt()
 	}
 }
 
 // runAttempt runs the request at one target, over a fresh connection if told so.
-func (j *execution) runAttempt(ctx context.Context, at *Attempt, n int, fresh bool) AttemptResult {
-	ctx, span := j.tracer.Start(ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
-		attribute.String("target", string(at.Target.ID)), attribute.Int("attempt", n)))
+func (e *execution) runAttempt(ctx context.Context, attempt *Attempt, n int, fresh bool) AttemptResult {
+	ctx, span := e.tracer.Start(ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
+		attribute.String("target", string(attempt.Target.ID)), attribute.Int("attempt", n)))
 	defer span.End()
-	j.lastTarget = at.Target.ID
-	var end AttemptResult
-	if j.req.chat != nil {
-		end = j.engineClient.run(ctx, j.req, at, n, fresh, &j.relay, j.answer)
+	e.lastTarget = attempt.Target.ID
+	var result AttemptResult
+	if e.req.chat != nil {
+		result = e.engineClient.run(ctx, e.req, attempt, n, fresh, &e.relay, e.answer)
 	} else {
-		end = j.plainClient.run(ctx, j.req, at, n, fresh, j.answer, j.lateAnswerHandler())
+		result = e.plainClient.run(ctx, e.req, attempt, n, fresh, e.answer, e.lateAnswerHandler())
 	}
-	if end.Err != nil {
-		span.RecordError(end.Err)
+	if result.Err != nil {
+		span.RecordError(result.Err)
 	}
-	return end
+	return result
 }
 
-func (j *execution) logFailedAttempt(at *Attempt, n int, end AttemptResult) {
-	j.deps.Log.WithFields(map[string]any{
-		"event": "attempt", "request": j.req.id, "account": j.req.account.ID, "target": at.Target.ID,
-		"attempt": n, "sent": end.Sent, "crashed": end.Crashed,
-	}).WithError(end.Err).Warn("attempt failed")
+func (e *execution) logFailedAttempt(attempt *Attempt, n int, result AttemptResult) {
+	e.deps.Log.WithFields(map[string]any{
+		"event": "attempt", "request": e.req.id, "account": e.req.account.ID, "target": attempt.Target.ID,
+		"attempt": n, "sent": result.Sent, "crashed": result.Crashed,
+	}).WithError(result.Err).Warn("attempt failed")
 }
 
 // finish bills the request and ends its answer.
-func (j *execution) finish(ctx context.Context, err error) {
+func (e *execution) finish(ctx context.Context, err error) {
 	switch {
 	case err == nil:
-		j.bill(bbwire.Record_BILL, j.req.price(j.relay.totalUsage()))
-		j.answer.Finish(bbunit.OutcomeDone)
+		e.bill(bbwire.Record_BILL, e.req.price(e.relay.totalUsage()))
+		e.answer.Finish(bbunit.OutcomeDone)
 	case errors.Is(err, errPassedThrough):
-		j.bill(bbwire.Record_BILL, 0)
-		j.answer.Finish(bbunit.OutcomeFailed)
-	case !j.sent:
-		j.reservation.Commit(0)
-		j.journal.Withdraw(j.rec)
-		j.refuse(ctx, err)
-	case !j.req.idempotent:
-		j.bill(bbwire.Record_UNKNOWN, j.req.maxPrice)
-		j.fail(err, bbunit.OutcomeUnknown)
+		e.bill(bbwire.Record_BILL, 0)
+		e.answer.Finish(bbunit.OutcomeFailed)
+	case !e.sent:
+		e.reservation.Commit(0)
+		e.journal.Withdraw(e.rec)
+		e.refuse(ctx, err)
+	case !e.req.idempotent:
+		e.bill(bbwire.Record_UNKNOWN, e.req.maxPrice)
+		e.fail(err, bbunit.OutcomeUnknown)
 	default:
-		j.bill(bbwire.Record_BILL, j.partialPrice())
-		j.fail(err, bbunit.OutcomeFailed)
+		e.bill(bbwire.Record_BILL, e.partialPrice())
+		e.fail(err, bbunit.OutcomeFailed)
 	}
 	if ctx.Err() != nil {
 		trace.SpanFromContext(ctx).RecordError(context.Cause(ctx))
@@ -251,66 +251,66 @@
 }
 
 // partialPrice is the price of an answer that ended early: what the caller got.
-func (j *execution) partialPrice() bbunit.Tokens {
-	if len(j.relay.text) == 0 {
+func (e *execution) partialPrice() bbunit.Tokens {
+	if len(e.relay.text) == 0 {
 		return 0
 	}
-	return j.req.price(j.relay.totalUsage())
+	return e.req.price(e.relay.totalUsage())
 }
 
 // bill ends the reservation and records what the request came to.
-func (j *execution) bill(kind bbwire.Record_Kind, amount bbunit.Tokens) {
-	j.reservation.Commit(amount)
-	j.rec.Kind, j.rec.Amount, j.rec.Target = kind, int64(amount), string(j.lastTarget)
-	hold := j.reservation
-	j.journal.BillThen(j.rec, func(v *bbwire.Verdict) {
+func (e *execution) bill(kind bbwire.Record_Kind, amount bbunit.Tokens) {
+	e.reservation.Commit(amount)
+	e.rec.Kind, e.rec.Amount, e.rec.Target = kind, int64(amount), string(e.lastTarget)
+	reservation := e.reservation
+	e.journal.BillThen(e.rec, func(v *bbwire.Verdict) {
 		if v.Kind == bbwire.Verdict_REPEATED || v.Kind == bbwire.Verdict_MISMATCH {
-			hold.Refund(amount)
+			reservation.Refund(amount)
 		}
 	})
 }
 
 // refuse ends the answer of a request of which this copy did not run.
-func (j *execution) refuse(ctx context.Context, err error) {
+func (e *execution) refuse(ctx context.Context, err error) {
 	if errors.Is(err, ErrRequestIDReused) {
-		j.fail(err, bbunit.OutcomeNotRun) // this body is another request
+		e.fail(err, bbunit.OutcomeNotRun) // this body is another request
 		return
 	}
-	j.fail(err, j.outcomeIfNotRun(ctx, j.req, j.rec.GetOwner()))
+	e.fail(err, e.outcomeIfNotRun(ctx, e.req, e.rec.GetOwner()))
 }
 
 // fail ends the answer with what is known of the request.
-func (j *execution) fail(err error, o bbunit.Outcome) {
-	r := newRefusalResponse(err, o)
-	j.deps.Log.WithFields(map[string]any{
-		"event": "refused", "request": j.req.id, "account": j.req.account.ID, "service": j.req.service.ID,
-		"status": r.Status, "outcome": o.String(), "retry": r.RetryAfter.Seconds(),
+func (e *execution) fail(err error, outcome bbunit.Outcome) {
+	resp := newRefusalResponse(err, outcome)
+	e.deps.Log.WithFields(map[string]any{
+		"event": "refused", "request": e.req.id, "account": e.req.account.ID, "service": e.req.service.ID,
+		"status": resp.Status, "outcome": outcome.String(), "retry": resp.RetryAfter.Seconds(),
 	}).WithError(err).Info("request refused")
-	r.writeTo(j.req.id, j.answer, j.relay.headSent)
+	resp.writeTo(e.req.id, e.answer, e.relay.headSent)
 }
 
 // writeTo writes the refusal: as the answer, or as the last event of a stream that
 // has begun.
-func (r refusalResponse) writeTo(id bbunit.RequestID, out *Answer, started bool) {
+func (r refusalResponse) writeTo(id bbunit.RequestID, answer *Answer, headSent bool) {
 	body := r.body(id)
-	if started {
+	if headSent {
 		body = fmt.Appendf(nil, "event: error\ndata: {\"error\":%s}\n\n", body)
 	} else {
-		beginAnswer(out, r.Status, "application/problem+json", r.headerFields())
+		beginAnswer(answer, r.Status, "application/problem+json", r.headerFields())
 	}
 	// The caller may be gone; the outcome is recorded all the same.
-	_ = out.Write(context.Background(), body)
-	out.Finish(r.Outcome)
+	_ = answer.Write(context.Background(), body)
+	answer.Finish(r.Outcome)
 }
 
 // headerFields are the header fields of a refusal.
 func (r refusalResponse) headerFields() []HeaderField {
-	var out []HeaderField
+	var fields []HeaderField
 	if r.RetryAfter > 0 {
-		out = append(out, HeaderField{"Retry-After", strconv.FormatInt(retryAfterSeconds(r.RetryAfter), 10)})
+		fields = append(fields, HeaderField{"Retry-After", strconv.FormatInt(retryAfterSeconds(r.RetryAfter), 10)})
 	}
 	if r.Status == http.StatusUnauthorized {
-		out = append(out, HeaderField{"WWW-Authenticate", "Bearer"})
+		fields = append(fields, HeaderField{"WWW-Authenticate", "Bearer"})
 	}
-	return out
+	return fields
 }
--- a/bluebellport/src/shared_limits.go
+++ b/bluebellport/src/shared_limits.go
@@ -27,25 +27,25 @@
 	receivedAt time.Time
 }
 
-func newSharedLimits(p Deps) *sharedLimits {
-	return &sharedLimits{deps: p, peerUsage: make(map[string]map[bbunit.InstanceID]reportedUsage)}
+func newSharedLimits(deps Deps) *sharedLimits {
+	return &sharedLimits{deps: deps, peerUsage: make(map[string]map[bbunit.InstanceID]reportedUsage)}
 }
 
 // tick sets the shares of all limits anew.
 func (l *sharedLimits) tick(t *bbroute.Table, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	past := now.Sub(l.lastTickAt)
+	elapsed := now.Sub(l.lastTickAt)
 	if l.lastTickAt.IsZero() {
-		past = 0
+		elapsed = 0
 	}
 	l.lastTickAt = now
 	n := l.domainInstances()
 	l.ownUsage = make(map[string]bbroute.Usage)
-	for _, lim := range t.Limiters() {
-		own := lim.UpdateUsage(past)
-		l.ownUsage[lim.Key] = own
-		lim.UpdateShare(own, l.freshPeerUsage(lim.Key, now), n)
+	for _, limiter := range t.Limiters() {
+		usage := limiter.UpdateUsage(elapsed)
+		l.ownUsage[limiter.Key] = usage
+		limiter.UpdateShare(usage, l.freshPeerUsage(limiter.Key, now), n)
 	}
 	l.expirePeerUsage(now)
 }
@@ -63,13 +63,13 @@
 
 // expirePeerUsage drops what is too old.
 func (l *sharedLimits) expirePeerUsage(now time.Time) {
-	for key, by := range l.peerUsage {
-		for id, u := range by {
+	for key, byInstance := range l.peerUsage {
+		for id, u := range byInstance {
 			if now.Sub(u.receivedAt) > usageRetention {
-				delete(by, id)
+				delete(byInstance, id)
 			}
 		}
-		if len(by) == 0 {
+		if len(byInstance) == 0 {
 			delete(l.peerUsage, key)
 		}
 	}
@@ -93,11 +93,11 @@
 	defer l.mu.Unlock()
 	keys := busiestUsageKeys(l.ownUsage)
 	if len(keys) > maxUsagesPerMessage {
-		others := keys[maxUsagesPerMessage/2:]
+		rest := keys[maxUsagesPerMessage/2:]
 		keys = keys[: maxUsagesPerMessage/2 : maxUsagesPerMessage/2]
 		for range maxUsagesPerMessage / 2 {
-			l.cursor = (l.cursor + 1) % len(others)
-			keys = append(keys, others[l.cursor])
+			l.cursor = (l.cursor + 1) % len(rest)
+			keys = append(keys, rest[l.cursor])
 		}
 	}
 	for _, key := range keys {
@@ -126,16 +126,16 @@
 			dropped++
 			continue
 		}
-		if _, known := l.ownUsage[u.Key]; !known {
+		if _, ok := l.ownUsage[u.Key]; !ok {
 			dropped++
 			continue
 		}
-		by := l.peerUsage[u.Key]
-		if by == nil {
-			by = make(map[bbunit.InstanceID]reportedUsage)
-			l.peerUsage[u.Key] = by
+		byInstance := l.peerUsage[u.Key]
+		if byInstance == nil {
+			byInstance = make(map[bbunit.InstanceID]reportedUsage)
+			l.peerUsage[u.Key] = byInstance
 		}
-		by[from] = reportedUsage{usage: bbroute.Usage{Rate: u.Rate, InFlight: int(u.Open)}, receivedAt: now}
+		byInstance[from] = reportedUsage{usage: bbroute.Usage{Rate: u.Rate, InFlight: int(u.Open)}, receivedAt: now}
 	}
 	return dropped
 }
--- a/bluebellport/src/sse.go
+++ b/bluebellport/src/sse.go
@@ -27,19 +27,19 @@
 }
 
 func newSSEReader(r io.Reader) *sseReader {
-	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 4096), maxEventBytes)
-	return &sseReader{scanner: s}
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 4096), maxEventBytes)
+	return &sseReader{scanner: scanner}
 }
 
 // next returns the next event with data; io.EOF when the body has ended.
 func (r *sseReader) next() (sseEvent, error) {
-	var e sseEvent
+	var event sseEvent
 	for r.scanner.Scan() {
 		line := bytes.TrimSuffix(r.scanner.Bytes(), []byte("\r"))
 		if len(line) == 0 {
-			if len(e.data) > 0 {
-				return e, nil
+			if len(event.data) > 0 {
+				return event, nil
 			}
 			continue
 		}
@@ -47,13 +47,13 @@
 		value = bytes.TrimPrefix(value, []byte(" "))
 		switch string(name) {
 		case "data":
-			if len(e.data) > 0 {
-				e.data = append(e.data, '\n')
+			if len(event.data) > 0 {
+				event.data = append(event.data, '\n')
 			}
-			e.data = append(e.data, value...)
+			event.data = append(event.data, value...)
 		case "id":
 			if n, err := strconv.Atoi(string(value)); err == nil {
-				e.id = n
+				event.id = n
 			}
 		}
 	}
@@ -90,60 +90,60 @@
 }
 
 // process takes a chunk in and returns what the caller gets; nil for nothing.
-func (r *chatRelay) process(e sseEvent, wantUsage bool) ([]byte, error) {
-	var c chatChunk
-	if err := json.Unmarshal(e.data, &c); err != nil {
+func (r *chatRelay) process(event sseEvent, wantUsage bool) ([]byte, error) {
+	var chunk chatChunk
+	if err := json.Unmarshal(event.data, &chunk); err != nil {
 		return nil, errors.WithType(errors.Annotate(err, "chunk"), errTargetFailed)
 	}
-	if e.id > 0 {
-		r.lastEvent = e.id
+	if event.id > 0 {
+		r.lastEvent = event.id
 	}
-	if c.Usage != nil {
-		r.usage = c.Usage
+	if chunk.Usage != nil {
+		r.usage = chunk.Usage
 	}
-	if len(c.Choices) == 0 {
-		if c.Usage == nil || !wantUsage {
+	if len(chunk.Choices) == 0 {
+		if chunk.Usage == nil || !wantUsage {
 			return nil, nil
 		}
-		return r.rewriteChunk(e.data, c)
+		return r.rewriteChunk(event.data, chunk)
 	}
 	empty := true
-	for _, ch := range c.Choices {
-		if ch.Index > 0 {
+	for _, choice := range chunk.Choices {
+		if choice.Index > 0 {
 			r.multipleChoices = true
 		}
-		if ch.Delta.Content != "" {
+		if choice.Delta.Content != "" {
 			empty = false
 			r.attemptTokens++
-			r.text = append(r.text, ch.Delta.Content...)
+			r.text = append(r.text, choice.Delta.Content...)
 		}
-		if ch.Finish != nil {
+		if choice.Finish != nil {
 			empty = false
 		}
 	}
 	if empty && r.restarts > 0 {
 		return nil, nil
 	}
-	return r.rewriteChunk(e.data, c)
+	return r.rewriteChunk(event.data, chunk)
 }
 
 // rewriteChunk gives a chunk of a later attempt the id and usage of the whole.
-func (r *chatRelay) rewriteChunk(data []byte, c chatChunk) ([]byte, error) {
+func (r *chatRelay) rewriteChunk(data []byte, chunk chatChunk) ([]byte, error) {
 	if r.chunkID == "" {
-		r.chunkID = c.ID
+		r.chunkID = chunk.ID
 	}
-	if c.ID == r.chunkID && (c.Usage == nil || r.restarts == 0) {
+	if chunk.ID == r.chunkID && (chunk.Usage == nil || r.restarts == 0) {
 		return data, nil
 	}
-	var f map[string]json.RawMessage
-	if err := json.Unmarshal(data, &f); err != nil {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(data, &fields); err != nil {
 		return nil, errors.WithType(err, errTargetFailed)
 	}
-	f["id"], _ = json.Marshal(r.chunkID)
-	if c.Usage != nil {
-		f["usage"], _ = json.Marshal(r.totalUsage().withTotal())
+	fields["id"], _ = json.Marshal(r.chunkID)
+	if chunk.Usage != nil {
+		fields["usage"], _ = json.Marshal(r.totalUsage().withTotal())
 	}
-	b, err := json.Marshal(f)
+	b, err := json.Marshal(fields)
 	return b, errors.Trace(err)
 }
 
@@ -161,10 +161,10 @@
 	if r.usage == nil {
 		return tokenUsage{Completion: r.earlierTokens + r.attemptTokens}
 	}
-	u := *r.usage
-	u.Prompt = max(0, u.Prompt-r.earlierTokens)
-	u.Completion += r.earlierTokens
-	return u
+	usage := *r.usage
+	usage.Prompt = max(0, usage.Prompt-r.earlierTokens)
+	usage.Completion += r.earlierTokens
+	return usage
 }
 
 // withTotal is the usage as callers read it.
--- a/bluebellport/src/target_conns.go
+++ b/bluebellport/src/target_conns.go
@@ -27,16 +27,16 @@
 
 // client returns the client for an address. One that is fresh opens a new
 // connection for each request.
-func (u *targetConns) client(address string, fresh bool) *fasthttp.HostClient {
-	m := &u.pooled
+func (tc *targetConns) client(address string, fresh bool) *fasthttp.HostClient {
+	clients := &tc.pooled
 	if fresh {
-		m = &u.fresh
+		clients = &tc.fresh
 	}
-	if v, ok := m.Load(address); ok {
-		return v.(*fasthttp.HostClient)
+	if client, ok := clients.Load(address); ok {
+		return client.(*fasthttp.HostClient)
 	}
-	v, _ := m.LoadOrStore(address, newTargetClient(address))
-	return v.(*fasthttp.HostClient)
+	client, _ := clients.LoadOrStore(address, newTargetClient(address))
+	return client.(*fasthttp.HostClient)
 }
 
 // newTargetClient returns a client that sends each request at most once.
@@ -64,18 +64,18 @@
 
 // startSweep forgets, now and then, the targets that are no longer in force, until the
 // function that it returns is called.
-func (u *targetConns) startSweep(b *Board) func() {
+func (tc *targetConns) startSweep(board *Board) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() {
 		for bbclock.Wait(ctx, targetSweepInterval) {
 			keep := map[string]bool{}
-			for _, list := range b.State.Load().ByService {
-				for _, t := range list {
+			for _, targets := range board.State.Load().ByService {
+				for _, t := range targets {
 					keep[t.Address] = true
 				}
 			}
-			u.closeUnused(keep)
+			tc.closeUnused(keep)
 		}
 	})
 	return func() {
@@ -85,12 +85,12 @@
 }
 
 // closeUnused closes idle connections to targets that are no longer in force.
-func (u *targetConns) closeUnused(keep map[string]bool) {
-	for _, m := range []*sync.Map{&u.pooled, &u.fresh} {
-		m.Range(func(k, v any) bool {
+func (tc *targetConns) closeUnused(keep map[string]bool) {
+	for _, clients := range []*sync.Map{&tc.pooled, &tc.fresh} {
+		clients.Range(func(k, v any) bool {
 			if !keep[k.(string)] {
 				v.(*fasthttp.HostClient).CloseIdleConnections()
-				m.Delete(k)
+				clients.Delete(k)
 			}
 			return true
 		})
@@ -101,21 +101,21 @@
 // context ends or the deadline passes. The bool is false only when no byte left.
 // The answer must be closed by its clean-up function, which also ends a read
 // under way.
-func (u *targetConns) send(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time) (*fasthttp.Response, func(), bool, error) {
-	return u.sendWithLateHandler(ctx, address, fresh, req, deadline, nil)
+func (tc *targetConns) send(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time) (*fasthttp.Response, func(), bool, error) {
+	return tc.sendWithLateHandler(ctx, address, fresh, req, deadline, nil)
 }
 
 // sendWithLateHandler is send; an answer that comes between the context's end and the
 // deadline goes to late, if set, which may block.
-func (u *targetConns) sendWithLateHandler(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time, late func(*fasthttp.Response)) (*fasthttp.Response, func(), bool, error) {
+func (tc *targetConns) sendWithLateHandler(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time, onLate func(*fasthttp.Response)) (*fasthttp.Response, func(), bool, error) {
 	if fresh {
 		req.SetConnectionClose()
 	}
 	otel.GetTextMapPropagator().Inject(ctx, headerCarrier{&req.Header})
 	done := make(chan error, 1)
 	resp := fasthttp.AcquireResponse()
-	c := u.client(address, fresh)
-	go func() { done <- c.DoDeadline(req, resp, deadline) }()
+	client := tc.client(address, fresh)
+	go func() { done <- client.DoDeadline(req, resp, deadline) }()
 	select {
 	case err := <-done:
 		if err == nil {
@@ -125,8 +125,8 @@
 		return nil, func() {}, !isNotSent(err), errors.Trace(err)
 	case <-ctx.Done():
 		go func() {
-			if err := <-done; err == nil && late != nil {
-				late(resp)
+			if err := <-done; err == nil && onLate != nil {
+				onLate(resp)
 			}
 			releaseExchange(req, resp)
 		}()
@@ -148,11 +148,11 @@
 
 // readBody reads an answer's body up to maxAnswer bytes.
 func readBody(resp *fasthttp.Response) ([]byte, error) {
-	s := resp.BodyStream()
-	if s == nil {
+	stream := resp.BodyStream()
+	if stream == nil {
 		return append([]byte(nil), resp.Body()...), nil
 	}
-	b, err := io.ReadAll(io.LimitReader(s, maxResponseBytes+1))
+	b, err := io.ReadAll(io.LimitReader(stream, maxResponseBytes+1))
 	if err == nil && len(b) > maxResponseBytes {
 		err = errors.WithType(errors.Errorf("answer above %d bytes", maxResponseBytes), errTargetFailed)
 	}
@@ -172,9 +172,9 @@
 
 // Keys returns the names of all fields.
 func (c headerCarrier) Keys() []string {
-	var out []string
+	var keys []string
 	for k := range c.header.All() {
-		out = append(out, string(k))
+		keys = append(keys, string(k))
 	}
-	return out
+	return keys
 }
--- a/bluebellport/src/trace.go
+++ b/bluebellport/src/trace.go
@@ -28,11 +28,11 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "--log-level")
 	}
-	l := logrus.New()
-	l.SetOutput(w)
-	l.SetLevel(level)
-	l.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
-	return l.WithFields(logrus.Fields{"instance": opts.Self.Instance, "domain": opts.Self.Domain}), nil
+	logger := logrus.New()
+	logger.SetOutput(w)
+	logger.SetLevel(level)
+	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
+	return logger.WithFields(logrus.Fields{"instance": opts.Self.Instance, "domain": opts.Self.Domain}), nil
 }
 
 // startTracing sets the trace context that is passed on, and the exporter where
@@ -43,21 +43,21 @@
 	if opts.Self.TraceAddress == "" {
 		return func() {}, nil
 	}
-	exp, err := otlptracehttp.New(context.Background(),
+	exporter, err := otlptracehttp.New(context.Background(),
 		otlptracehttp.WithEndpoint(opts.Self.TraceAddress), otlptracehttp.WithInsecure())
 	if err != nil {
 		return nil, errors.Annotate(err, "--trace-otlp")
 	}
-	tp := sdktrace.NewTracerProvider(sdktrace.WithBatcher(exp), sdktrace.WithResource(resource.NewSchemaless(
+	provider := sdktrace.NewTracerProvider(sdktrace.WithBatcher(exporter), sdktrace.WithResource(resource.NewSchemaless(
 		attribute.String("service.name", "bluebellport"),
 		attribute.String("service.version", bbunit.Version),
 		attribute.String("service.instance.id", opts.Self.Instance),
 	)))
-	otel.SetTracerProvider(tp)
+	otel.SetTracerProvider(provider)
 	return func() {
 		ctx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 		defer cancel()
-		_ = tp.Shutdown(ctx)
+		_ = provider.Shutdown(ctx)
 	}, nil
 }
 
--- a/bluebellport/src/trace_test.go
+++ b/bluebellport/src/trace_test.go
@@ -23,9 +23,9 @@
 	var mu sync.Mutex
 	parents, names := map[string]string{}, map[string]string{} // by span id
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)
+		f, _ := io.ReadAll(r.Body)
 		var m collector.ExportTraceServiceRequest
-		if err := proto.Unmarshal(b, &m); err != nil {
+		if err := proto.Unmarshal(f, &m); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
@@ -48,13 +48,13 @@
 	defer otel.SetTracerProvider(noop.NewTracerProvider())
 
 	var seen string
-	b := newTestFrontend(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newTestFrontend(t, func(w http.ResponseWriter, r *http.Request) {
 		seen = r.Header.Get("Traceparent")
 		_, _ = w.Write([]byte("ok"))
 	})
-	resp, _ := b.do(t, "POST", "/services/desk/x", "", "Traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01")
+	resp, _ := f.do(t, "POST", "/services/desk/x", "", "Traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01")
 	is.Equal(resp.StatusCode, 200)
-	b.waitSettled(is)
+	f.waitSettled(is)
 	stop()
 	mu.Lock()
 	defer mu.Unlock()
