--- a/bluebellport/src/admit.go
+++ b/bluebellport/src/admit.go
@@ -9,16 +9,17 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Admission is the admission of one request; Done must be called once it ended.
+// Admission is held by an admitted request. Done must be called when the request
+// has ended.
 type Admission struct {
 	Done func()
-	// hasSlot tells that the request has a place at the service.
+	// hasSlot tells that the request holds an admission slot of the service.
 	hasSlot atomic.Bool
 }
 
-// Admit lets the request in, or returns a Refusal. It answers at once, but for
-// requests that wait their turn for a place: these wait no longer than they are
-// expected to be served in time, and end when Cancel is closed.
+// Admit admits the request or returns a Refusal. It returns at once unless the
+// request has to queue for a slot. A request queues only while it can be
+// expected to be served before its deadline, and until req.Cancel is closed.
 func (r *Router) Admit(req RouteRequest) (*Admission, error) {
 	admission, err := r.admit(&req, true)
 	if err != nil {
@@ -27,9 +28,9 @@
 	return admission, err
 }
 
-// AdmitWithoutSlot is Admit without a place at the service, for a request that has to
-// be claimed before it may be sent: it would hold the place while it waits.
-// Enter takes the place then. It answers at once.
+// AdmitWithoutSlot is Admit without the slot, for a request that must be claimed
+// before it is sent and would hold the slot while it waits for the claim.
+// AcquireSlot takes the slot afterwards. AdmitWithoutSlot returns at once.
 func (r *Router) AdmitWithoutSlot(req RouteRequest) (*Admission, error) {
 	admission, err := r.admit(&req, false)
 	if err != nil {
@@ -38,7 +39,8 @@
 	return admission, err
 }
 
-// AcquireSlot takes a place for a request that AdmitLimits let in, as Admit does.
+// AcquireSlot takes a slot for a request admitted by AdmitWithoutSlot. Like
+// Admit, it may queue the request.
 func (r *Router) AcquireSlot(req RouteRequest, admission *Admission) error {
 	g, ok := r.group(req.Service)
 	if !ok {
@@ -84,7 +86,8 @@
 	return newAdmission(g.Admission(), account, service, withSlot), nil
 }
 
-// newAdmission returns what gives the place and the limits back, once.
+// newAdmission returns an admission whose Done releases the slot and the limits,
+// once.
 func newAdmission(controller *bbroute.AdmissionController, account, service *bbroute.Limiter, hasSlot bool) *Admission {
 	var ended atomic.Bool
 	admission := &Admission{}
@@ -104,7 +107,7 @@
 	return admission
 }
 
-// acquireSlot takes a place, or lines the request up for one.
+// acquireSlot takes a slot, or queues the request until it gets one.
 func (r *Router) acquireSlot(g *bbroute.Group, req *RouteRequest, now time.Time) error {
 	controller := g.Admission()
 	if controller.TryAcquire() {
@@ -126,12 +129,12 @@
 	case <-req.Cancel:
 	}
 	if !controller.CancelWait(waiter) && <-waiter.Ready == nil {
-		controller.Release() // the place came as the caller left
+		controller.Release() // the slot was assigned while the caller left
 	}
 	return &Refusal{Cause: ErrCancelled}
 }
 
-// Pick chooses a target that is not among the tried ones, or returns a Refusal.
+// Pick chooses a target that is not in tried, or returns a Refusal.
 func (r *Router) Pick(req RouteRequest, tried []bbunit.TargetID) (*Attempt, error) {
 	now := r.deps.Now()
 	g, ok := r.group(req.Service)
@@ -151,8 +154,8 @@
 	return r.newAttempt(g, candidate, &req, opts.Suspect), nil
 }
 
-// PickSame chooses the given target once more, for a DecisionFresh. It returns
-// a Refusal when the target has become unusable.
+// PickSame chooses the given target again, for DecisionRetrySame. It returns a
+// Refusal if the target has become unusable.
 func (r *Router) PickSame(req RouteRequest, id bbunit.TargetID) (*Attempt, error) {
 	g, ok := r.group(req.Service)
 	if !ok {
--- a/bluebellport/src/admit_test.go
+++ b/bluebellport/src/admit_test.go
@@ -12,25 +12,25 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// TestAdmitRefuses is the table of refusals: the sentinel, and whether there is
-// a time to come back.
+// TestAdmitRefuses checks, for each reason to refuse, the sentinel error and
+// whether the refusal has a RetryAfter.
 func TestAdmitRefuses(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		set  func(tr *testRouter)
-		ask  RouteRequest
-		err  error
-		back bool
+		name      string
+		setUp     func(tr *testRouter)
+		req       RouteRequest
+		err       error
+		retryable bool
 	}{
-		{name: "unknown service", ask: RouteRequest{Service: "none"}, err: ErrNoTarget},
-		{name: "deadline over", ask: RouteRequest{Service: "s1", Deadline: time.Unix(1000, 0)}, err: ErrDeadline},
-		{name: "poisoned", ask: RouteRequest{Service: "s1", Fingerprint: 9}, err: ErrPoisoned, set: func(tr *testRouter) {
+		{name: "unknown service", req: RouteRequest{Service: "none"}, err: ErrNoTarget},
+		{name: "deadline over", req: RouteRequest{Service: "s1", Deadline: time.Unix(1000, 0)}, err: ErrDeadline},
+		{name: "poisoned", req: RouteRequest{Service: "s1", Fingerprint: 9}, err: ErrPoisoned, setUp: func(tr *testRouter) {
 			tr.router.Take("i2", &bbwire.Gossip{Poisons: []*bbwire.Poison{{Print: 9, Targets: []string{"a", "b"}}}})
 		}},
-		{name: "account's rate", ask: RouteRequest{Service: "s1", Account: "few"}, err: ErrLimit, back: true, set: func(tr *testRouter) {
+		{name: "account's rate", req: RouteRequest{Service: "s1", Account: "few"}, err: ErrLimit, retryable: true, setUp: func(tr *testRouter) {
 			_, _ = tr.router.Admit(RouteRequest{Service: "s1", Account: "few"})
 		}},
-		{name: "no room in time", ask: RouteRequest{Service: "s1", Deadline: time.Unix(1000, 1)}, err: ErrOverload, back: true, set: func(tr *testRouter) {
+		{name: "no room in time", req: RouteRequest{Service: "s1", Deadline: time.Unix(1000, 1)}, err: ErrOverload, retryable: true, setUp: func(tr *testRouter) {
 			tr.reportLoad("a", 100, 100)
 			for range 8 {
 				_, _ = tr.router.Admit(RouteRequest{Service: "s1", Deadline: time.Unix(1000, 1)})
@@ -40,19 +40,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1", Slots: 4})
-			if c.set != nil {
-				c.set(tr)
+			if c.setUp != nil {
+				c.setUp(tr)
 			}
-			_, err := tr.router.Admit(c.ask)
+			_, err := tr.router.Admit(c.req)
 			is.True(errors.Is(err, c.err))
 			var r *Refusal
 			is.True(errors.As(err, &r))
-			is.Equal(r.RetryAfter > 0, c.back)
+			is.Equal(r.RetryAfter > 0, c.retryable)
 		})
 	}
 }
 
-// reportLoad reports a load of the target to the router.
+// reportLoad reports a target's load to the router.
 func (tr *testRouter) reportLoad(id bbunit.TargetID, running, waiting int32) {
 	tr.router.observeLoads([]*bbwire.Load{{Target: string(id), Running: running, Waiting: waiting, Slots: 4, At: tr.now.UnixMilli()}})
 	tr.router.tick()
@@ -61,7 +61,7 @@
 func TestAdmissionReleasesOnce(t *testing.T) {
 	is := is.New(t)
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1", Slots: 4})
-	admission, err := tr.router.Admit(RouteRequest{Service: "s1", Account: "one"}) // one open request
+	admission, err := tr.router.Admit(RouteRequest{Service: "s1", Account: "one"}) // the account may have one request in flight
 	is.NoErr(err)
 	_, err = tr.router.Admit(RouteRequest{Service: "s1", Account: "one"})
 	is.True(errors.Is(err, ErrLimit))
@@ -90,9 +90,10 @@
 	is.Equal(g.Limiter().UpdateUsage(0).InFlight, 0)
 }
 
-// TestOnlyPoisonIsRefusedAfterCrashes crashes targets with a poison and an innocent request
-// in flight together: the poison is refused for good here and, by gossip, at
-// another instance; the innocent is tried again apart from it and stays free.
+// TestOnlyPoisonIsRefusedAfterCrashes crashes a target with a poison and an
+// innocent request in flight. The poison request must be refused after its
+// second crash, here and, by gossip, on another instance. The innocent one must
+// be retried on another target than the poison and never be refused.
 func TestOnlyPoisonIsRefusedAfterCrashes(t *testing.T) {
 	is := is.New(t)
 	targets := []bbticket.Target{{ID: "a", Domain: "d1"}, {ID: "b", Domain: "d1"}, {ID: "c", Domain: "d1"}}
@@ -110,7 +111,7 @@
 	is.NoErr(err)
 	i2, err := tr.router.Pick(innocent, []bbunit.TargetID{"a"})
 	is.NoErr(err)
-	is.True(p2.Target.ID != i2.Target.ID) // suspects keep apart
+	is.True(p2.Target.ID != i2.Target.ID) // suspects do not share a target
 	p2.Done(crash)
 	var s RetryState
 	is.Equal(tr.router.Retry(&s, poison, crash), DecisionStop)
@@ -129,51 +130,52 @@
 	is.NoErr(err)
 }
 
-// TestKnownGoodRequestIsNotPoisoned holds that a request that ran whole not long
-// ago is not marked when its targets crash for another reason.
+// TestKnownGoodRequestIsNotPoisoned checks that a request that completed not
+// long ago is not blamed when its targets crash for another reason.
 func TestKnownGoodRequestIsNotPoisoned(t *testing.T) {
 	is := is.New(t)
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"}, bbticket.Target{ID: "b", Domain: "d1"})
-	ask := RouteRequest{Service: "s1", Fingerprint: 7, Idempotent: true}
-	at, err := tr.router.Pick(ask, nil)
+	req := RouteRequest{Service: "s1", Fingerprint: 7, Idempotent: true}
+	attempt, err := tr.router.Pick(req, nil)
 	is.NoErr(err)
-	at.Done(AttemptResult{Total: time.Second})
+	attempt.Done(AttemptResult{Total: time.Second})
 	for _, other := range []bbunit.TargetID{"a", "b"} {
-		at, err := tr.router.Pick(ask, []bbunit.TargetID{other})
+		attempt, err := tr.router.Pick(req, []bbunit.TargetID{other})
 		is.NoErr(err)
-		at.Done(AttemptResult{Err: errors.New("broken"), Sent: true, Crashed: true})
+		attempt.Done(AttemptResult{Err: errors.New("broken"), Sent: true, Crashed: true})
 	}
-	_, err = tr.router.Pick(ask, nil)
+	_, err = tr.router.Pick(req, nil)
 	is.NoErr(err)
 }
 
 func TestRetryStopsWhenItsBudgetIsSpent(t *testing.T) {
 	is := is.New(t)
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
-	end := AttemptResult{Err: errors.New("broken")}
+	result := AttemptResult{Err: errors.New("broken")}
 	retries := 0
 	for range 20 {
 		var s RetryState
-		if tr.router.Retry(&s, RouteRequest{Service: "s1"}, end) != DecisionStop {
+		if tr.router.Retry(&s, RouteRequest{Service: "s1"}, result) != DecisionStop {
 			retries++
 		}
 	}
-	is.Equal(retries, 10) // what the floor has at once
+	is.Equal(retries, 10) // the burst allowed by the minimum retry rate
 	var s RetryState
 	is.Equal(tr.router.Retry(&s, RouteRequest{Service: "s1"}, AttemptResult{Err: ErrLeaving, Sent: true}), DecisionRetryOther)
 }
 
-// TestRetryOnSameTargetIsNotCounted holds that trying a target again over a fresh
-// connection leaves the request its other targets.
+// TestRetryOnSameTargetIsNotCounted checks that a retry on the same target over
+// a new connection does not count towards the number of targets that a request
+// may try.
 func TestRetryOnSameTargetIsNotCounted(t *testing.T) {
 	is := is.New(t)
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
-	ask := RouteRequest{Service: "s1", Idempotent: true}
-	end := AttemptResult{Err: errors.New("silent"), Sent: true, ConnReused: true}
+	req := RouteRequest{Service: "s1", Idempotent: true}
+	result := AttemptResult{Err: errors.New("silent"), Sent: true, ConnReused: true}
 	var s RetryState
 	var got []Decision
 	for range 6 {
-		got = append(got, tr.router.Retry(&s, ask, end))
+		got = append(got, tr.router.Retry(&s, req, result))
 	}
 	is.Equal(got, []Decision{DecisionRetrySame, DecisionRetryOther, DecisionRetrySame, DecisionRetryOther, DecisionStop, DecisionStop})
 }
@@ -182,23 +184,23 @@
 	is := is.New(t)
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
 	for range 10 {
-		at, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil)
+		attempt, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil)
 		is.NoErr(err)
-		at.Done(AttemptResult{Err: errors.New("silent"), Sent: true, ConnReused: true})
+		attempt.Done(AttemptResult{Err: errors.New("silent"), Sent: true, ConnReused: true})
 	}
-	at, err := tr.router.PickSame(RouteRequest{Service: "s1"}, "a")
+	attempt, err := tr.router.PickSame(RouteRequest{Service: "s1"}, "a")
 	is.NoErr(err)
-	at.Done(AttemptResult{Err: ErrLeaving})
+	attempt.Done(AttemptResult{Err: ErrLeaving})
 	_, err = tr.router.PickSame(RouteRequest{Service: "s1"}, "a")
 	is.True(errors.Is(err, ErrNoTarget))
 }
 
-// TestClaimedRequestAcquiresSlotAfterClaim: a request that waits for its claim
-// keeps no place from others, and gives back what it took, once.
+// TestClaimedRequestAcquiresSlotAfterClaim checks that a request that waits for
+// its claim does not hold a slot, and that it releases what it acquired, once.
 func TestClaimedRequestAcquiresSlotAfterClaim(t *testing.T) {
 	is := is.New(t)
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1", Slots: 4})
-	tr.reportLoad("a", 100, 100) // room for one
+	tr.reportLoad("a", 100, 100) // leaves a single slot
 	callerLeft := make(chan struct{})
 	close(callerLeft)
 	req := RouteRequest{Service: "s1", Cancel: callerLeft}
@@ -206,7 +208,7 @@
 	is.NoErr(err)
 	other, err := tr.router.Admit(req)
 	is.NoErr(err)
-	is.True(errors.Is(tr.router.AcquireSlot(req, claimed), ErrCancelled)) // it would have to wait
+	is.True(errors.Is(tr.router.AcquireSlot(req, claimed), ErrCancelled)) // the slot is taken
 	other.Done()
 	is.NoErr(tr.router.AcquireSlot(req, claimed))
 	_, err = tr.router.Admit(req)
--- a/bluebellport/src/chat.go
+++ b/bluebellport/src/chat.go
@@ -9,15 +9,17 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// chat is the body of a chat completion, kept whole: fields that the instance
-// does not read are passed on as they came.
+// chat is the body of a chat completion. All fields are kept, so that those
+// unknown to the instance reach the engine unchanged. Error messages to callers
+// contain the name of this type.
 type chat struct {
 	fields   map[string]json.RawMessage
 	Model    string            `json:"model"`
 	Stream   bool              `json:"stream"`
 	Messages []json.RawMessage `json:"messages"`
 	Choices  *int              `json:"n"`
-	// MaxCompletionTokens is max_completion_tokens, or the older max_tokens.
+	// MaxCompletionTokens is max_completion_tokens, or else the older
+	// max_tokens.
 	MaxCompletionTokens *int64        `json:"max_completion_tokens"`
 	MaxTokens           *int64        `json:"max_tokens"`
 	StreamOptions       streamOptions `json:"stream_options"`
@@ -27,19 +29,20 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// tokenUsage is what an engine counted for a chat, in tokens.
+// tokenUsage is an engine's token count for a chat.
 type tokenUsage struct {
 	Prompt     bbunit.Tokens `json:"prompt_tokens"`
 	Completion bbunit.Tokens `json:"completion_tokens"`
 }
 
-// chatMessage is the part of a chat message that prefixes are hashed over.
+// chatMessage is a chat message with text content.
 type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// parseChat reads the body of a chat completion; the error is errRequest.
+// parseChat parses and checks the body of a chat completion. It fails with
+// errInvalidRequest.
 func parseChat(body []byte) (*chat, error) {
 	c := &chat{}
 	if err := json.Unmarshal(body, &c.fields); err != nil {
@@ -65,11 +68,12 @@
 	return c, nil
 }
 
+// badRequest returns an errInvalidRequest with a detail for the caller.
 func badRequest(format string, args ...any) error {
 	return errors.WithType(errors.Errorf(format, args...), errInvalidRequest)
 }
 
-// choiceCount is how many answers the chat asks for.
+// choiceCount returns the number of answers that the chat asks for.
 func (c *chat) choiceCount() bbunit.Tokens {
 	if c.Choices == nil {
 		return 1
@@ -77,7 +81,7 @@
 	return bbunit.Tokens(*c.Choices)
 }
 
-// outputLimit is the most tokens one answer may have.
+// outputLimit returns the maximum number of tokens of one choice.
 func (c *chat) outputLimit(s bbticket.Service) bbunit.Tokens {
 	limit := s.DefaultMaxOutput
 	if limit <= 0 {
@@ -89,15 +93,17 @@
 	return limit
 }
 
-// maxPrice is the highest price that the chat can come to. A token has at least
-// one byte, so that the body's length bounds the prompt.
+// maxPrice returns an upper bound of the price of the chat. A token has at least
+// one byte, so the length of the body, bodyBytes, bounds the number of prompt
+// tokens.
 func (c *chat) maxPrice(s bbticket.Service, bodyBytes int) bbunit.Tokens {
 	promptTokens := bbunit.Tokens(bodyBytes + maxTemplateTokens*len(c.Messages))
 	return s.Price.Call + s.Price.Input*promptTokens + s.Price.Output*c.outputLimit(s)*c.choiceCount()
 }
 
-// engineBody is the body sent to an engine: bounded, with usage asked for, and
-// going on after the text that the caller already has.
+// engineBody returns the body sent to an engine. It always limits the output
+// and, for streams, asks for the usage. If prefix is not empty, the engine is
+// asked to continue after this text, which took usedTokens in earlier attempts.
 func (c *chat) engineBody(s bbticket.Service, prefix string, usedTokens bbunit.Tokens) ([]byte, error) {
 	fields := make(map[string]any, len(c.fields)+4)
 	for k, v := range c.fields {
@@ -117,7 +123,7 @@
 	return b, errors.Trace(err)
 }
 
-// assistantMessage is a partial answer as a message.
+// assistantMessage returns a partial answer as a chat message.
 func assistantMessage(text string) json.RawMessage {
 	b, err := json.Marshal(chatMessage{Role: "assistant", Content: text})
 	if err != nil {
--- a/bluebellport/src/client_request.go
+++ b/bluebellport/src/client_request.go
@@ -16,22 +16,25 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// clientRequest is one request of a caller, parsed and checked against what is in force.
+// clientRequest is a caller's request, parsed and checked against the state in
+// force.
 type clientRequest struct {
 	account bbticket.Account
 	service bbticket.Service
 	budgets []bbunit.BudgetID
 	id      bbunit.RequestID
-	// clientNamed tells that the caller named the request, so that it may come twice.
+	// clientNamed tells that the id is the caller's Idempotency-Key, so that
+	// copies of the request may arrive.
 	clientNamed bool
-	// forwarded tells that another instance sent it here, to its home.
+	// forwarded tells that another instance sent the request here.
 	forwarded bool
-	// forwardedToOwner tells that it was sent here since the claim's owner is here.
+	// forwardedToOwner tells that it was sent here because this instance owns
+	// the request's claim.
 	forwardedToOwner bool
-	// fingerprint is a hash of method, path and body.
+	// fingerprint is a hash of method, service, path and body.
 	fingerprint uint64
 	method      string
-	// path is what a plain service sees, with its query.
+	// path is the path and query that a plain service gets.
 	path     string
 	header   []HeaderField
 	body     []byte
@@ -40,11 +43,11 @@
 	// idempotent tells that the request may run more than once.
 	idempotent bool
 	chat       *chat
-	// maxPrice is the highest price that the request can come to.
+	// maxPrice is an upper bound of the request's price.
 	maxPrice bbunit.Tokens
 }
 
-// rawRequest is a request as it came, from a caller or from another instance.
+// rawRequest is an unparsed request from a caller or from another instance.
 type rawRequest struct {
 	method, path, service string
 	apiKey, id            string
@@ -53,14 +56,14 @@
 	body                  []byte
 }
 
-// hashAPIKey is the form in which API keys are kept.
+// hashAPIKey returns the hash under which an API key is stored.
 func hashAPIKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// parse checks a request against the state in force. The error is errKey,
-// errService, errForbidden or errRequest; nothing has run.
+// parse checks a request against the state in force. It fails with
+// errUnknownKey, errUnknownService, errForbidden or errInvalidRequest.
 func (r *rawRequest) parse(s *bbticket.State, now time.Time, maxTimeout time.Duration) (*clientRequest, error) {
 	account, ok := s.ByKey[hashAPIKey(r.apiKey)]
 	if !ok {
@@ -69,7 +72,7 @@
 	return r.parseForAccount(s, account, now, maxTimeout)
 }
 
-// parseForAccount is parse for an account that is already known.
+// parseForAccount is parse for a request whose API key was already checked.
 func (r *rawRequest) parseForAccount(s *bbticket.State, account bbunit.AccountID, now time.Time, maxTimeout time.Duration) (*clientRequest, error) {
 	req := &clientRequest{
 		account: s.Accounts[account].Object,
@@ -104,6 +107,8 @@
 	return req, nil
 }
 
+// setService sets the service and checks that its kind fits the request and that
+// the account may use it.
 func (c *clientRequest) setService(s *bbticket.State, id bbunit.ServiceID) error {
 	service, ok := s.Services[id]
 	wantKind := bbticket.KindPlain
@@ -125,8 +130,8 @@
 	return errors.Trace(errForbidden)
 }
 
-// setID sets the request's id: the caller's, or one made here that carries its
-// time.
+// setID sets the request id to the caller's, or to a new UUIDv7, which contains
+// its time of creation.
 func (c *clientRequest) setID(id string) error {
 	if id == "" {
 		u, err := uuid.NewV7()
@@ -148,8 +153,8 @@
 	return nil
 }
 
-// setDeadlineAndPriority sets deadline and priority. A caller may lower its account's priority
-// but not raise it.
+// setDeadlineAndPriority reads the caller's deadline, at most maxTimeout from
+// now, and priority. A caller may lower its account's priority but not raise it.
 func (c *clientRequest) setDeadlineAndPriority(deadlineMs, priority string, now time.Time, maxTimeout time.Duration) error {
 	c.deadline = now.Add(maxTimeout)
 	if deadlineMs != "" {
@@ -172,7 +177,8 @@
 	return nil
 }
 
-// isIdempotentMethod tells whether the service lets the method run more than once.
+// isIdempotentMethod tells whether the service allows requests with this method
+// to run more than once.
 func isIdempotentMethod(s bbticket.Service, method string) bool {
 	methods := s.Idempotent
 	if len(methods) == 0 {
@@ -186,7 +192,8 @@
 	return false
 }
 
-// requestFingerprint is the hash that tells two bodies of one request id apart.
+// requestFingerprint returns a hash by which two different requests with the
+// same id are told apart.
 func requestFingerprint(method, service, path string, body []byte) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{method, service, path} {
@@ -197,7 +204,8 @@
 	return d.Sum64()
 }
 
-// prefixHashes are hashes of the chat's leading messages, the shortest first.
+// prefixHashes returns a hash of each run of leading messages of a chat,
+// shortest first.
 func (c *clientRequest) prefixHashes() []uint64 {
 	if c.chat == nil {
 		return nil
@@ -211,20 +219,23 @@
 	return hashes
 }
 
-// attemptID names one attempt of the owner at a target; accounts and instances
-// cannot collide.
+// attemptID returns the id of one attempt at a target. It contains a hash of
+// account, request id and owner, so that ids of different accounts and instances
+// do not collide.
 func (c *clientRequest) attemptID(owner string, attempt int) string {
 	sum := sha256.Sum256([]byte(string(c.account.ID) + "\x00" + string(c.id) + "\x00" + owner))
 	return hex.EncodeToString(sum[:12]) + "-" + strconv.Itoa(attempt)
 }
 
-// price is what the request costs with what the engine counted.
+// price returns the price for the tokens that the engine counted, at most
+// maxPrice.
 func (c *clientRequest) price(usage tokenUsage) bbunit.Tokens {
 	prices := c.service.Price
 	return min(c.maxPrice, prices.Call+prices.Input*usage.Prompt+prices.Output*usage.Completion)
 }
 
-// bearerToken returns the key of an Authorization header.
+// bearerToken returns the key in an Authorization header, or an empty string if
+// the header has another scheme.
 func bearerToken(v string) string {
 	const scheme = "Bearer "
 	if len(v) < len(scheme) || !strings.EqualFold(v[:len(scheme)], scheme) {
--- a/bluebellport/src/engine_client.go
+++ b/bluebellport/src/engine_client.go
@@ -16,27 +16,30 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// engineClient speaks chat completions to model engines.
+// engineClient sends chat completions to model engines.
 type engineClient struct {
 	conns           *targetConns
-	owner           string
+	owner           string // this run of the instance; part of the attempts' ids
 	silenceTimeout  time.Duration
-	runInBackground func(func()) // runs clean-up work off the path of the request
+	runInBackground func(func()) // for clean-up that the request does not wait for
 }
 
-// engineAttempt is one run of a chat at one engine.
+// engineAttempt is one attempt at one engine.
 type engineAttempt struct {
-	address     string
-	requestID   string // X-Request-Id at the engine
-	freshConn   bool   // over a connection of its own
-	started     time.Time
-	timeToFirst time.Duration
-	sent        bool
-	// received counts what arrived, for the watchdog.
+	address         string
+	requestID       string // sent as X-Request-Id
+	freshConn       bool   // uses a new connection
+	started         time.Time
+	timeToFirstByte time.Duration
+	sent            bool
+	// received counts the response head and events, for watchForSilence.
 	received atomic.Int64
 }
 
-// run sends the chat to the target and relays its answer to out.
+// run sends the chat to the target and relays the response to answer. If a
+// stream breaks off, it first tries to resume it at the same engine. A request
+// that ends at its deadline or because all callers left is cancelled at the
+// engine.
 func (ec *engineClient) run(ctx context.Context, req *clientRequest, attempt *Attempt, n int, fresh bool, relay *chatRelay, answer *Answer) AttemptResult {
 	ea := &engineAttempt{address: attempt.Target.Address, requestID: req.attemptID(ec.owner, n), freshConn: fresh, started: time.Now()}
 	attemptCtx, cancel := context.WithCancelCause(ctx)
@@ -55,21 +58,24 @@
 		Sent:            ea.sent,
 		Crashed:         errors.Is(err, errConnBroken) && ea.sent && ec.hasCrashed(ctx, ea),
 		ConnReused:      !fresh,
-		TimeToFirstByte: ea.timeToFirst,
+		TimeToFirstByte: ea.timeToFirstByte,
 		Total:           time.Since(ea.started),
 		OutputTokens:    relay.attemptTokens,
 	}
 }
 
-// isFinalError tells errors after which the engine has nothing more for the request.
+// isFinalError tells whether the engine has nothing more to send for the request
+// after err, so that resuming is pointless.
 func isFinalError(err error) bool {
 	return errors.Is(err, ErrLeaving) || errors.Is(err, ErrBusy) || errors.Is(err, errPassedThrough)
 }
 
-// errPassedThrough marks an answer of the target that is passed on as it is.
+// errPassedThrough means that the target's error response was passed on to the
+// caller.
 const errPassedThrough = errors.ConstError("target answered with an error")
 
-// sendChat sends the chat from the start and relays the answer.
+// sendChat sends the chat and relays the answer. After a failed attempt the
+// engine is asked to continue the text that was relayed so far.
 func (ec *engineClient) sendChat(ctx context.Context, req *clientRequest, ea *engineAttempt, relay *chatRelay, answer *Answer) error {
 	body, err := req.chat.engineBody(req.service, string(relay.text), relay.earlierTokens)
 	if err != nil {
@@ -104,7 +110,8 @@
 	return ec.relayStream(ctx, resp, req, ea, relay, answer)
 }
 
-// targetRefusal tells whether the target took the request at all.
+// targetRefusal returns ErrLeaving or ErrBusy if the target refused the request
+// without running it.
 func targetRefusal(resp *fasthttp.Response) error {
 	switch resp.StatusCode() {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -116,11 +123,12 @@
 	return nil
 }
 
-// passThroughError gives the caller the target's own error; a fault of the target is
-// returned instead, so that another can be tried.
+// passThroughError relays the target's error response to the caller. A server
+// error (5xx) is returned as errTargetFailed instead, so that another target can
+// be tried.
 func passThroughError(ctx context.Context, resp *fasthttp.Response, answer *Answer) error {
 	if resp.StatusCode() >= http.StatusInternalServerError {
-		return errors.WithType(errors.Errorf("target answered %d", resp.StatusCode()), errTargetFailed)
+		return errors.WithType(errors.Errorf("target answered with status %d", resp.StatusCode()), errTargetFailed)
 	}
 	b, err := readBody(resp)
 	if err != nil {
@@ -133,7 +141,8 @@
 	return errors.Trace(errPassedThrough)
 }
 
-// classifyConnError marks an error of the connection to a target.
+// classifyConnError marks an error of the connection to a target as
+// errConnBroken or errDeadlineExceeded, unless it is already classified.
 func classifyConnError(err error) error {
 	switch {
 	case errors.Is(err, errNotSent), errors.Is(err, errTargetSilent):
@@ -144,7 +153,8 @@
 	return errors.WithType(err, errConnBroken)
 }
 
-// beginAnswer sets the head of an answer.
+// beginAnswer sets the status, the content type and further header fields of an
+// answer.
 func beginAnswer(answer *Answer, status int, contentType string, fields []HeaderField) {
 	answer.SetHead(&ResponseHead{Status: status, Fields: append([]HeaderField{{"Content-Type", contentType}}, fields...)})
 }
@@ -155,12 +165,12 @@
 	if err != nil {
 		return classifyConnError(err)
 	}
-	ea.timeToFirst = time.Since(ea.started)
+	ea.timeToFirstByte = time.Since(ea.started)
 	var response struct {
 		Usage *tokenUsage `json:"usage"`
 	}
 	if err := json.Unmarshal(b, &response); err != nil {
-		return errors.WithType(errors.Annotate(err, "answer"), errTargetFailed)
+		return errors.WithType(errors.Annotate(err, "response of the engine"), errTargetFailed)
 	}
 	relay.usage = response.Usage
 	if response.Usage != nil {
@@ -177,12 +187,12 @@
 		event, err := events.next()
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				err = errors.New("stream ended early")
+				err = errors.New("stream ended before [DONE]")
 			}
 			return classifyConnError(err)
 		}
-		if ea.timeToFirst == 0 {
-			ea.timeToFirst = time.Since(ea.started)
+		if ea.timeToFirstByte == 0 {
+			ea.timeToFirstByte = time.Since(ea.started)
 		}
 		ea.received.Add(1)
 		if event.isDone() {
@@ -204,8 +214,9 @@
 	}
 }
 
-// resume picks a broken stream up where it ended, on fresh connections. It
-// returns the first error when the engine cannot go on.
+// resume continues a broken stream after the last event received, over new
+// connections, at most maxResumesPerEngine times. It returns the error first,
+// which broke the stream, if the engine cannot resume it.
 func (ec *engineClient) resume(ctx context.Context, req *clientRequest, ea *engineAttempt, relay *chatRelay, answer *Answer, first error) error {
 	for range maxResumesPerEngine {
 		attemptCtx, cancel := context.WithCancelCause(ctx)
@@ -223,9 +234,10 @@
 	return first
 }
 
-// errNotResumable marks an engine that cannot resume the request.
-const errNotResumable = errors.ConstError("stream cannot be resumed")
+// errNotResumable means that the engine cannot resume the request's stream.
+const errNotResumable = errors.ConstError("engine cannot resume the stream")
 
+// resumeOnce requests the events after the last one received.
 func (ec *engineClient) resumeOnce(ctx context.Context, req *clientRequest, ea *engineAttempt, relay *chatRelay, answer *Answer) error {
 	httpReq := fasthttp.AcquireRequest()
 	httpReq.SetRequestURI(fmt.Sprintf("http://%s/v1/requests/%s/stream?from=%d", ea.address, ea.requestID, relay.lastEvent))
@@ -241,16 +253,17 @@
 	return ec.relayStream(ctx, resp, req, ea, relay, answer)
 }
 
-// engineStatus is what an engine says of one request.
+// engineStatus is an engine's report on one request.
 type engineStatus struct {
 	State string     `json:"state"`
 	Usage tokenUsage `json:"usage"`
 }
 
-// ended tells whether the engine works on the request no more.
+// ended tells whether the engine no longer works on the request.
 func (s engineStatus) ended() bool { return s.State != "running" && s.State != "waiting" }
 
-// probe asks the engine for a request over a fresh connection.
+// probe asks the engine for the request's status over a new connection. The
+// error is NotFound if the engine does not know the request.
 func (ec *engineClient) probe(ctx context.Context, ea *engineAttempt) (engineStatus, error) {
 	req := fasthttp.AcquireRequest()
 	req.SetRequestURI("http://" + ea.address + "/v1/requests/" + ea.requestID)
@@ -270,16 +283,17 @@
 	return status, errors.Trace(json.Unmarshal(b, &status))
 }
 
-// hasCrashed tells whether the engine takes no connection any more, or was started
-// anew and knows the request no more.
+// hasCrashed tells whether the engine refuses connections, or no longer knows a
+// request that it had begun to answer, because it restarted.
 func (ec *engineClient) hasCrashed(ctx context.Context, ea *engineAttempt) bool {
 	_, err := ec.probe(ctx, ea)
 	return errors.Is(err, errNotSent) || errors.Is(err, errors.NotFound) && ea.received.Load() > 0
 }
 
-// watchForSilence gives a connection up when nothing arrives on it although the engine
-// has ended the request, goes on generating, or is gone. A request that waits
-// in the engine's queue is left alone.
+// watchForSilence cancels the attempt with errTargetSilent when nothing arrives
+// on its connection although the engine has ended the request, has generated
+// more tokens, or cannot be asked. A request that waits in the engine's queue is
+// left alone.
 func (ec *engineClient) watchForSilence(ctx context.Context, cancel context.CancelCauseFunc, ea *engineAttempt) {
 	tick := time.NewTicker(ec.silenceTimeout)
 	defer tick.Stop()
@@ -298,7 +312,7 @@
 		if ea.received.Load() != lastReceived || ctx.Err() != nil {
 			continue
 		}
-		generating := lastGenerated >= 0 && status.Usage.Completion > lastGenerated && ea.timeToFirst > 0
+		generating := lastGenerated >= 0 && status.Usage.Completion > lastGenerated && ea.timeToFirstByte > 0
 		if err != nil || status.ended() || generating {
 			cancel(errTargetSilent)
 			return
@@ -307,7 +321,8 @@
 	}
 }
 
-// cancel tells the engine that nobody waits for the request any more.
+// cancel cancels the request at the engine. Errors are ignored: the engine then
+// generates an answer that nobody reads.
 func (ec *engineClient) cancel(ea *engineAttempt) {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(http.MethodDelete)
--- a/bluebellport/src/engine_client_test.go
+++ b/bluebellport/src/engine_client_test.go
@@ -16,22 +16,23 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// fakeEngine is an engine that generates ten tokens and fails as told.
+// fakeEngine is an engine that generates fakeEngineTokens tokens and injects
+// faults.
 type fakeEngine struct {
 	mu           sync.Mutex
 	chats        int
 	resumes      int
 	cancels      int
-	cutAt        int  // event after which the first connection breaks; 0 never
-	silent       bool // the connection falls silent instead of breaking
-	resumable    bool // a broken stream can be resumed
-	diesAfterCut bool // after the cut nothing is answered any more
+	cutAt        int  // number of events after which the first connection breaks; 0 for never
+	silent       bool // the connection stays open without data instead of breaking
+	resumable    bool // broken streams can be resumed
+	diesAfterCut bool // no request is answered after the first chat
 	queueDelay   time.Duration
 }
 
 const fakeEngineTokens = 10
 
-// fakeEngineText is the text of the script's answer.
+// fakeEngineText returns the whole text that a fakeEngine generates.
 func fakeEngineText() string {
 	var b strings.Builder
 	for i := range fakeEngineTokens {
@@ -69,7 +70,7 @@
 func (e *fakeEngine) chat(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Messages []chatMessage `json:"messages"`
-		Go       bool          `json:"continue_final_message"`
+		Continue bool          `json:"continue_final_message"`
 		Stream   bool          `json:"stream"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
@@ -88,7 +89,7 @@
 		return
 	}
 	from := 0
-	if body.Go {
+	if body.Continue {
 		from = strings.Count(body.Messages[len(body.Messages)-1].Content, "t")
 	}
 	if !body.Stream {
@@ -98,8 +99,8 @@
 	e.events(w, r, from, from, cut)
 }
 
-// events sends tokens from a number on and fails after the cut; so many were
-// given in the prompt.
+// events sends the tokens from number from on, and fails before token number
+// cut, if set. given is the number of tokens that the prompt already contains.
 func (e *fakeEngine) events(w http.ResponseWriter, r *http.Request, from, given, cut int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	id := r.Header.Get("X-Request-Id")
@@ -133,7 +134,7 @@
 
 const streamedChat = `{"model":"chat","stream":true,"stream_options":{"include_usage":true},"messages":[{"role":"user","content":"hi"}]}`
 
-// readStream puts a stream's text together and checks its form.
+// readStream checks the form of a stream and returns its text and usage.
 func readStream(is *is.I, body string) (text string, usage tokenUsage) {
 	is.Helper()
 	is.True(strings.HasSuffix(body, "data: [DONE]\n\n"))
@@ -147,7 +148,7 @@
 		if id == "" {
 			id = chunk.ID
 		}
-		is.Equal(chunk.ID, id) // one id, whoever generated
+		is.Equal(chunk.ID, id) // the same id from every engine
 		for _, choice := range chunk.Choices {
 			text += choice.Delta.Content
 		}
@@ -158,13 +159,13 @@
 	return text, usage
 }
 
-// TestStreamFaults: the caller sees the whole text once, whatever happens to
-// the engines, and is billed for it once.
+// TestStreamFaults checks that the caller gets the whole text exactly once, and
+// is billed once, whatever fault the engine asked first has.
 func TestStreamFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		first   *fakeEngine // faults of whichever engine is asked first
+		first   *fakeEngine // serves both targets; its faults occur once
 		resumed bool
-		asks    int
+		chats   int
 	}{
 		"none":            {&fakeEngine{}, false, 1},
 		"cut-resumed":     {&fakeEngine{cutAt: 4, resumable: true}, true, 1},
@@ -187,18 +188,19 @@
 			is.Equal(len(f.journal.bills), 1)
 			is.Equal(f.journal.lastBill().Amount, int64(13))
 			is.Equal(f.budgets.used, bbunit.Tokens(13))
-			is.Equal(engine.chats, c.asks) // waiting in a queue is no silence
+			is.Equal(engine.chats, c.chats) // a wait in the engine's queue is not taken for silence
 			is.Equal(engine.resumes > 0 && engine.resumable, c.resumed)
 		})
 	}
 }
 
-// TestStreamContinuesOnAnotherEngine: the other engine goes on after the text so far.
+// TestStreamContinuesOnAnotherEngine checks that another engine continues the
+// text when the first one crashes.
 func TestStreamContinuesOnAnotherEngine(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	dying, healthy := &fakeEngine{cutAt: 4, diesAfterCut: true}, &fakeEngine{}
-	first := 0 // which target was asked first, from 1
+	first := 0 // number of the target that was asked first, from 1
 	pick := func(n int) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
@@ -222,8 +224,9 @@
 	is.Equal(f.journal.lastBill().Amount, int64(13))
 }
 
-// TestStreamFailsWithoutAnotherEngine: when no engine can go on, the stream ends with the outcome
-// and without [DONE], and the caller pays for what it got.
+// TestStreamFailsWithoutAnotherEngine checks that a stream that no engine can
+// continue ends with the outcome and without [DONE], and that the caller pays
+// for the text it got.
 func TestStreamFailsWithoutAnotherEngine(t *testing.T) {
 	is := is.New(t)
 	engine := &fakeEngine{cutAt: 4, diesAfterCut: true}
@@ -237,7 +240,8 @@
 	is.Equal(f.journal.lastBill().Amount, int64(4))
 }
 
-// TestUnstreamedAnswerIsRetried: an answer that is not streamed is asked for again elsewhere.
+// TestUnstreamedAnswerIsRetried checks that an answer that is not streamed is
+// requested again from another engine.
 func TestUnstreamedAnswerIsRetried(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
@@ -264,8 +268,8 @@
 	is.Equal(f.journal.lastBill().Amount, int64(13))
 }
 
-// TestDeadlineCancels: past its deadline a chat is refused at once and
-// cancelled at the engine.
+// TestDeadlineCancels checks that a chat is refused at its deadline and
+// cancelled at the engine, which would otherwise go on generating.
 func TestDeadlineCancels(t *testing.T) {
 	is := is.New(t)
 	engine := &fakeEngine{queueDelay: 2 * time.Second}
@@ -275,7 +279,7 @@
 	took := time.Since(started)
 	is.Equal(resp.StatusCode, http.StatusGatewayTimeout)
 	is.True(strings.Contains(body, `"outcome":"failed"`))
-	is.True(took > 250*time.Millisecond && took < time.Second) // neither early nor held back
+	is.True(took > 250*time.Millisecond && took < time.Second) // neither early nor delayed by the cancellation
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		engine.mu.Lock()
 		n := engine.cancels
@@ -289,8 +293,8 @@
 	is.Equal(engine.cancels, 1)
 }
 
-// TestRunEndsAfterAllCallersLeft: a chat whose caller is gone is cancelled at the engine after
-// the grace.
+// TestRunEndsAfterAllCallersLeft checks that a chat ends after the grace period
+// once all callers have left.
 func TestRunEndsAfterAllCallersLeft(t *testing.T) {
 	is := is.New(t)
 	engine := &fakeEngine{queueDelay: 10 * time.Second}
@@ -311,6 +315,6 @@
 	select {
 	case <-done:
 	case <-time.After(2500 * time.Millisecond):
-		is.Fail() // the run went on after all callers left
+		is.Fail() // still running after all callers left
 	}
 }
--- a/bluebellport/src/frontend.go
+++ b/bluebellport/src/frontend.go
@@ -22,18 +22,21 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Frontend takes callers' requests over HTTP.
+// Frontend serves the callers' HTTP interface: chat completions, plain services
+// and the list of models.
 type Frontend struct {
 	deps   Deps
 	opts   *FrontOptions
 	app    *fiber.App
 	runner *runner
 	dedup  *Deduplicator
-	// forwarder takes requests to their homes; nil runs all here.
+	// forwarder sends requests to their home instances. If nil, every request
+	// runs on this instance.
 	forwarder *forwarder
 	tracer    trace.Tracer
 	tasks     conc.WaitGroup
-	// openRequests counts requests whose answer has not ended.
+	// openRequests counts attached callers whose answer has not been written in
+	// full.
 	openRequests atomic.Int64
 
 	requests        metrics.Counter
@@ -42,7 +45,8 @@
 	duration        metrics.Timer
 }
 
-// NewFrontend returns the callers' side of an instance.
+// NewFrontend returns the callers' HTTP interface, and completes the runner with
+// the functions that need the answers kept by the frontend.
 func NewFrontend(deps Deps, r *runner) *Frontend {
 	f := &Frontend{
 		deps:            deps,
@@ -75,7 +79,8 @@
 	return f
 }
 
-// handleError answers what the HTTP library refuses before a handler runs.
+// handleError answers requests that the HTTP library rejects before a handler
+// runs.
 func (f *Frontend) handleError(c *fiber.Ctx, err error) error {
 	var fiberErr *fiber.Error
 	switch {
@@ -89,9 +94,11 @@
 	return f.refuseNotRun(c, "", err)
 }
 
-// refuseUnadmitted answers a request that was not let in. Where it was understood and
-// its caller named it, an earlier copy may have run; where it could not even be
-// told whose it is, nothing is known of others.
+// refuseUnadmitted answers a request that failed validation or that the instance
+// does not accept at the moment. If the request was parsed (req is not nil), an
+// earlier copy of it may have run, so its outcome is looked up. While the
+// instance has no state, the account is unknown and copies cannot be looked up:
+// the outcome of a request with an Idempotency-Key is then unknown.
 func (f *Frontend) refuseUnadmitted(ctx context.Context, c *fiber.Ctx, raw *rawRequest, req *clientRequest, err error) error {
 	switch {
 	case req != nil:
@@ -102,11 +109,12 @@
 	return f.refuseNotRun(c, bbunit.RequestID(raw.id), err)
 }
 
-// refuseNotRun answers a request that did not run.
+// refuseNotRun answers a request that certainly did not run.
 func (f *Frontend) refuseNotRun(c *fiber.Ctx, id bbunit.RequestID, err error) error {
 	return f.refuse(c, id, err, bbunit.OutcomeNotRun)
 }
 
+// refuse answers with problem details for err and the given outcome.
 func (f *Frontend) refuse(c *fiber.Ctx, id bbunit.RequestID, err error, outcome bbunit.Outcome) error {
 	f.refusals.Inc(1)
 	resp := newRefusalResponse(err, outcome)
@@ -118,14 +126,16 @@
 	return f.handleRequest(c, "", "/v1/chat/completions")
 }
 
-// handlePlain takes what lies behind the service's name, with its query.
+// handlePlain handles /services/NAME/PATH. The service gets PATH and the query,
+// still escaped.
 func (f *Frontend) handlePlain(c *fiber.Ctx) error {
 	service := strings.Clone(c.Params("service"))
 	_, path, _ := strings.Cut(strings.TrimPrefix(string(c.Request().URI().RequestURI()), "/services/"), "/")
 	return f.handleRequest(c, service, "/"+path)
 }
 
-// handleRequest checks a request and answers it.
+// handleRequest validates a request, runs it or joins a running copy, and writes
+// the answer.
 func (f *Frontend) handleRequest(c *fiber.Ctx, service, path string) error {
 	started := f.deps.Now()
 	f.requests.Inc(1)
@@ -154,8 +164,8 @@
 	})
 }
 
-// join attaches a caller to the request's answer; the first copy runs it, here
-// or at its home.
+// join attaches a caller to the answer of its request. The first copy of a
+// request leads: it starts the run, on this instance or on the request's home.
 func (f *Frontend) join(ctx context.Context, req *clientRequest) (*Answer, error) {
 	answer, leader, err := f.dedup.Join(req.account.ID, req.id, req.fingerprint)
 	if err != nil {
@@ -175,7 +185,8 @@
 	f.openRequests.Add(-1)
 }
 
-// dispatch runs the request at its home, or here when that is self or silent.
+// dispatch runs the request on its home instance, or here if this instance is
+// the home or the home does not answer.
 func (f *Frontend) dispatch(ctx context.Context, req *clientRequest, answer *Answer) {
 	if f.forwarder != nil {
 		if home, ok := f.forwarder.homeOf(req); ok {
@@ -189,7 +200,8 @@
 	f.runner.run(ctx, req, answer)
 }
 
-// validate refuses what can be told without looking at load or money.
+// validate parses a request and checks everything that depends on neither load
+// nor budgets.
 func (f *Frontend) validate(raw *rawRequest, now time.Time) (*clientRequest, error) {
 	if f.deps.Board.State.Load().Number == 0 {
 		return nil, errors.Trace(errNotReady)
@@ -200,7 +212,8 @@
 	return raw.parse(f.deps.Board.State.Load(), now, f.opts.DefaultDeadline)
 }
 
-// checkAccepting tells whether the instance takes new requests at all.
+// checkAccepting returns errDraining, errNotReady or errRecordBacklog while the
+// instance takes no new requests.
 func (f *Frontend) checkAccepting() error {
 	switch {
 	case f.deps.Board.Draining.Load():
@@ -213,7 +226,8 @@
 	return nil
 }
 
-// newRawRequest copies a request out of the HTTP library's buffers.
+// newRawRequest copies a request out of the HTTP library's buffers, which are
+// reused once the handler returns.
 func newRawRequest(c *fiber.Ctx, service, path string) *rawRequest {
 	raw := &rawRequest{
 		method:     strings.Clone(c.Method()),
@@ -236,7 +250,8 @@
 	return raw
 }
 
-// writeHead writes the status and fields of an answer.
+// writeHead sets the status and header fields of the response. A leaving
+// instance asks the caller to close the connection.
 func (f *Frontend) writeHead(c *fiber.Ctx, id bbunit.RequestID, head *ResponseHead) {
 	c.Status(head.Status)
 	if id != "" {
@@ -254,7 +269,8 @@
 	}
 }
 
-// writeAnswer writes the answer to the caller and calls done once, after its end.
+// writeAnswer writes the answer to the caller. It calls done exactly once, when
+// the answer has ended or cannot be written.
 func (f *Frontend) writeAnswer(ctx context.Context, c *fiber.Ctx, req *clientRequest, answer *Answer, done func()) error {
 	head, err := answer.Head(ctx)
 	if err == nil && head == nil {
@@ -291,7 +307,7 @@
 	}
 }
 
-// writeStream writes a streamed answer part by part.
+// writeStream writes a streamed answer and flushes after each batch of parts.
 func (f *Frontend) writeStream(ctx context.Context, w *bufio.Writer, answer *Answer) {
 	for next := 0; ; {
 		parts, end, err := answer.Read(ctx, next)
@@ -315,7 +331,7 @@
 	}
 }
 
-// modelEntry is one entry of the list of models.
+// modelEntry is an entry of the list of models.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -323,7 +339,7 @@
 	Owner   string `json:"owned_by"`
 }
 
-// handleModels lists the services with an engine that the account may use.
+// handleModels lists the engine services that the account may use.
 func (f *Frontend) handleModels(c *fiber.Ctx) error {
 	state := f.deps.Board.State.Load()
 	account, ok := state.ByKey[hashAPIKey(bearerToken(c.Get("Authorization")))]
--- a/bluebellport/src/frontend_bench_test.go
+++ b/bluebellport/src/frontend_bench_test.go
@@ -13,9 +13,9 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// BenchmarkHop is the time that a request takes through an instance, and
-// straight to its target, at several rates of requests in flight. Money and
-// records are fakes; the routing and the HTTP on both sides are real.
+// BenchmarkHop measures the latency of requests through an instance and directly
+// to the target, with several numbers of requests in flight. Budgets and records
+// are fakes; routing and HTTP are real.
 func BenchmarkHop(b *testing.B) {
 	target := func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(5 * time.Millisecond)
@@ -39,18 +39,18 @@
 	}
 }
 
-// measureLatency sends b.N requests with so many in flight and returns their times in
-// microseconds.
+// measureLatency sends b.N requests, inFlight of them at a time, and returns
+// their latencies in microseconds.
 func measureLatency(b *testing.B, url string, inFlight int) *hdrhistogram.Histogram {
 	var mu sync.Mutex
 	all := hdrhistogram.New(1, 60_000_000, 3)
 	var wg sync.WaitGroup
 	client := &fasthttp.Client{MaxConnsPerHost: inFlight + 1}
-	tokens := make(chan struct{}, b.N)
+	remaining := make(chan struct{}, b.N)
 	for range b.N {
-		tokens <- struct{}{}
+		remaining <- struct{}{}
 	}
-	close(tokens)
+	close(remaining)
 	b.ResetTimer()
 	for range inFlight {
 		wg.Go(func() {
@@ -58,7 +58,7 @@
 			req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 			req.SetRequestURI(url)
 			req.Header.Set("Authorization", "Bearer "+testKey)
-			for range tokens {
+			for range remaining {
 				started := time.Now()
 				if err := client.Do(req, resp); err != nil || resp.StatusCode() != http.StatusOK {
 					b.Errorf("status %d, %v", resp.StatusCode(), err)
--- a/bluebellport/src/frontend_test.go
+++ b/bluebellport/src/frontend_test.go
@@ -27,25 +27,25 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// fakeBudgets has one budget of so many tokens.
+// fakeBudgets is a BudgetReserver with a single budget.
 type fakeBudgets struct {
 	mu               sync.Mutex
 	available, used  bbunit.Tokens
 	openReservations int
 }
 
-func (fb *fakeBudgets) Reserve(_ context.Context, budgets []bbunit.BudgetID, most bbunit.Tokens) (*Reservation, error) {
+func (fb *fakeBudgets) Reserve(_ context.Context, budgets []bbunit.BudgetID, amount bbunit.Tokens) (*Reservation, error) {
 	fb.mu.Lock()
 	defer fb.mu.Unlock()
-	if fb.available < most {
+	if fb.available < amount {
 		return nil, ErrBudgetExhausted
 	}
-	fb.available -= most
+	fb.available -= amount
 	fb.openReservations++
-	return &Reservation{Budget: budgets[0], Holder: "h", Max: most, Commit: func(used bbunit.Tokens) {
+	return &Reservation{Budget: budgets[0], Holder: "h", Max: amount, Commit: func(used bbunit.Tokens) {
 		fb.mu.Lock()
 		defer fb.mu.Unlock()
-		fb.available += most - used
+		fb.available += amount - used
 		fb.used += used
 		fb.openReservations--
 	}, Refund: func(n bbunit.Tokens) { fb.available += n; fb.used -= n }}, nil
@@ -72,8 +72,8 @@
 	j.claims[r.Request] = r
 	return nil, nil
 }
-func (l *fakeJournal) Open(*bbwire.Record) {}
-func (l *fakeJournal) Full() bool          { return false }
+func (j *fakeJournal) Open(*bbwire.Record) {}
+func (j *fakeJournal) Full() bool          { return false }
 
 func (j *fakeJournal) Withdraw(r *bbwire.Record) {
 	j.mu.Lock()
@@ -97,7 +97,8 @@
 	return j.bills[len(j.bills)-1]
 }
 
-// testFrontend is a front with fakes behind it and scripted targets.
+// testFrontend is a frontend with fake budgets and records, and targets served
+// by the test.
 type testFrontend struct {
 	*Frontend
 	url     string
@@ -107,8 +108,8 @@
 
 const testKey = "test-key"
 
-// newTestFrontend starts a front whose targets are served by the handlers; a nil handler
-// is a target that cannot be reached.
+// newTestFrontend starts a frontend with one target per handler for each of the
+// services chat and desk. A nil handler makes a target that refuses connections.
 func newTestFrontend(t testing.TB, targets ...http.HandlerFunc) *testFrontend {
 	t.Helper()
 	ticket := bbticket.Ticket{
@@ -129,7 +130,7 @@
 		if handler != nil {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == "/load" {
-					w.WriteHeader(http.StatusNotFound) // reports are tested elsewhere
+					w.WriteHeader(http.StatusNotFound) // load reports have their own tests
 					return
 				}
 				handler(w, r)
@@ -145,6 +146,7 @@
 	return startTestFrontend(t, (&bbticket.State{}).Apply(ticket))
 }
 
+// startTestFrontend starts a frontend with the given state in force.
 func startTestFrontend(t testing.TB, state *bbticket.State) *testFrontend {
 	t.Helper()
 	o := &Options{}
@@ -171,6 +173,7 @@
 	return f
 }
 
+// unusedAddress returns an address that refuses connections.
 func unusedAddress(t testing.TB) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -180,7 +183,8 @@
 	return ln.Addr().String()
 }
 
-// do sends a request; fields come as name, value pairs.
+// do sends a request and returns the response and its body. The header fields
+// are pairs of name and value.
 func (f *testFrontend) do(t *testing.T, method, path, body string, fields ...string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, f.url+path, strings.NewReader(body))
@@ -203,7 +207,7 @@
 	return resp, string(got)
 }
 
-// waitSettled waits until no reservation is open.
+// waitSettled waits until no reservation and no answer is open.
 func (f *testFrontend) waitSettled(is *is.I) {
 	is.Helper()
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -214,13 +218,13 @@
 			return
 		}
 	}
-	is.Fail() // a reservation or a caller is still open
+	is.Fail() // a reservation or an answer is still open
 }
 
 const plainChat = `{"model":"chat","messages":[{"role":"user","content":"hi"}]}`
 
-// TestRefusals holds the head and body of each refusal in a golden file; none
-// of them may leave money set aside.
+// TestRefusals compares every refusal with a golden file, and checks that none
+// leaves tokens reserved.
 func TestRefusals(t *testing.T) {
 	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
 	long := strings.Repeat("k", maxRequestIDBytes+1)
@@ -261,15 +265,18 @@
 	is.New(t).Equal(f.budgets.used, bbunit.Tokens(0))
 }
 
-// removeGeneratedID takes the made request id out of a problem.
+// removeGeneratedID removes a request id generated by the instance from problem
+// details.
 func removeGeneratedID(body string) string {
 	return generatedID.ReplaceAllString(body, "")
 }
 
-// generatedID is a request id that the instance made.
+// generatedID matches a request id generated by the instance.
 var generatedID = regexp.MustCompile(`,"request":"0[^"]*"`)
 
-// TestPlainRequestsAreForwarded checks what reaches a plain service and what comes back.
+// TestPlainRequestsAreForwarded checks that request and response pass between
+// caller and plain service unchanged, except for the header fields that the
+// instance sets or withholds.
 func TestPlainRequestsAreForwarded(t *testing.T) {
 	is := is.New(t)
 	var seen *http.Request
@@ -291,14 +298,16 @@
 	is.Equal(string(gotBody), "payload")
 	is.Equal(seen.Header.Get("X-Mine"), "1")
 	is.Equal(seen.Header.Get("Content-Type"), "text/odd")
-	is.Equal(seen.Header.Get("Authorization"), "") // the key stays here
+	is.Equal(seen.Header.Get("Authorization"), "") // the API key is not forwarded
 	is.Equal(seen.Header.Get("Idempotency-Key"), "k1")
 	f.waitSettled(is)
 	is.Equal(f.journal.lastBill().Amount, int64(10))
 	is.Equal(f.budgets.used, bbunit.Tokens(10))
 }
 
-// TestRepeatedRequestID: the same body joins the kept answer, another body is refused.
+// TestRepeatedRequestID checks that a copy with the same id and body gets the
+// kept answer, and that the same id with another body is refused. Otherwise a
+// repeated request would run, and be billed, twice.
 func TestRepeatedRequestID(t *testing.T) {
 	is := is.New(t)
 	runs := 0
@@ -318,11 +327,11 @@
 	is.Equal(len(f.journal.bills), 1) // one bill
 }
 
-// TestPlainFaults is the table of a plain service's faults: what the caller is
-// told, how often the request ran, and what is recorded.
+// TestPlainFaults checks, for each fault of a plain service, the caller's
+// response, the number of runs and the record.
 func TestPlainFaults(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // the end of the connection is seen only then
+		_, _ = io.Copy(io.Discard, r.Body) // the server notices the closed connection only then
 		<-r.Context().Done()
 	}
 	cut := func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }
@@ -354,7 +363,7 @@
 			is := is.New(t)
 			var mu sync.Mutex
 			runs, failed := 0, false
-			// The first request to arrive anywhere meets the fault.
+			// Only the first request, at whichever target, meets the fault.
 			h := func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
 				runs++
@@ -387,8 +396,9 @@
 	}
 }
 
-// TestLateAnswer: an answer that comes after the caller was told unknown is
-// billed, and a copy of the request gets it; the request ran once.
+// TestLateAnswer checks that an answer that arrives after the caller was told
+// that the outcome is unknown is billed and kept for a copy of the request,
+// without a second run.
 func TestLateAnswer(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
@@ -416,14 +426,16 @@
 	is.Equal(runs, 1)
 }
 
+// closeConnection closes the connection without a response.
 func closeConnection(w http.ResponseWriter) {
 	if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
 		_ = conn.Close()
 	}
 }
 
-// TestClosedConnectionIsNotACrash: a service that closes connections without an answer, but
-// takes new ones, does not make the request poison.
+// TestClosedConnectionIsNotACrash checks that a request is not taken for poison
+// when a service closes its connections without a response but still accepts new
+// ones.
 func TestClosedConnectionIsNotACrash(t *testing.T) {
 	is := is.New(t)
 	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }, func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
@@ -434,8 +446,8 @@
 	}
 }
 
-// TestClaimIsWithdrawnIfNotRun: when no target can be reached the caller may come
-// again with the same id.
+// TestClaimIsWithdrawnIfNotRun checks that the claim is withdrawn if no target
+// can be reached, so that the caller can retry with the same id.
 func TestClaimIsWithdrawnIfNotRun(t *testing.T) {
 	is := is.New(t)
 	f := newTestFrontend(t, nil)
@@ -449,7 +461,8 @@
 	is.Equal(f.budgets.used, bbunit.Tokens(0))
 }
 
-// TestRequestIsNotSentWithoutItsClaim: without a claim nothing leaves for a target.
+// TestRequestIsNotSentWithoutItsClaim checks that a request whose claim could
+// not be written is not sent to a target.
 func TestRequestIsNotSentWithoutItsClaim(t *testing.T) {
 	is := is.New(t)
 	runs := 0
@@ -462,8 +475,8 @@
 	f.waitSettled(is)
 }
 
-// TestDrainFinishesOpenRequests: a stopping instance ends open streams whole and refuses
-// new requests as not run.
+// TestDrainFinishesOpenRequests checks that a stopping instance finishes its
+// open requests and refuses new ones as not run.
 func TestDrainFinishesOpenRequests(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -495,6 +508,7 @@
 	is.Equal(got, "whole")
 }
 
+// parseOptions sets the options from the arguments of the serve command.
 func parseOptions(t testing.TB, o *Options, args ...string) {
 	t.Helper()
 	app := kingpin.New("test", "")
@@ -507,8 +521,8 @@
 	}
 }
 
-// TestClientsOfRemovedTargetsAreDropped: connections to a target that is no longer in force are
-// closed and its client is dropped; the others stay.
+// TestClientsOfRemovedTargetsAreDropped checks that the client of a target is
+// dropped once the target is no longer in force, and not before.
 func TestClientsOfRemovedTargetsAreDropped(t *testing.T) {
 	is := is.New(t)
 	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) })
--- a/bluebellport/src/load.go
+++ b/bluebellport/src/load.go
@@ -17,33 +17,34 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// loadResponse is a target's answer to GET /load.
+// loadResponse is a target's response to GET /load.
 type loadResponse struct {
 	Running int32 `json:"running"`
 	Waiting int32 `json:"waiting"`
 	Slots   int32 `json:"slots"`
 	Leaving bool  `json:"leaving"`
-	// At is when the numbers were taken, in milliseconds since the epoch.
+	// At is when the numbers were sampled, in milliseconds since the Unix epoch.
 	At int64 `json:"at"`
 }
 
-// sampledAt returns when the report was made: by the target's word if that is near the
-// time it was asked, so that a lag shows, and by that time if the target's clock
-// is far behind or it tells none. A time in the future stands; the report is
-// then dropped.
-func (a *loadResponse) sampledAt(asked time.Time) int64 {
-	if a.At < asked.Add(-maxLoadLag).UnixMilli() {
-		return asked.UnixMilli()
+// sampledAt returns the time of the report in milliseconds since the Unix epoch.
+// This is the target's own time, so that an old sample is recognized. If that is
+// missing, or more than maxLoadLag before polledAt, the target's clock cannot be
+// trusted and it is polledAt. A time in the future is returned as it is, and the
+// report is dropped later.
+func (a *loadResponse) sampledAt(polledAt time.Time) int64 {
+	if a.At < polledAt.Add(-maxLoadLag).UnixMilli() {
+		return polledAt.UnixMilli()
 	}
 	return a.At
 }
 
-// loadProber asks a target for its load. It may block up to the context's deadline.
+// loadProber asks a target for its load. It may block up to the deadline of ctx.
 type loadProber interface {
 	Load(ctx context.Context, t bbticket.Target) (*bbwire.Load, error)
 }
 
-// httpLoadProber asks by GET /load.
+// httpLoadProber asks with GET /load.
 type httpLoadProber struct {
 	client fasthttp.Client
 	now    func() time.Time
@@ -62,13 +63,13 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + t.Address + "/load")
-	asked := h.now()
+	polledAt := h.now()
 	deadline, _ := ctx.Deadline()
 	if err := h.client.DoDeadline(req, resp, deadline); err != nil {
 		return nil, errors.Trace(err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return nil, errors.Errorf("status %d", resp.StatusCode())
+		return nil, errors.Errorf("GET /load answered with status %d", resp.StatusCode())
 	}
 	var answer loadResponse
 	if err := json.Unmarshal(resp.Body(), &answer); err != nil {
@@ -76,24 +77,24 @@
 	}
 	return &bbwire.Load{
 		Target: string(t.ID), Running: answer.Running, Waiting: answer.Waiting, Slots: answer.Slots,
-		At: answer.sampledAt(asked), Leaving: answer.Leaving,
+		At: answer.sampledAt(polledAt), Leaving: answer.Leaving,
 	}, nil
 }
 
-// loadPoller asks the targets that this instance is home to for their load, and
-// tells the other instances of the failure domain.
+// loadPoller polls the load of the targets whose home is this instance, and
+// shares the reports with the other instances of the failure domain.
 type loadPoller struct {
 	deps         Deps
 	prober       loadProber
 	observe      func(loads []*bbwire.Load)
-	lastSharedAt time.Time // of the goroutine that calls round
+	lastSharedAt time.Time // used only by the goroutine that calls pollOnce
 	polled       metrics.Counter
 	failed       metrics.Counter
 }
 
-func newLoadPoller(deps Deps, probe loadProber, observe func([]*bbwire.Load)) *loadPoller {
+func newLoadPoller(deps Deps, prober loadProber, observe func([]*bbwire.Load)) *loadPoller {
 	l := &loadPoller{
-		deps: deps, prober: probe, observe: observe,
+		deps: deps, prober: prober, observe: observe,
 		polled: metrics.GetOrRegisterCounter("load.asked", deps.Metrics),
 		failed: metrics.GetOrRegisterCounter("load.failed", deps.Metrics),
 	}
@@ -103,14 +104,14 @@
 	return l
 }
 
-// handleLoads takes the reports that another instance collected.
+// handleLoads applies reports collected by another instance.
 func (l *loadPoller) handleLoads(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	l.observe(e.GetLoads().GetLoads())
 	return nil
 }
 
-// pollOnce asks each of the targets once, at most loadAtOnce at a time, takes the
-// reports and passes them on. It blocks up to the polling interval.
+// pollOnce asks every target once, at most maxConcurrentLoadPolls at a time,
+// applies the reports and shares them. It blocks up to the polling interval.
 func (l *loadPoller) pollOnce(ctx context.Context, targets []bbticket.Target) {
 	ctx, cancel := context.WithTimeout(ctx, l.deps.Opts.Route.LoadPollInterval)
 	defer cancel()
@@ -126,7 +127,7 @@
 			load, err := l.prober.Load(ctx, t)
 			if err != nil {
 				l.failed.Inc(1)
-				l.deps.Log.WithError(err).WithField("target", t.ID).Debug("load not reported")
+				l.deps.Log.WithError(err).WithField("target", t.ID).Debug("load poll failed")
 				return
 			}
 			mu.Lock()
@@ -145,8 +146,8 @@
 	}
 }
 
-// shareInterval returns how often reports are passed on: more seldom where there
-// are many targets, so that what an instance hears stays below loadRate.
+// shareInterval returns how often reports are shared. It grows with the number
+// of targets, so that each instance receives at most maxLoadBytesPerSecond.
 func (l *loadPoller) shareInterval() time.Duration {
 	n := 0
 	for _, t := range l.deps.Board.State.Load().Targets {
@@ -168,12 +169,13 @@
 		}
 		e := &bbwire.Envelope{Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{Loads: loads}}}
 		if err := l.deps.Bus.Send(m.ID, e); err != nil {
-			l.deps.Log.WithError(err).WithField("instance", m.ID).Debug("loads not sent")
+			l.deps.Log.WithError(err).WithField("instance", m.ID).Debug("cannot send load reports")
 		}
 	}
 }
 
-// homeTargets returns the targets of the failure domain that this instance is home to.
+// homeTargets returns the targets in this failure domain whose home is this
+// instance.
 func (l *loadPoller) homeTargets(t *bbroute.Table) []bbticket.Target {
 	view := l.deps.Board.View.Load()
 	domain := bbunit.DomainID(l.deps.Opts.Self.Domain)
@@ -189,7 +191,7 @@
 	return out
 }
 
-// newLoadReport turns a message into a report.
+// newLoadReport converts a message to a report.
 func newLoadReport(m *bbwire.Load) bbroute.LoadReport {
 	return bbroute.LoadReport{
 		Running: int(m.Running), Waiting: int(m.Waiting), Slots: int(m.Slots),
--- a/bluebellport/src/load_test.go
+++ b/bluebellport/src/load_test.go
@@ -18,12 +18,12 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// proberFunc is a prober that is a function.
+// proberFunc is a loadProber backed by a function.
 type proberFunc func(bbticket.Target) (*bbwire.Load, error)
 
 func (f proberFunc) Load(_ context.Context, t bbticket.Target) (*bbwire.Load, error) { return f(t) }
 
-// recordingBus keeps what was sent to whom.
+// recordingBus keeps the last envelope sent to each instance.
 type recordingBus struct {
 	Bus
 	sent map[bbunit.InstanceID]*bbwire.Envelope
@@ -37,8 +37,9 @@
 	return nil
 }
 
-// TestLoadIsPolledByHomeAndSharedInDomain holds that each target is asked by one instance
-// of its own failure domain, which tells the others there and nobody else.
+// TestLoadIsPolledByHomeAndSharedInDomain checks that each target is polled by
+// exactly one instance of its failure domain, which shares the reports within
+// this domain only.
 func TestLoadIsPolledByHomeAndSharedInDomain(t *testing.T) {
 	is := is.New(t)
 	members := []bbmember.Member{{ID: "i1", Domain: "d1"}, {ID: "i2", Domain: "d1"}, {ID: "i3", Domain: "d2"}}
@@ -65,8 +66,9 @@
 	is.Equal(polls, map[bbunit.TargetID]int{"a": 1, "b": 1, "c": 1})
 }
 
-// TestMessagesAreBounded holds that neither loads nor rumors grow with what
-// there is to tell: at most 10 KB a second of loads, and 4 KB a message.
+// TestMessagesAreBounded checks that traffic does not grow with the number of
+// targets, crash records or limits: at most 10 KB of load reports a second, and
+// 4 KB per gossip message.
 func TestMessagesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var targets []bbticket.Target
@@ -80,7 +82,7 @@
 	interval := tr.router.poller.shareInterval()
 	size := proto.Size(&bbwire.Loads{Loads: loads})
 	is.True(float64(size)/interval.Seconds() < 10_000)
-	is.True(interval < 5*time.Second) // reports stay of use
+	is.True(interval < 5*time.Second) // reports are still recent enough to be useful
 	for i := range uint64(1000) {
 		tr.router.poison.merge(i+1, []bbunit.TargetID{"target-with-a-name-1", "target-with-a-name-2"}, tr.now)
 	}
@@ -90,11 +92,11 @@
 	}
 	g := &bbwire.Gossip{}
 	tr.router.Fill(g)
-	t.Logf("loads: %d bytes every %s; rumors: %d bytes a message", size, interval, proto.Size(g))
+	t.Logf("loads: %d bytes every %s; gossip: %d bytes a message", size, interval, proto.Size(g))
 	is.True(proto.Size(g) < 4096)
 }
 
-// TestLoadResponse is the contract of GET /load.
+// TestLoadResponse checks the contract of GET /load.
 func TestLoadResponse(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -132,15 +134,15 @@
 
 func TestLoadSampleTime(t *testing.T) {
 	is := is.New(t)
-	asked := time.UnixMilli(1_000_000)
-	is.Equal((&loadResponse{}).sampledAt(asked), int64(1_000_000))
-	is.Equal((&loadResponse{At: 999_500}).sampledAt(asked), int64(999_500)) // its lag shows
-	is.Equal((&loadResponse{At: 900_000}).sampledAt(asked), int64(1_000_000))
-	is.Equal((&loadResponse{At: 2_000_000}).sampledAt(asked), int64(2_000_000)) // dropped later
+	polledAt := time.UnixMilli(1_000_000)
+	is.Equal((&loadResponse{}).sampledAt(polledAt), int64(1_000_000))
+	is.Equal((&loadResponse{At: 999_500}).sampledAt(polledAt), int64(999_500)) // the sample's age is kept
+	is.Equal((&loadResponse{At: 900_000}).sampledAt(polledAt), int64(1_000_000))
+	is.Equal((&loadResponse{At: 2_000_000}).sampledAt(polledAt), int64(2_000_000)) // dropped later
 }
 
-// TestBadMessagesAreDropped holds that bad reports and gossip are counted and
-// change nothing else.
+// TestBadMessagesAreDropped checks that invalid load reports and gossip entries
+// are counted and change nothing else.
 func TestBadMessagesAreDropped(t *testing.T) {
 	is := is.New(t)
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
@@ -169,8 +171,8 @@
 	is.Equal(tr.pickN(1)["a"], 1)
 }
 
-// TestInstancesShareALimit lets two instances tell each other their usage: the
-// busy one gets nearly all, and together they stay at the limit.
+// TestInstancesShareALimit checks that two instances that gossip their usage
+// stay within the limit together, and that the busy one gets nearly all of it.
 func TestInstancesShareALimit(t *testing.T) {
 	is := is.New(t)
 	members := []bbmember.Member{{ID: "i1", Domain: "d1"}, {ID: "i2", Domain: "d1"}}
@@ -182,12 +184,12 @@
 		routers = append(routers, tr)
 	}
 	admitted := []int{0, 0}
-	for step := range 200 { // 20 s, 30 requests a second to i1 and 2 to i2, limit 10
+	for step := range 200 { // 20 s with 30 requests a second to i1 and 2 to i2; the limit is 10
 		for i, tr := range routers {
 			tr.now = tr.now.Add(100 * time.Millisecond)
 			for range []int{3, (step + 1) % 5 / 4}[i] {
-				if pass, err := tr.router.Admit(RouteRequest{Service: "s1", Account: "ten"}); err == nil {
-					pass.Done()
+				if admission, err := tr.router.Admit(RouteRequest{Service: "s1", Account: "ten"}); err == nil {
+					admission.Done()
 					if step >= 100 {
 						admitted[i]++
 					}
@@ -200,7 +202,7 @@
 		}
 	}
 	is.True(admitted[0] >= 80)
-	is.True(admitted[0]+admitted[1] <= 110) // 10 s at 10 a second
+	is.True(admitted[0]+admitted[1] <= 110) // in 10 s at 10 requests a second
 }
 
 func TestLeavingIsGossiped(t *testing.T) {
@@ -240,11 +242,11 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			pass, err := tr.router.Admit(RouteRequest{Service: "s1", Account: "many"})
+			admission, err := tr.router.Admit(RouteRequest{Service: "s1", Account: "many"})
 			if err != nil {
 				b.Fatal(err)
 			}
-			pass.Done()
+			admission.Done()
 		}
 	})
 }
--- a/bluebellport/src/openai_test.go
+++ b/bluebellport/src/openai_test.go
@@ -10,8 +10,8 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// A published client library shows why a request was refused, and that it has
-// not run.
+// TestClientLibraryReadsRefusals checks that the OpenAI Go client reads a
+// refusal's reason and outcome.
 func TestClientLibraryReadsRefusals(t *testing.T) {
 	is := is.New(t)
 	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
--- a/bluebellport/src/order.go
+++ b/bluebellport/src/order.go
@@ -18,13 +18,14 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Sentinel errors of orders to targets.
+// Sentinel errors of orders.
 const (
-	// ErrSuperseded means that a later order took the place of this one.
+	// ErrSuperseded means that a later order replaced this one.
 	ErrSuperseded = bbroute.ErrSuperseded
 	// ErrStaleFence means that the target has seen a higher fencing number.
 	ErrStaleFence = errors.ConstError("stale fencing number")
-	// ErrNotAcknowledged means that the target refused the order or could not be reached.
+	// ErrNotAcknowledged means that the target refused the order or could not be
+	// reached.
 	ErrNotAcknowledged = errors.ConstError("order not acknowledged")
 )
 
@@ -36,24 +37,27 @@
 }
 
 // orderSender sends one order to a target. It blocks up to the deadline and
-// returns nil once the target acknowledged, ErrFence or ErrOrder.
+// returns nil once the target acknowledged the order, or else ErrStaleFence or
+// ErrNotAcknowledged.
 type orderSender interface {
 	Send(t bbticket.Target, i bbroute.Intent, deadline time.Time) error
 }
 
-// Orders gives targets their orders: to load a model, an adapter or a version,
-// or to change their role. The last order to a target stands in the key-value
-// service, and that one is sent.
+// Orders sends orders to targets: to load a model, an adapter or a version, or
+// to change their role. The latest order for each target is stored in the
+// key-value service before it is sent, and is sent again until the target has
+// it.
 type Orders struct {
 	deps      Deps
 	sender    orderSender
 	sleep     func(ctx context.Context, d time.Duration) error
 	failed    metrics.Counter
-	resenders map[bbunit.TargetID]*bbroute.Resender // of the home's goroutine
+	resenders map[bbunit.TargetID]*bbroute.Resender // used by the background goroutine only
 }
 
-// NewOrders returns the orders of an instance, and a function that stops it.
-// The home of the orders in each failure domain sends again what must be.
+// NewOrders returns the orders of an instance, and a function that stops it. In
+// each failure domain, the home instance of the orders sends unfinished ones
+// again.
 func NewOrders(deps Deps) (*Orders, func()) {
 	o := newOrders(deps, &httpOrderSender{client: fasthttp.Client{MaxConnsPerHost: 2, MaxResponseBodySize: maxOrderResponseBytes}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,9 +82,10 @@
 }
 
 // Order gives the target an order and returns its fencing number. It blocks
-// until the target acknowledged it, a later order took its place
-// (ErrSuperseded), the target saw a higher number (ErrFence) or ctx ended; the
-// order then stands, and is sent on.
+// until the target acknowledged the order, a later order replaced it
+// (ErrSuperseded), the target has seen a higher fencing number (ErrStaleFence)
+// or ctx ended. In the last case the order, if stored, stays in force and is
+// sent again in the background.
 func (o *Orders) Order(ctx context.Context, t bbticket.Target, action, model string) (bbunit.Fence, error) {
 	order := bbroute.NewOrder(action, model, string(o.deps.Opts.Self.ID())+"/"+uuid.NewString())
 	for ctx.Err() == nil {
@@ -97,7 +102,8 @@
 	return order.Intent.Fence, errors.Annotate(ErrNotAcknowledged, ctx.Err().Error())
 }
 
-// runStep does the order's next step and tells whether it is over.
+// runStep does the order's next step and tells whether the order is finished.
+// The stored order was read at readAt and has revision rev.
 func (o *Orders) runStep(ctx context.Context, t bbticket.Target, order *bbroute.Order, stored bbroute.Intent, rev bbstore.Revision, readAt time.Time) (bool, error) {
 	switch order.OnRead(o.deps.Now(), stored, t.Fence, orderCallTimeout) {
 	case bbroute.OrderStepWrite:
@@ -130,7 +136,8 @@
 	return false, nil
 }
 
-// ignoreUncertainWrite passes over the errors after which a reading tells what stands.
+// ignoreUncertainWrite returns nil for a conflict and for a write of unknown
+// outcome: the next read shows which order is stored.
 func ignoreUncertainWrite(err error) error {
 	if errors.Is(err, bbstore.ErrConflict) || errors.Is(err, bbstore.ErrUnknown) {
 		return nil
@@ -138,8 +145,8 @@
 	return errors.Trace(err)
 }
 
-// resendAll sends last orders again where needed, if this instance is home to the
-// orders of its failure domain. It reads all of them with one call.
+// resendAll sends stored orders again where needed, if this instance is the home
+// of its failure domain's orders. It reads all orders with one call.
 func (o *Orders) resendAll(ctx context.Context) {
 	home, ok := o.deps.Board.View.Load().Home("orders", bbunit.DomainID(o.deps.Opts.Self.Domain))
 	if !ok || home.ID != o.deps.Opts.Self.ID() {
@@ -148,7 +155,7 @@
 	readAt := o.deps.Now()
 	entries, _, err := o.deps.Store.List(ctx, orderKeyPrefix)
 	if err != nil {
-		o.deps.Log.WithError(err).Warn("orders not read")
+		o.deps.Log.WithError(err).Warn("cannot read stored orders; none are sent again in this round")
 		return
 	}
 	state := o.deps.Board.State.Load()
@@ -162,8 +169,9 @@
 	}
 }
 
-// resendIfDue sends the order that was read at began, and marks it done. What could
-// not be sent in the time of a call is left for the next round.
+// resendIfDue sends the stored order e, which was read at readAt, and marks it
+// done. If orderCallTimeout has passed since then, the order is left for the
+// next round.
 func (o *Orders) resendIfDue(ctx context.Context, t bbticket.Target, e bbstore.Entry, readAt time.Time) {
 	var stored bbroute.Intent
 	if err := json.Unmarshal(e.Value, &stored); err != nil {
@@ -186,20 +194,22 @@
 	}
 	if !stored.Done {
 		stored.Done = true
-		_ = o.writeIntent(ctx, t.ID, stored, e.Rev) // a conflict means that a later order counts
+		_ = o.writeIntent(ctx, t.ID, stored, e.Rev) // a conflict means that a later order was stored
 	}
 }
 
-// readIntent returns the last order to the target, an empty one when there is none.
+// readIntent returns the latest order for the target, or an empty one if there
+// is none.
 func (o *Orders) readIntent(ctx context.Context, id bbunit.TargetID) (bbroute.Intent, bbstore.Revision, error) {
 	var intent bbroute.Intent
 	entry, err := o.deps.Store.Get(ctx, orderKeyPrefix+string(id))
 	if err != nil || entry.Rev == 0 {
 		return intent, 0, errors.Trace(err)
 	}
-	return intent, entry.Rev, errors.Annotatef(json.Unmarshal(entry.Value, &intent), "order to %s", id)
+	return intent, entry.Rev, errors.Annotatef(json.Unmarshal(entry.Value, &intent), "stored order for target %q", id)
 }
 
+// writeIntent stores the order if the stored one still has revision prev.
 func (o *Orders) writeIntent(ctx context.Context, id bbunit.TargetID, intent bbroute.Intent, prev bbstore.Revision) error {
 	b, err := json.Marshal(intent)
 	if err != nil {
@@ -209,12 +219,12 @@
 	return errors.Trace(err)
 }
 
-// httpOrderSender sends orders by POST /v1/orders.
+// httpOrderSender sends orders with POST /v1/orders.
 type httpOrderSender struct {
 	client fasthttp.Client
 }
 
-// Send posts the order and waits for the answer.
+// Send posts the order and waits for the response.
 func (h *httpOrderSender) Send(t bbticket.Target, intent bbroute.Intent, deadline time.Time) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -232,14 +242,14 @@
 	}
 	switch code := resp.StatusCode(); {
 	case code == fasthttp.StatusConflict:
-		return errors.Annotatef(ErrStaleFence, "%d at %s", intent.Fence, t.ID)
+		return errors.Annotatef(ErrStaleFence, "order %d to target %q", intent.Fence, t.ID)
 	case code < 200 || code > 299:
-		return errors.Annotatef(ErrNotAcknowledged, "status %d", code)
+		return errors.Annotatef(ErrNotAcknowledged, "target answered with status %d", code)
 	}
 	return nil
 }
 
-// sleepFor waits for the time or until ctx ends.
+// sleepFor waits for the duration d or until ctx ends.
 func sleepFor(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/bluebellport/src/order_test.go
+++ b/bluebellport/src/order_test.go
@@ -17,9 +17,9 @@
 	"bluebellport.example/shared/bbticket"
 )
 
-// singleKeyStore is a key-value service of one key. Fault, if set, gets each write
-// before it takes effect and may end it with an error; it then tells whether the
-// write takes effect.
+// singleKeyStore is a key-value store with one key. onWrite, if set, is called
+// for each write with its number; it returns whether the write takes effect, and
+// its error.
 type singleKeyStore struct {
 	bbstore.Store
 	entry   bbstore.Entry
@@ -51,12 +51,13 @@
 	return s.entry.Rev, err
 }
 
-// senderFunc is an orderSender that is a function.
+// senderFunc is an orderSender backed by a function.
 type senderFunc func(i bbroute.Intent) error
 
 func (f senderFunc) Send(_ bbticket.Target, i bbroute.Intent, _ time.Time) error { return f(i) }
 
-// newTestOrders returns orders whose waits pass at once and are summed up.
+// newTestOrders returns orders whose waits return at once, and the sum of these
+// waits.
 func newTestOrders(t *testing.T, s *singleKeyStore, f senderFunc) (*Orders, *time.Duration) {
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
 	tr.deps.Store = s
@@ -81,17 +82,17 @@
 	}
 	existing := bbstore.Entry{Key: orderKeyPrefix + "a", Rev: 3, Value: []byte(`{"fence":4,"by":"other","done":true}`)}
 	for _, c := range []struct {
-		name   string
-		store  singleKeyStore
-		checks bool
-		send   func(n int) error
-		err    error
-		fence  int
-		sent   int
-		waited time.Duration
+		name        string
+		store       singleKeyStore
+		checksFence bool
+		send        func(n int) error
+		err         error
+		fence       int
+		sent        int
+		waited      time.Duration
 	}{
 		{name: "first order", fence: 1, sent: 1},
-		{name: "over another", store: singleKeyStore{entry: existing}, checks: true, fence: 5, sent: 1},
+		{name: "over another", store: singleKeyStore{entry: existing}, checksFence: true, fence: 5, sent: 1},
 		{name: "over another, unchecked", store: singleKeyStore{entry: existing}, fence: 5, sent: 1, waited: orderCallTimeout},
 		{name: "answer lost, took effect", store: singleKeyStore{onWrite: unknown(true)}, fence: 1, sent: 1},
 		{name: "answer lost, no effect", store: singleKeyStore{onWrite: unknown(false)}, fence: 1, sent: 1},
@@ -114,7 +115,7 @@
 				}
 				return nil
 			})
-			fence, err := o.Order(context.Background(), bbticket.Target{ID: "a", Fence: c.checks}, "load", "m")
+			fence, err := o.Order(context.Background(), bbticket.Target{ID: "a", Fence: c.checksFence}, "load", "m")
 			is.True(errors.Is(err, c.err) || err == c.err)
 			is.Equal([]int{int(fence), sent}, []int{c.fence, c.sent})
 			is.Equal(*waited, c.waited)
@@ -134,7 +135,7 @@
 	})
 	_, err := o.Order(context.Background(), bbticket.Target{ID: "a"}, "load", "m")
 	is.True(errors.Is(err, ErrSuperseded))
-	is.True(strings.Contains(string(s.entry.Value), `"later"`)) // it marks nothing
+	is.True(strings.Contains(string(s.entry.Value), `"later"`)) // a superseded order is not marked as done
 }
 
 func TestResend(t *testing.T) {
@@ -145,17 +146,18 @@
 		got = append(got, i)
 		return nil
 	})
-	o.resendAll(context.Background()) // calls of the order before may be under way
+	o.resendAll(context.Background()) // calls of an earlier order may still be running
 	is.Equal(len(got), 0)
 	_ = o.sleep(context.Background(), orderResendInterval)
-	o.resendAll(context.Background()) // its orderer died before it was done
-	o.resendAll(context.Background()) // the target does not check, so ever again
+	o.resendAll(context.Background()) // the sender stopped before the order was done
+	o.resendAll(context.Background()) // the target checks no fencing numbers, so the order is repeated
 	is.Equal(len(got), 2)
 	is.Equal(got[0].Model, "m")
 	is.True(got[1].Done)
 }
 
-// TestOrderRequest is the contract of POST /v1/orders.
+// TestOrderRequest checks the contract of POST /v1/orders: the request, and the
+// error for each status.
 func TestOrderRequest(t *testing.T) {
 	for status, want := range map[int]error{200: nil, 204: nil, 409: ErrStaleFence, 400: ErrNotAcknowledged, 503: ErrNotAcknowledged} {
 		is := is.New(t)
--- a/bluebellport/src/plain_client.go
+++ b/bluebellport/src/plain_client.go
@@ -11,16 +11,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// plainClient speaks HTTP to plain services.
+// plainClient sends requests to plain HTTP services.
 type plainClient struct {
 	conns          *targetConns
-	owner          string
+	owner          string // this run of the instance; part of the attempts' ids
 	silenceTimeout time.Duration
-	lateWindow     time.Duration
+	lateWindow     time.Duration // how long after the deadline a response is still taken
 }
 
-// unforwardedHeaders are fields of one connection, which are never passed on, and
-// fields that the instance sets itself.
+// unforwardedHeaders are hop-by-hop header fields, and fields that the instance
+// sets itself.
 var unforwardedHeaders = map[string]bool{
 	"authorization": true, "connection": true, "content-length": true, "content-type": true,
 	"host": true, "idempotency-key": true, "keep-alive": true, "proxy-authenticate": true,
@@ -29,12 +29,14 @@
 	"x-request-priority": true, "traceparent": true, "tracestate": true,
 }
 
-// isForwardedHeader tells whether a header field goes to the other side.
+// isForwardedHeader tells whether a header field is passed on between caller and
+// target.
 func isForwardedHeader(name string) bool { return !unforwardedHeaders[strings.ToLower(name)] }
 
-// run passes the request on whole and relays the whole answer. A request that
-// may not be repeated goes over a connection of its own, so that no forgotten
-// one can swallow it; an answer that comes after its deadline goes to late.
+// run sends the request and relays the response, both as a whole. A request that
+// is not idempotent gets a connection of its own, since a pooled connection that
+// the network has silently dropped would swallow it. A response to it that
+// arrives after the deadline, but within lateWindow, goes to onLate.
 func (pc *plainClient) run(ctx context.Context, req *clientRequest, attempt *Attempt, n int, fresh bool, answer *Answer, onLate func(*fasthttp.Response)) AttemptResult {
 	started := time.Now()
 	fresh = fresh || !req.idempotent
@@ -63,8 +65,8 @@
 	return result
 }
 
-// silenceLimit is how long a plain service may stay silent. A request that cannot
-// be sent again waits up to its deadline.
+// silenceLimit returns how long the service may take to answer. A request that
+// cannot be sent again may take until its deadline.
 func (pc *plainClient) silenceLimit(req *clientRequest) time.Duration {
 	left := time.Until(req.deadline)
 	if req.idempotent {
@@ -73,6 +75,7 @@
 	return left
 }
 
+// newRequest builds the request of attempt n.
 func (pc *plainClient) newRequest(req *clientRequest, attempt *Attempt, n int) *fasthttp.Request {
 	httpReq := fasthttp.AcquireRequest()
 	httpReq.Header.SetMethod(req.method)
@@ -88,14 +91,14 @@
 	return httpReq
 }
 
-// relay gives the caller the target's answer. A fault of the target is an
-// error only where another target may be tried.
+// relay passes the target's response on to the caller. Server errors and
+// refusals are returned as errors if another target may be tried.
 func (pc *plainClient) relay(ctx context.Context, resp *fasthttp.Response, req *clientRequest, answer *Answer) error {
 	if err := targetRefusal(resp); err != nil && (req.idempotent || errors.Is(err, ErrLeaving)) {
 		return err
 	}
 	if req.idempotent && resp.StatusCode() >= http.StatusInternalServerError {
-		return errors.WithType(errors.Errorf("target answered %d", resp.StatusCode()), errTargetFailed)
+		return errors.WithType(errors.Errorf("target answered with status %d", resp.StatusCode()), errTargetFailed)
 	}
 	b, err := readBody(resp)
 	if err != nil {
@@ -111,8 +114,8 @@
 	return answer.Write(ctx, b)
 }
 
-// reachable tells whether the address takes a connection. A service that closes
-// one without an answer has not crashed by that alone.
+// reachable tells whether the address accepts connections. A service that closes
+// a connection without a response has not necessarily crashed.
 func reachable(address string) bool {
 	c, err := dialTarget(address)
 	if err != nil {
--- a/bluebellport/src/poison_tracker.go
+++ b/bluebellport/src/poison_tracker.go
@@ -10,23 +10,24 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// poisonTracker remembers which requests crashed targets. Reading takes no lock.
+// poisonTracker records which requests crashed targets. Readers take no lock.
 type poisonTracker struct {
 	policy    bbroute.PoisonPolicy
 	table     atomic.Pointer[bbroute.CrashTable]
 	knownGood bbroute.KnownGood
 
-	mu     sync.Mutex // guards writing the table, and cursor
+	mu     sync.Mutex // guards cursor and replacing the table
 	cursor int
 }
 
-func newPoisonTracker(rule bbroute.PoisonPolicy) *poisonTracker {
-	p := &poisonTracker{policy: rule}
+func newPoisonTracker(policy bbroute.PoisonPolicy) *poisonTracker {
+	p := &poisonTracker{policy: policy}
 	p.table.Store(&bbroute.CrashTable{})
 	return p
 }
 
-// crashCount returns how many targets crashed with the fingerprint in flight.
+// crashCount returns the number of targets that crashed while a request with
+// this fingerprint was in flight.
 func (p *poisonTracker) crashCount(fingerprint uint64) int {
 	if fingerprint == 0 {
 		return 0
@@ -34,19 +35,20 @@
 	return p.table.Load().CrashCount(fingerprint)
 }
 
-// isPoisoned tells that the request is refused for good.
+// isPoisoned tells whether requests with this fingerprint are refused.
 func (p *poisonTracker) isPoisoned(fingerprint uint64) bool {
 	return p.crashCount(fingerprint) >= p.policy.CrashThreshold
 }
 
-// recordCrash notes that the target crashed with the request in flight, and tells
-// whether that was news. A request that has run whole not long ago is not to
-// blame.
+// recordCrash records that the target crashed while the request was in flight,
+// and tells whether that was new. A request that completed not long ago is not
+// blamed.
 func (p *poisonTracker) recordCrash(fingerprint uint64, target bbunit.TargetID, now time.Time) bool {
 	return fingerprint != 0 && !p.knownGood.Contains(fingerprint) && p.merge(fingerprint, []bbunit.TargetID{target}, now)
 }
 
-// merge adds targets to the fingerprint's and tells whether that was news.
+// merge adds targets to the record of the fingerprint and tells whether any was
+// new.
 func (p *poisonTracker) merge(fingerprint uint64, targets []bbunit.TargetID, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,7 +59,7 @@
 	return changed
 }
 
-// tick forgets old suspects.
+// tick expires old records.
 func (p *poisonTracker) tick(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +68,7 @@
 	}
 }
 
-// fillGossip adds the new marks, and in turn a few of the older ones.
+// fillGossip adds the new records to the message, and a few older ones in turn.
 func (p *poisonTracker) fillGossip(g *bbwire.Gossip, now time.Time) {
 	records := p.table.Load().Records()
 	n := 0
@@ -85,7 +87,7 @@
 	}
 }
 
-// newPoisonMessage is a mark as a message.
+// newPoisonMessage converts a record to a message.
 func newPoisonMessage(record *bbroute.CrashRecord) *bbwire.Poison {
 	names := make([]string, len(record.Targets))
 	for i, t := range record.Targets {
@@ -94,7 +96,8 @@
 	return &bbwire.Poison{Print: record.Fingerprint, Crashes: uint32(len(names)), Targets: names}
 }
 
-// message returns the fingerprint's mark as a message, nil when there is none.
+// message returns the record of the fingerprint as a message, or nil if there is
+// none.
 func (p *poisonTracker) message(fingerprint uint64) *bbwire.Poison {
 	for _, record := range p.table.Load().Records() {
 		if record.Fingerprint == fingerprint {
@@ -104,8 +107,8 @@
 	return nil
 }
 
-// mergeGossip joins another instance's marks. It returns the fingerprints of which it
-// learned something, and how many marks it dropped as bad.
+// mergeGossip merges another instance's records. It returns the fingerprints
+// with new targets, and the number of malformed records dropped.
 func (p *poisonTracker) mergeGossip(poisons []*bbwire.Poison, now time.Time) (changed []uint64, dropped int) {
 	for _, message := range poisons {
 		if message.GetPrint() == 0 || len(message.GetTargets()) == 0 || len(message.Targets) > maxTargetsPerPoison {
--- a/bluebellport/src/refusal.go
+++ b/bluebellport/src/refusal.go
@@ -10,7 +10,7 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Sentinel errors of the path of a request.
+// Sentinel errors of a request.
 const (
 	errUnknownKey       = errors.ConstError("unknown API key")
 	errForbidden        = errors.ConstError("service not allowed for this account")
@@ -26,18 +26,18 @@
 	errTargetSilent     = errors.ConstError("no answer seen from the target")
 )
 
-// refusalResponse is a truthful end of a request that brings no answer: RFC 9457
-// problem details with the outcome.
+// refusalResponse is the response to a request that got no answer: RFC 9457
+// problem details, extended by the outcome.
 type refusalResponse struct {
 	Status  int
 	Title   string
 	Detail  string
 	Outcome bbunit.Outcome
-	// RetryAfter is when coming back can help; 0 when it cannot.
+	// RetryAfter is when a retry may succeed; 0 if a retry is pointless.
 	RetryAfter time.Duration
 }
 
-// problemDetails is the JSON form of a refusal.
+// problemDetails is the JSON form of a refusalResponse.
 type problemDetails struct {
 	Type    string         `json:"type"`
 	Title   string         `json:"title"`
@@ -48,21 +48,21 @@
 	Error   problemError   `json:"error"`
 }
 
-// problemError says the same in the form that client libraries of the chat
-// interface read.
+// problemError repeats the problem in the form that client libraries of the chat
+// interface expect.
 type problemError struct {
 	Message string         `json:"message"`
 	Type    string         `json:"type"`
 	Code    bbunit.Outcome `json:"code"`
 }
 
-// Types of errors that client libraries tell apart.
+// Error types that client libraries distinguish.
 const (
 	errorTypeRequest = "invalid_request_error"
 	errorTypeServer  = "server_error"
 )
 
-// clientError returns the refusal as client libraries read it.
+// clientError returns the refusal in the form that client libraries expect.
 func (r refusalResponse) clientError() problemError {
 	problem := problemError{Message: r.Title, Type: errorTypeRequest, Code: r.Outcome}
 	if r.Detail != "" {
@@ -74,7 +74,7 @@
 	return problem
 }
 
-// body returns the problem details for the request id.
+// body returns the problem details as JSON.
 func (r refusalResponse) body(id bbunit.RequestID) []byte {
 	b, err := json.Marshal(problemDetails{
 		Type:    "about:blank",
@@ -91,7 +91,8 @@
 	return b
 }
 
-// errorStatuses maps sentinel errors to the status and to whether coming back helps.
+// errorStatuses maps sentinel errors to the HTTP status, and to whether a retry
+// may succeed. The first match counts.
 var errorStatuses = []struct {
 	err    error
 	status int
@@ -126,7 +127,7 @@
 	{ErrCallersLeft, http.StatusGatewayTimeout, false},
 }
 
-// newRefusalResponse turns an error into what the caller is told.
+// newRefusalResponse returns the response for an error and an outcome.
 func newRefusalResponse(err error, outcome bbunit.Outcome) refusalResponse {
 	resp := refusalResponse{Status: http.StatusInternalServerError, Title: "internal error", Detail: err.Error(), Outcome: outcome}
 	for _, status := range errorStatuses {
@@ -146,7 +147,7 @@
 	return resp
 }
 
-// retryAfterSeconds is the value of Retry-After: whole seconds, rounded up.
+// retryAfterSeconds returns the value of Retry-After: whole seconds, rounded up.
 func retryAfterSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/bluebellport/src/retry.go
+++ b/bluebellport/src/retry.go
@@ -4,10 +4,10 @@
 	"bluebellport.example/shared/bbroute"
 )
 
-// RetryState is what a request has tried so far.
+// RetryState records the attempts that a request has made.
 type RetryState = bbroute.RetryState
 
-// Decision is what follows the end of an attempt.
+// Decision says how a request continues after an attempt.
 type Decision = bbroute.Decision
 
 // Decisions after an attempt.
@@ -17,8 +17,9 @@
 	DecisionRetryOther = bbroute.DecisionRetryOther
 )
 
-// Retry decides what follows the end of an attempt and moves the state on. A
-// refusal of a leaving target costs nothing of the service's retry budget.
+// Retry decides how the request continues after an attempt, and updates state. A
+// retry is taken from the service's retry budget, unless the target refused
+// because it is leaving.
 func (r *Router) Retry(state *RetryState, req RouteRequest, result AttemptResult) Decision {
 	if !state.Reconnected {
 		state.Attempts++
@@ -42,7 +43,8 @@
 	return decision
 }
 
-// routeResult returns what the core needs of an attempt's end.
+// routeResult returns the part of an attempt's result on which routing decisions
+// depend.
 func routeResult(result *AttemptResult) bbroute.AttemptResult {
 	return bbroute.AttemptResult{Err: result.Err, Sent: result.Sent, Crashed: result.Crashed, ConnReused: result.ConnReused}
 }
--- a/bluebellport/src/route_constants.go
+++ b/bluebellport/src/route_constants.go
@@ -3,60 +3,77 @@
 import "time"
 
 const (
-	// busyBackoff is how long a target that refused for lack of room is passed over.
+	// busyBackoff is how long a target that refused for lack of capacity is
+	// avoided.
 	busyBackoff = 250 * time.Millisecond
-	// routeTickInterval is how often windows and shares are set anew.
+	// routeTickInterval is how often admission windows and shares of limits are
+	// updated.
 	routeTickInterval = 100 * time.Millisecond
 
-	// maxConcurrentLoadPolls is how many targets are asked for their load at a time.
+	// maxConcurrentLoadPolls is the number of targets asked for their load at a
+	// time.
 	maxConcurrentLoadPolls = 16
-	// maxLoadLag is the longest lag that a target's report is believed to have.
+	// maxLoadLag is the maximum age of a report at which the target's own time
+	// is trusted.
 	maxLoadLag = 3 * time.Second
-	// maxLoadResponseBytes is the largest load report, in bytes.
+	// maxLoadResponseBytes is the maximum size of a target's load report.
 	maxLoadResponseBytes = 4096
-	// loadReportBytes is the size of a report in a message.
+	// loadReportBytes is the estimated size of a report in a message between
+	// instances.
 	loadReportBytes = 40
-	// maxLoadBytesPerSecond is the most that an instance is told of loads, in bytes a second.
+	// maxLoadBytesPerSecond limits the load reports that an instance receives.
 	maxLoadBytesPerSecond = 3 << 10
-	// maxLoadsPerMessage is the most reports taken from one message.
+	// maxLoadsPerMessage is the maximum number of reports accepted from one
+	// message.
 	maxLoadsPerMessage = 4096
 
-	// suspectRetention is how long a request that was in a target's crash is watched.
+	// suspectRetention is how long a request that was in flight during a crash
+	// stays a suspect.
 	suspectRetention = 10 * time.Minute
-	// maxPoisonRecords is the most fingerprints remembered.
+	// maxPoisonRecords is the maximum number of fingerprints with crash records.
 	maxPoisonRecords = 4096
-	// maxNewPoisonsPerMessage is the most new marks told in one message.
+	// maxNewPoisonsPerMessage is the maximum number of new crash records in a
+	// message.
 	maxNewPoisonsPerMessage = 32
-	// maxOldPoisonsPerMessage is how many older marks are told in one message, in turn.
+	// maxOldPoisonsPerMessage is the number of older crash records repeated in
+	// each message, in turn.
 	maxOldPoisonsPerMessage = 4
-	// poisonNewFor is how long a mark counts as new.
+	// poisonNewFor is how long a crash record counts as new.
 	poisonNewFor = 30 * time.Second
-	// maxTargetsPerPoison is the most targets taken for one mark.
+	// maxTargetsPerPoison is the maximum number of targets accepted in one crash
+	// record.
 	maxTargetsPerPoison = 64
-	// maxLeavingPerMessage is the most leaving targets told or taken in one message.
+	// maxLeavingPerMessage is the maximum number of leaving targets sent or
+	// accepted in a message.
 	maxLeavingPerMessage = 128
 
 	// usageRetention is how long another instance's usage counts.
 	usageRetention = 60 * time.Second
-	// maxUsagesPerMessage is the most limits told in one message.
+	// maxUsagesPerMessage is the maximum number of limits whose usage is sent in
+	// a message.
 	maxUsagesPerMessage = 16
-	// maxUsageRate is the largest believable rate, in requests a second.
+	// maxUsageRate is the highest rate accepted from another instance, in
+	// requests per second.
 	maxUsageRate = 1e6
-	// minUsageRate is the rate below which usage is not worth telling.
+	// minUsageRate is the rate, in requests per second, below which usage is not
+	// sent.
 	minUsageRate = 0.01
-	// maxUsageInFlight is the largest believable number of requests in flight.
+	// maxUsageInFlight is the highest number of requests in flight accepted from
+	// another instance.
 	maxUsageInFlight = 1 << 20
 
-	// orderKeyPrefix is where the key-value service keeps the last order to each
-	// target.
+	// orderKeyPrefix is the key prefix of the latest order for each target in
+	// the key-value service.
 	orderKeyPrefix = "/bb/fence/"
-	// orderCallTimeout is the longest time of one call with an order, from before the
-	// intent was read.
+	// orderCallTimeout is the maximum duration of a call that sends an order,
+	// counted from before the order was read.
 	orderCallTimeout = 10 * time.Second
-	// orderRetryDelay is how long an orderer waits after a call that failed.
+	// orderRetryDelay is the delay before an order whose call failed is sent
+	// again.
 	orderRetryDelay = 500 * time.Millisecond
-	// orderResendInterval is how often last orders are sent again where needed.
+	// orderResendInterval is how often the home instance checks for orders to
+	// send again.
 	orderResendInterval = 30 * time.Second
-	// maxOrderResponseBytes is the largest answer to an order, in bytes.
+	// maxOrderResponseBytes is the maximum size of a response to an order.
 	maxOrderResponseBytes = 64 << 10
 )
--- a/bluebellport/src/router.go
+++ b/bluebellport/src/router.go
@@ -16,11 +16,11 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// RouteRequest is what a request asks of the router.
+// RouteRequest describes a request to the router.
 type RouteRequest = bbroute.Request
 
-// Refusal is the error of a request that is not let through; errors.As finds
-// its RetryAfter.
+// Refusal is the error of a request that the router does not admit; errors.As
+// finds its RetryAfter.
 type Refusal = bbroute.Refusal
 
 // Sentinel errors of the router.
@@ -35,21 +35,22 @@
 	ErrBusy      = bbroute.ErrBusy
 )
 
-// Router lets requests in and chooses their targets. Pick, Retry and the ends of
-// requests take no lock, nor does Admit unless the request must wait for a place.
+// Router admits requests and chooses their targets. Pick and Retry take no lock,
+// nor does Attempt.Done unless the target crashed. Admit and Admission.Done take
+// one only if requests queue for a slot.
 type Router struct {
 	deps        Deps
 	pickPolicy  bbroute.PickPolicy
 	retryPolicy bbroute.RetryPolicy
 	table       atomic.Pointer[bbroute.Table]
-	building    atomic.Bool
+	building    atomic.Bool // a caller is building the next table
 	poison      *poisonTracker
 	limits      *sharedLimits
 	poller      *loadPoller
 	routerMetrics
 }
 
-// routerMetrics are what the router counts.
+// routerMetrics holds the router's counters.
 type routerMetrics struct {
 	picks, failedAttempts, openedCircuits, retries, exhaustedRetries metrics.Counter
 	refused, droppedMessages, queued                                 metrics.Counter
@@ -64,7 +65,7 @@
 	}
 }
 
-// NewRouter returns a router over the board's state, and a function that stops
+// NewRouter returns a router for the board's state, and a function that stops
 // it.
 func NewRouter(deps Deps) (*Router, func()) {
 	r := newRouter(deps, newHTTPLoadProber(deps.Now))
@@ -80,7 +81,7 @@
 	}
 }
 
-// newRouter returns a router that does nothing on its own.
+// newRouter returns a router without background goroutines.
 func newRouter(deps Deps, prober loadProber) *Router {
 	r := &Router{
 		deps:          deps,
@@ -109,7 +110,8 @@
 	}
 }
 
-// tick sets windows and shares anew and forgets what is old.
+// tick updates the admission windows and this instance's shares of the limits,
+// and expires old entries.
 func (r *Router) tick() {
 	now, table := r.deps.Now(), r.currentTable()
 	r.limits.tick(table, now)
@@ -120,7 +122,8 @@
 	}
 }
 
-// observeLoads takes load reports. What is bad or unknown is counted and dropped.
+// observeLoads applies load reports. Invalid reports and reports on unknown
+// targets are counted and dropped.
 func (r *Router) observeLoads(loads []*bbwire.Load) {
 	now, table := r.deps.Now(), r.currentTable()
 	for i, m := range loads {
@@ -140,7 +143,7 @@
 	}
 }
 
-// newAttempt counts the request at the target until Done.
+// newAttempt counts the request as in flight at the target until Done is called.
 func (r *Router) newAttempt(g *bbroute.Group, candidate *bbroute.Candidate, req *RouteRequest, suspect bool) *Attempt {
 	work, fingerprint := g.ExpectedWork(req), req.Fingerprint
 	t := candidate.State
@@ -155,7 +158,8 @@
 	}}
 }
 
-// recordAttempt draws the conclusions from the end of an attempt.
+// recordAttempt updates the target's circuit, the retry budget and the crash
+// records after an attempt.
 func (r *Router) recordAttempt(g *bbroute.Group, t *bbroute.TargetState, fingerprint uint64, result *AttemptResult) {
 	now, routeRes := r.deps.Now(), routeResult(result)
 	switch {
@@ -182,8 +186,9 @@
 	}
 }
 
-// currentTable returns the table of the board's state. One caller builds a new one;
-// the others use the old one meanwhile.
+// currentTable returns the routing table for the board's state. After a change
+// of state one caller builds the new table; the others get the old one
+// meanwhile.
 func (r *Router) currentTable() *bbroute.Table {
 	t := r.table.Load()
 	if t.State == r.deps.Board.State.Load() || !r.building.CompareAndSwap(false, true) {
@@ -196,8 +201,8 @@
 	return t
 }
 
-// group returns the service's group. When the table at hand does not know the
-// service, it waits for the one that is being built.
+// group returns the service's group. If the old table does not contain the
+// service, group waits for the table that another caller is building.
 func (r *Router) group(id bbunit.ServiceID) (*bbroute.Group, bool) {
 	for {
 		t := r.currentTable()
--- a/bluebellport/src/router_test.go
+++ b/bluebellport/src/router_test.go
@@ -19,20 +19,23 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// testRouter is a router over a state that the test sets.
+// testRouter is a router without background goroutines, with a state and a time
+// that the test sets.
 type testRouter struct {
 	router *Router
 	deps   Deps
 	now    time.Time
 }
 
+// discardLogger returns a logger that writes nothing.
 func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// newTestRouter returns a router in failure domain d1 with default settings.
+// newTestRouter returns a router in failure domain d1 with default settings and
+// one service, s1.
 func newTestRouter(t testing.TB, targets ...bbticket.Target) *testRouter {
 	t.Helper()
 	tr := &testRouter{now: time.Unix(1000, 0)}
@@ -55,7 +58,8 @@
 	return tr
 }
 
-// setTargets puts service s1 with the targets in force.
+// setTargets puts a state with number n in force, in which service s1 has the
+// targets.
 func (tr *testRouter) setTargets(n bbunit.TicketNumber, targets ...bbticket.Target) {
 	s := &bbticket.State{
 		Number:   n,
@@ -75,7 +79,8 @@
 	tr.deps.Board.State.Store(s)
 }
 
-// pickN picks n times with all attempts left open, and counts the targets.
+// pickN picks n times, leaves all attempts open, and returns the number of picks
+// of each target.
 func (tr *testRouter) pickN(n int) map[bbunit.TargetID]int {
 	picks := map[bbunit.TargetID]int{}
 	for range n {
@@ -97,24 +102,24 @@
 func TestPickExcludes(t *testing.T) {
 	failure := errors.New("boom")
 	for _, c := range []struct {
-		name  string
-		decl  bbticket.Target
-		ends  []AttemptResult // of attempts at a
-		tried []bbunit.TargetID
+		name    string
+		target  bbticket.Target
+		results []AttemptResult // of attempts at a
+		tried   []bbunit.TargetID
 	}{
-		{name: "a leaving target", decl: bbticket.Target{Leaving: true}},
-		{name: "a target that refused as leaving", ends: []AttemptResult{{Err: ErrLeaving}}},
-		{name: "an open circuit", ends: []AttemptResult{{Err: failure}, {Err: failure}, {Err: failure}}},
+		{name: "a leaving target", target: bbticket.Target{Leaving: true}},
+		{name: "a target that refused as leaving", results: []AttemptResult{{Err: ErrLeaving}}},
+		{name: "an open circuit", results: []AttemptResult{{Err: failure}, {Err: failure}, {Err: failure}}},
 		{name: "a tried target", tried: []bbunit.TargetID{"a"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			c.decl.ID, c.decl.Domain, c.decl.Slots = "a", "d1", 8
-			tr := newTestRouter(t, c.decl, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
-			for _, end := range c.ends {
+			c.target.ID, c.target.Domain, c.target.Slots = "a", "d1", 8
+			tr := newTestRouter(t, c.target, bbticket.Target{ID: "b", Domain: "d1", Slots: 8})
+			for _, result := range c.results {
 				a, err := tr.router.Pick(RouteRequest{Service: "s1"}, []bbunit.TargetID{"b"})
 				is.NoErr(err)
-				a.Done(end)
+				a.Done(result)
 			}
 			for range 20 {
 				a, err := tr.router.Pick(RouteRequest{Service: "s1"}, c.tried)
@@ -167,16 +172,17 @@
 	is := is.New(t)
 	a := bbticket.Target{ID: "a", Domain: "d1"}
 	tr := newTestRouter(t, a)
-	at, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil)
+	attempt, err := tr.router.Pick(RouteRequest{Service: "s1"}, nil)
 	is.NoErr(err)
-	at.Done(AttemptResult{Err: ErrLeaving})
+	attempt.Done(AttemptResult{Err: ErrLeaving})
 	is.Equal(tr.pickN(1)["a"], 0)
 	tr.setTargets(2, a)
 	is.Equal(tr.pickN(1)["a"], 1)
 }
 
-// TestRequestsDuringTableBuild lets many requests come at once just after
-// a ticket: none may be refused because another one builds the table.
+// TestRequestsDuringTableBuild checks that no request is refused right after a
+// change of state, while another request is building the table that contains the
+// service.
 func TestRequestsDuringTableBuild(t *testing.T) {
 	is := is.New(t)
 	for range 50 {
--- a/bluebellport/src/runner.go
+++ b/bluebellport/src/runner.go
@@ -23,18 +23,21 @@
 	journal      Journal
 	engineClient *engineClient
 	plainClient  *plainClient
-	owner        string
+	owner        string // this run of the instance, as INSTANCE/INCARNATION
 	tracer       trace.Tracer
-	// outcomeIfNotRun is what may be said of a request of which this copy did not run.
+	// outcomeIfNotRun returns the outcome to report for a request that this copy
+	// did not run: another copy, here or on another instance, may have.
 	outcomeIfNotRun func(ctx context.Context, req *clientRequest, owner string) bbunit.Outcome
-	// rejoin attaches to the answer of a request anew, to lead it.
+	// rejoin joins the request's answer again. The bool tells whether the caller
+	// leads a new answer.
 	rejoin func(req *clientRequest) (*Answer, bool, error)
-	// fetchFromOwner has the instance that owns a claim bring the answer; errHome
-	// when it cannot.
+	// fetchFromOwner gets the answer from the instance that owns the request's
+	// claim. It fails with errHomeUnavailable if that instance does not provide
+	// it.
 	fetchFromOwner func(ctx context.Context, req *clientRequest, to bbunit.InstanceID, answer *Answer) error
 }
 
-// execution is one request under way.
+// execution is the state of one running request.
 type execution struct {
 	*runner
 	req          *clientRequest
@@ -45,16 +48,18 @@
 	relay        chatRelay
 	triedTargets []bbunit.TargetID
 	lastTarget   bbunit.TargetID
-	// sent tells that a byte of the request may have run somewhere.
+	// sent tells that a target may have run the request, in whole or in part.
 	sent bool
-	// ended is closed once the caller was told and the request recorded.
+	// ended is closed once the answer has ended and the request is recorded.
 	ended chan struct{}
 }
 
-// run does the whole request and ends the answer:
+// run takes the request through all steps and ends the answer:
 //
-//	admit -> reserve -> claim or open -> (place) -> attempts -> bill
-//	   \________\___________\______________\__________\______-> refusal
+//	admit -> reserve -> claim or open -> (slot) -> attempts -> bill
+//	   \________\___________\_____________\__________\______-> refusal
+//
+// Only a request that has to be claimed acquires its slot in a separate step.
 func (r *runner) run(ctx context.Context, req *clientRequest, answer *Answer) {
 	ctx, cancel := context.WithDeadlineCause(ctx, req.deadline, errors.Trace(errDeadlineExceeded))
 	defer cancel()
@@ -84,8 +89,9 @@
 	e.finish(ctx, e.runAttempts(ctx))
 }
 
-// admit lets the request in; one that has to be claimed gets its place at the
-// service afterwards, so that its wait keeps nobody out.
+// admit applies the limits of account and service. A request that has to be
+// claimed acquires its admission slot afterwards, so that it does not block
+// others while it waits for the claim.
 func (r *runner) admit(req RouteRequest) (*Admission, error) {
 	if req.Idempotent {
 		return r.router.Admit(req)
@@ -110,7 +116,7 @@
 	return routeReq
 }
 
-// reserve sets the request's highest price aside.
+// reserve reserves the request's maximum price from the account's budgets.
 func (r *runner) reserve(ctx context.Context, req *clientRequest) (*Reservation, error) {
 	ctx, span := r.tracer.Start(ctx, "reserve", trace.WithAttributes(attribute.Int64("tokens", int64(req.maxPrice))))
 	defer span.End()
@@ -120,8 +126,9 @@
 	return r.budgets.Reserve(ctx, req.budgets, req.maxPrice)
 }
 
-// recordStart claims a request that must not run twice, and notes any other. With
-// an error it returns the record that stands, if there is one.
+// recordStart claims a request that must not run twice, and records a
+// reservation for any other. If the claim is refused it also returns the record
+// that stands, if any.
 func (e *execution) recordStart(ctx context.Context) (*bbwire.Record, error) {
 	e.rec = &bbwire.Record{
 		Kind:    bbwire.Record_OPEN,
@@ -143,9 +150,9 @@
 	return e.journal.Claim(ctx, e.rec)
 }
 
-// handleClaimRefused ends the answer of a request whose claim was refused. Where another
-// claim or a bill stands, its owner is asked for the answer; else the request
-// may have run, and the caller is told so.
+// handleClaimRefused ends the answer of a request that could not be claimed. If
+// another claim or a bill stands, the answer is fetched from its owner. If that
+// fails the request may have run, and the outcome is unknown.
 func (e *execution) handleClaimRefused(ctx context.Context, err error, existing *bbwire.Record) {
 	if !errors.Is(err, ErrAlreadyClaimed) || existing == nil {
 		e.refuse(ctx, err)
@@ -162,7 +169,7 @@
 	e.fail(errors.Annotate(err, detail), bbunit.OutcomeUnknown)
 }
 
-// runAttempts tries targets until one answers or nothing more may be tried.
+// runAttempts tries targets until one answers or no further attempt is allowed.
 func (e *execution) runAttempts(ctx context.Context) error {
 	var state RetryState
 	var last error
@@ -170,7 +177,7 @@
 	for n := 0; ; n++ {
 		if err != nil {
 			if e.sent && last != nil && !errors.Is(err, ErrPoisoned) {
-				return last // what happened to it says more than that no other is left
+				return last // more informative than that no target is left
 			}
 			return err
 		}
@@ -185,7 +192,7 @@
 			return errors.Annotate(context.Cause(ctx), result.Err.Error())
 		}
 		if e.relay.multipleChoices && len(e.relay.text) > 0 {
-			return result.Err // several choices cannot be gone on with elsewhere
+			return result.Err // an answer with several choices cannot be continued
 		}
 		switch e.router.Retry(&state, e.routeReq, result) {
 		case DecisionStop:
@@ -200,7 +207,8 @@
 	}
 }
 
-// runAttempt runs the request at one target, over a fresh connection if told so.
+// runAttempt runs the request at one target, over a new connection if fresh is
+// set.
 func (e *execution) runAttempt(ctx context.Context, attempt *Attempt, n int, fresh bool) AttemptResult {
 	ctx, span := e.tracer.Start(ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
 		attribute.String("target", string(attempt.Target.ID)), attribute.Int("attempt", n)))
@@ -225,7 +233,8 @@
 	}).WithError(result.Err).Warn("attempt failed")
 }
 
-// finish bills the request and ends its answer.
+// finish bills the request and ends its answer. err is nil if a target answered,
+// and errPassedThrough if the target's error response was relayed.
 func (e *execution) finish(ctx context.Context, err error) {
 	switch {
 	case err == nil:
@@ -250,7 +259,8 @@
 	}
 }
 
-// partialPrice is the price of an answer that ended early: what the caller got.
+// partialPrice returns the price of the part of an answer that was relayed
+// before the failure.
 func (e *execution) partialPrice() bbunit.Tokens {
 	if len(e.relay.text) == 0 {
 		return 0
@@ -258,7 +268,8 @@
 	return e.req.price(e.relay.totalUsage())
 }
 
-// bill ends the reservation and records what the request came to.
+// bill commits the reservation and records the final amount. If another bill for
+// the request stands, the amount is refunded.
 func (e *execution) bill(kind bbwire.Record_Kind, amount bbunit.Tokens) {
 	e.reservation.Commit(amount)
 	e.rec.Kind, e.rec.Amount, e.rec.Target = kind, int64(amount), string(e.lastTarget)
@@ -270,16 +281,16 @@
 	})
 }
 
-// refuse ends the answer of a request of which this copy did not run.
+// refuse ends the answer of a request that this copy did not run.
 func (e *execution) refuse(ctx context.Context, err error) {
 	if errors.Is(err, ErrRequestIDReused) {
-		e.fail(err, bbunit.OutcomeNotRun) // this body is another request
+		e.fail(err, bbunit.OutcomeNotRun) // the copies with this id have another body
 		return
 	}
 	e.fail(err, e.outcomeIfNotRun(ctx, e.req, e.rec.GetOwner()))
 }
 
-// fail ends the answer with what is known of the request.
+// fail ends the answer with problem details for err and the outcome.
 func (e *execution) fail(err error, outcome bbunit.Outcome) {
 	resp := newRefusalResponse(err, outcome)
 	e.deps.Log.WithFields(map[string]any{
@@ -289,8 +300,8 @@
 	resp.writeTo(e.req.id, e.answer, e.relay.headSent)
 }
 
-// writeTo writes the refusal: as the answer, or as the last event of a stream that
-// has begun.
+// writeTo ends the answer with the refusal: as the whole response, or as the
+// last event of a stream whose head was already sent.
 func (r refusalResponse) writeTo(id bbunit.RequestID, answer *Answer, headSent bool) {
 	body := r.body(id)
 	if headSent {
@@ -298,12 +309,13 @@
 	} else {
 		beginAnswer(answer, r.Status, "application/problem+json", r.headerFields())
 	}
-	// The caller may be gone; the outcome is recorded all the same.
+	// Fails if all callers have left. The outcome is recorded in any case.
 	_ = answer.Write(context.Background(), body)
 	answer.Finish(r.Outcome)
 }
 
-// headerFields are the header fields of a refusal.
+// headerFields returns the response's Retry-After and WWW-Authenticate fields
+// where they apply.
 func (r refusalResponse) headerFields() []HeaderField {
 	var fields []HeaderField
 	if r.RetryAfter > 0 {
--- a/bluebellport/src/shared_limits.go
+++ b/bluebellport/src/shared_limits.go
@@ -9,19 +9,20 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// sharedLimits shares the limits of accounts and services among the instances of the
-// failure domain, by the usage that they tell each other.
+// sharedLimits divides the limits of accounts and services among the instances
+// of the failure domain, according to the usage that they report by gossip.
 type sharedLimits struct {
 	deps       Deps
-	mu         sync.Mutex // guards the fields below; not on the path of a request
+	mu         sync.Mutex // guards the fields below; not taken by requests
 	ownUsage   map[string]bbroute.Usage
 	peerUsage  map[string]map[bbunit.InstanceID]reportedUsage
 	lastTickAt time.Time
-	// cursor tells whose turn it is in messages that cannot hold all usage.
+	// cursor rotates through the limits whose usage does not fit into every
+	// message.
 	cursor int
 }
 
-// reportedUsage is another instance's usage and when it was heard.
+// reportedUsage is another instance's usage of a limit.
 type reportedUsage struct {
 	usage      bbroute.Usage
 	receivedAt time.Time
@@ -31,7 +32,7 @@
 	return &sharedLimits{deps: deps, peerUsage: make(map[string]map[bbunit.InstanceID]reportedUsage)}
 }
 
-// tick sets the shares of all limits anew.
+// tick updates this instance's share of every limit.
 func (l *sharedLimits) tick(t *bbroute.Table, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +51,7 @@
 	l.expirePeerUsage(now)
 }
 
-// freshPeerUsage returns what the other instances told of the key, in no order.
+// freshPeerUsage returns the other instances' usage of the limit, in no order.
 func (l *sharedLimits) freshPeerUsage(key string, now time.Time) []bbroute.Usage {
 	var out []bbroute.Usage
 	for _, u := range l.peerUsage[key] {
@@ -61,7 +62,7 @@
 	return out
 }
 
-// expirePeerUsage drops what is too old.
+// expirePeerUsage deletes usage older than usageRetention.
 func (l *sharedLimits) expirePeerUsage(now time.Time) {
 	for key, byInstance := range l.peerUsage {
 		for id, u := range byInstance {
@@ -75,7 +76,8 @@
 	}
 }
 
-// domainInstances counts the instances of the own failure domain, this one included.
+// domainInstances returns the number of instances in this failure domain, this
+// one included.
 func (l *sharedLimits) domainInstances() int {
 	n := 0
 	for _, m := range l.deps.Board.View.Load().Members {
@@ -86,8 +88,8 @@
 	return max(n, 1)
 }
 
-// fillGossip adds this instance's usage: when it does not fit, that of the busiest
-// limits, and in turn that of the others.
+// fillGossip adds this instance's usage to the message. If not all fits, half of
+// the entries are the busiest limits, and the others take turns.
 func (l *sharedLimits) fillGossip(g *bbwire.Gossip) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,8 +110,8 @@
 	}
 }
 
-// mergeGossip reads what another instance of the failure domain uses, and returns how
-// many entries it dropped.
+// mergeGossip records the usage reported by another instance of this failure
+// domain, and returns the number of invalid entries dropped.
 func (l *sharedLimits) mergeGossip(from bbunit.InstanceID, usages []*bbwire.Usage, now time.Time) int {
 	if len(usages) == 0 {
 		return 0
--- a/bluebellport/src/sse.go
+++ b/bluebellport/src/sse.go
@@ -12,16 +12,16 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// sseEvent is one server-sent event of an engine.
+// sseEvent is a server-sent event from an engine.
 type sseEvent struct {
-	id   int // 0 when the engine numbers none
+	id   int // 0 if the engine sends no ids
 	data []byte
 }
 
 // isDone tells whether the event ends the stream.
 func (e sseEvent) isDone() bool { return bytes.Equal(e.data, []byte("[DONE]")) }
 
-// sseReader splits a body into server-sent events.
+// sseReader splits a response body into server-sent events.
 type sseReader struct {
 	scanner *bufio.Scanner
 }
@@ -32,7 +32,7 @@
 	return &sseReader{scanner: scanner}
 }
 
-// next returns the next event with data; io.EOF when the body has ended.
+// next returns the next event that has data, or io.EOF at the end of the body.
 func (r *sseReader) next() (sseEvent, error) {
 	var event sseEvent
 	for r.scanner.Scan() {
@@ -63,7 +63,7 @@
 	return sseEvent{}, io.EOF
 }
 
-// chatChunk is the part of a streamed chat chunk that the instance reads.
+// chatChunk is the part of a streamed chunk that the instance reads.
 type chatChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -76,24 +76,26 @@
 	Usage *tokenUsage `json:"usage"`
 }
 
-// chatRelay is what of a streamed chat has reached the caller, over all attempts.
+// chatRelay tracks what has been relayed of a streamed chat, over all attempts.
 type chatRelay struct {
 	chunkID         string // the chunk id that the caller sees
 	text            []byte
-	attemptTokens   bbunit.Tokens // chunks with content, in this attempt
-	earlierTokens   bbunit.Tokens // tokens of earlier attempts
+	attemptTokens   bbunit.Tokens // chunks with content in this attempt
+	earlierTokens   bbunit.Tokens // tokens of all earlier attempts
 	usage           *tokenUsage
-	lastEvent       int  // last event of this attempt
-	multipleChoices bool // more than one choice, so that the text cannot be continued
+	lastEvent       int  // id of the last event of this attempt
+	multipleChoices bool // the answer has several choices, so another engine cannot continue it
 	restarts        int
-	headSent        bool // the caller has the head
+	headSent        bool // the response head was sent
 }
 
-// process takes a chunk in and returns what the caller gets; nil for nothing.
+// process records a chunk and returns the chunk to send to the caller, nil if it
+// is to be dropped. wantUsage tells whether the caller asked for the usage
+// chunk.
 func (r *chatRelay) process(event sseEvent, wantUsage bool) ([]byte, error) {
 	var chunk chatChunk
 	if err := json.Unmarshal(event.data, &chunk); err != nil {
-		return nil, errors.WithType(errors.Annotate(err, "chunk"), errTargetFailed)
+		return nil, errors.WithType(errors.Annotate(err, "streamed chunk"), errTargetFailed)
 	}
 	if event.id > 0 {
 		r.lastEvent = event.id
@@ -127,7 +129,8 @@
 	return r.rewriteChunk(event.data, chunk)
 }
 
-// rewriteChunk gives a chunk of a later attempt the id and usage of the whole.
+// rewriteChunk gives a chunk of a later attempt the id of the first attempt and
+// the usage of all attempts.
 func (r *chatRelay) rewriteChunk(data []byte, chunk chatChunk) ([]byte, error) {
 	if r.chunkID == "" {
 		r.chunkID = chunk.ID
@@ -147,16 +150,17 @@
 	return b, errors.Trace(err)
 }
 
-// startNextAttempt makes ready for an attempt that goes on after the text so far.
+// startNextAttempt prepares for an attempt that continues the text relayed so
+// far.
 func (r *chatRelay) startNextAttempt() {
 	r.earlierTokens += r.attemptTokens
 	r.attemptTokens, r.lastEvent, r.usage = 0, 0, nil
 	r.restarts++
 }
 
-// totalUsage is what the caller's answer came to: the engine's count where it gave
-// one, else the chunks that arrived. A continued prompt holds text that was
-// counted as generated before, which is not charged again.
+// totalUsage returns the usage over all attempts: as the engine counted it, or
+// else one token for each chunk with content. The prompt of a continued attempt
+// contains text already counted as completion, which is not counted twice.
 func (r *chatRelay) totalUsage() tokenUsage {
 	if r.usage == nil {
 		return tokenUsage{Completion: r.earlierTokens + r.attemptTokens}
@@ -167,7 +171,8 @@
 	return usage
 }
 
-// withTotal is the usage as callers read it.
+// withTotal returns the usage as a JSON object in the form of the chat
+// interface.
 func (u tokenUsage) withTotal() map[string]bbunit.Tokens {
 	return map[string]bbunit.Tokens{
 		"prompt_tokens":     u.Prompt,
--- a/bluebellport/src/target_conns.go
+++ b/bluebellport/src/target_conns.go
@@ -16,17 +16,18 @@
 	"bluebellport.example/shared/bbclock"
 )
 
-// errNotSent marks an attempt of which no byte left for the target.
+// errNotSent means that no byte of the request left for the target.
 const errNotSent = errors.ConstError("not sent")
 
-// targetConns holds the connections to targets. The zero value works.
+// targetConns holds HTTP clients with pooled connections to targets. The zero
+// value is ready to use.
 type targetConns struct {
 	pooled sync.Map // address -> *fasthttp.HostClient
-	fresh  sync.Map // address -> *fasthttp.HostClient that reuses nothing
+	fresh  sync.Map // address -> *fasthttp.HostClient for connections that are not reused
 }
 
-// client returns the client for an address. One that is fresh opens a new
-// connection for each request.
+// client returns the client for an address. With fresh set, the client opens a
+// new connection for each request.
 func (tc *targetConns) client(address string, fresh bool) *fasthttp.HostClient {
 	clients := &tc.pooled
 	if fresh {
@@ -54,6 +55,7 @@
 	}
 }
 
+// dialTarget opens a connection, or fails with errNotSent.
 func dialTarget(address string) (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", address, targetDialTimeout)
 	if err != nil {
@@ -62,8 +64,8 @@
 	return c, nil
 }
 
-// startSweep forgets, now and then, the targets that are no longer in force, until the
-// function that it returns is called.
+// startSweep closes connections to targets that are no longer in force every
+// targetSweepInterval, until the returned function is called.
 func (tc *targetConns) startSweep(board *Board) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
@@ -84,7 +86,8 @@
 	}
 }
 
-// closeUnused closes idle connections to targets that are no longer in force.
+// closeUnused drops the clients of all addresses not in keep and closes their
+// idle connections.
 func (tc *targetConns) closeUnused(keep map[string]bool) {
 	for _, clients := range []*sync.Map{&tc.pooled, &tc.fresh} {
 		clients.Range(func(k, v any) bool {
@@ -97,16 +100,16 @@
 	}
 }
 
-// send does the request and returns once the answer's header is there, the
-// context ends or the deadline passes. The bool is false only when no byte left.
-// The answer must be closed by its clean-up function, which also ends a read
-// under way.
+// send sends the request and returns when the response head has arrived, ctx
+// ends or the deadline passes. The bool tells whether the target may have got
+// any of the request. The returned function must be called to release the
+// response; it also interrupts a read of its body.
 func (tc *targetConns) send(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time) (*fasthttp.Response, func(), bool, error) {
 	return tc.sendWithLateHandler(ctx, address, fresh, req, deadline, nil)
 }
 
-// sendWithLateHandler is send; an answer that comes between the context's end and the
-// deadline goes to late, if set, which may block.
+// sendWithLateHandler is send with a handler for a response that arrives after
+// ctx has ended but before the deadline. The handler, if set, may block.
 func (tc *targetConns) sendWithLateHandler(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time, onLate func(*fasthttp.Response)) (*fasthttp.Response, func(), bool, error) {
 	if fresh {
 		req.SetConnectionClose()
@@ -134,19 +137,20 @@
 	}
 }
 
-// releaseExchange closes the answer, whether it was read whole or not, and gives both
-// back to the HTTP library.
+// releaseExchange closes the response's body, read or not, and returns both
+// messages to the HTTP library's pools.
 func releaseExchange(req *fasthttp.Request, resp *fasthttp.Response) {
 	_ = resp.CloseBodyStream()
 	fasthttp.ReleaseRequest(req)
 	fasthttp.ReleaseResponse(resp)
 }
 
+// isNotSent tells whether err means that no connection to the target was made.
 func isNotSent(err error) bool {
 	return errors.Is(err, errNotSent) || errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout)
 }
 
-// readBody reads an answer's body up to maxAnswer bytes.
+// readBody reads a response body of at most maxResponseBytes.
 func readBody(resp *fasthttp.Response) ([]byte, error) {
 	stream := resp.BodyStream()
 	if stream == nil {
@@ -154,12 +158,12 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(stream, maxResponseBytes+1))
 	if err == nil && len(b) > maxResponseBytes {
-		err = errors.WithType(errors.Errorf("answer above %d bytes", maxResponseBytes), errTargetFailed)
+		err = errors.WithType(errors.Errorf("response body exceeds %d bytes", maxResponseBytes), errTargetFailed)
 	}
 	return b, errors.Trace(err)
 }
 
-// headerCarrier writes trace context into a request's header.
+// headerCarrier reads and writes trace context in a request header.
 type headerCarrier struct{ header *fasthttp.RequestHeader }
 
 var _ propagation.TextMapCarrier = headerCarrier{}
--- a/bluebellport/src/trace.go
+++ b/bluebellport/src/trace.go
@@ -19,10 +19,10 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// traceFlushTimeout bounds the export of the last spans at a stop.
+// traceFlushTimeout limits the export of the last spans when the instance stops.
 const traceFlushTimeout = 2 * time.Second
 
-// newLogger returns a logger of JSON lines.
+// newLogger returns a logger that writes JSON lines.
 func newLogger(opts *Options, w io.Writer) (logrus.FieldLogger, error) {
 	level, err := logrus.ParseLevel(opts.Self.LogLevel)
 	if err != nil {
@@ -35,9 +35,8 @@
 	return logger.WithFields(logrus.Fields{"instance": opts.Self.Instance, "domain": opts.Self.Domain}), nil
 }
 
-// startTracing sets the trace context that is passed on, and the exporter where
-// the settings name a collector. The function it returns exports the last
-// spans.
+// startTracing sets the global trace propagator, and the exporter if the options
+// name a collector. The returned function exports the last spans.
 func startTracing(opts *Options) (func(), error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if opts.Self.TraceAddress == "" {
@@ -61,8 +60,8 @@
 	}, nil
 }
 
-// newIncarnation draws a number that tells this life of the instance from
-// others.
+// newIncarnation returns a random number that distinguishes this run of the
+// instance from earlier and later ones.
 func newIncarnation() bbunit.Incarnation {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
--- a/bluebellport/src/trace_test.go
+++ b/bluebellport/src/trace_test.go
@@ -16,16 +16,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestSpans sends a request under a caller's trace and looks at what a small
-// collector gets: a span for each hop, all of one trace, parents known.
+// TestSpans checks that a request under a caller's trace exports a span for each
+// step, all in that trace and with the right parents, and that the trace is
+// passed on to the target.
 func TestSpans(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	parents, names := map[string]string{}, map[string]string{} // by span id
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f, _ := io.ReadAll(r.Body)
+		body, _ := io.ReadAll(r.Body)
 		var m collector.ExportTraceServiceRequest
-		if err := proto.Unmarshal(f, &m); err != nil {
+		if err := proto.Unmarshal(body, &m); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
@@ -67,5 +68,5 @@
 	is.Equal(got["reserve"], "request")
 	_, ok := got["request"]
 	is.True(ok)
-	is.True(strings.HasPrefix(seen, "00-0af7651916cd43dd8448eb211c80319c-")) // passed on
+	is.True(strings.HasPrefix(seen, "00-0af7651916cd43dd8448eb211c80319c-")) // the target is in the same trace
 }
