--- a/bluebellport/src/sse.go
+++ b/bluebellport/src/sse.go
@@ -71,7 +71,7 @@
 		Delta struct {
 			Content string `json:"content"`
 		} `json:"delta"`
-		Finish *string `json:"finish_reason"`
+		FinishReason *string `json:"finish_reason"`
 	} `json:"choices"`
 	Usage *tokenUsage `json:"usage"`
 }
@@ -119,7 +119,7 @@
 			r.attemptTokens++
 			r.text = append(r.text, choice.Delta.Content...)
 		}
-		if choice.Finish != nil {
+		if choice.FinishReason != nil {
 			empty = false
 		}
 	}
