--- a/shared/bbstore/client.go
+++ b/shared/bbstore/client.go
@@ -83,27 +83,27 @@
 
 // Get returns the entry, with Rev 0 and no error when the key is absent.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
-	var a gwRangeResponse
-	if err := c.read(ctx, &gwRangeRequest{Key: []byte(key)}, &a); err != nil {
+	var resp gwRangeResponse
+	if err := c.read(ctx, &gwRangeRequest{Key: []byte(key)}, &resp); err != nil {
 		return Entry{}, err
 	}
-	if len(a.Kvs) == 0 {
+	if len(resp.Kvs) == 0 {
 		return Entry{Key: key}, nil
 	}
-	return a.Kvs[0].entry(), nil
+	return resp.Kvs[0].entry(), nil
 }
 
 // List returns the entries under the prefix in key order.
 func (c *Client) List(ctx context.Context, prefix string) ([]Entry, Revision, error) {
-	var a gwRangeResponse
-	if err := c.read(ctx, &gwRangeRequest{Key: rangeKey(prefix), RangeEnd: rangeEnd(prefix)}, &a); err != nil {
+	var resp gwRangeResponse
+	if err := c.read(ctx, &gwRangeRequest{Key: rangeKey(prefix), RangeEnd: rangeEnd(prefix)}, &resp); err != nil {
 		return nil, 0, err
 	}
-	var out []Entry
-	for i := range a.Kvs {
-		out = append(out, a.Kvs[i].entry())
+	var entries []Entry
+	for i := range resp.Kvs {
+		entries = append(entries, resp.Kvs[i].entry())
 	}
-	return out, Revision(a.Header.Revision), nil
+	return entries, Revision(resp.Header.Revision), nil
 }
 
 func (k *gwKeyValue) entry() Entry {
@@ -127,31 +127,31 @@
 		Compare: []gwCompare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: int64(prev)}},
 		Success: []gwOp{op},
 	}
-	var a gwTxnResponse
-	if err := c.write(ctx, pathTxn, &txn, &a); err != nil {
+	var resp gwTxnResponse
+	if err := c.write(ctx, pathTxn, &txn, &resp); err != nil {
 		return 0, err
 	}
-	if !a.Succeeded {
+	if !resp.Succeeded {
 		return 0, errors.Annotatef(ErrConflict, "%s not at %d", key, prev)
 	}
-	return Revision(a.Header.Revision), nil
+	return Revision(resp.Header.Revision), nil
 }
 
 // Grant makes a lease of ttl, rounded up to whole seconds.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
-	var a gwLease
-	err := c.write(ctx, pathGrant, &gwLease{TTL: seconds}, &a)
-	return LeaseID(a.ID), err
+	var lease gwLease
+	err := c.write(ctx, pathGrant, &gwLease{TTL: seconds}, &lease)
+	return LeaseID(lease.ID), err
 }
 
 // Renew extends a lease to its full time; ErrLease when it has lapsed.
 func (c *Client) Renew(ctx context.Context, id LeaseID) error {
-	var a gwKeepAliveResponse
-	if err := c.write(ctx, pathKeepAlive, &gwLease{ID: int64(id)}, &a); err != nil {
+	var resp gwKeepAliveResponse
+	if err := c.write(ctx, pathKeepAlive, &gwLease{ID: int64(id)}, &resp); err != nil {
 		return err
 	}
-	if a.Result.TTL <= 0 {
+	if resp.Result.TTL <= 0 {
 		return ErrLeaseNotFound
 	}
 	return nil
--- a/shared/bbstore/client_watch.go
+++ b/shared/bbstore/client_watch.go
@@ -77,21 +77,21 @@
 
 func readEvents(ctx context.Context, d *json.Decoder, fn func(Event) error) error {
 	for {
-		var l gwWatchMessage
-		if err := d.Decode(&l); err != nil {
+		var message gwWatchMessage
+		if err := d.Decode(&message); err != nil {
 			return watchError(ctx, err)
 		}
-		r := &l.Result
+		result := &message.Result
 		switch {
-		case l.Error != nil:
-			return watchError(ctx, errors.New(l.Error.Message))
-		case r.Canceled && r.CompactRevision > 0:
-			return errors.Annotatef(ErrCompacted, "%d", r.CompactRevision)
-		case r.Canceled:
+		case message.Error != nil:
+			return watchError(ctx, errors.New(message.Error.Message))
+		case result.Canceled && result.CompactRevision > 0:
+			return errors.Annotatef(ErrCompacted, "%d", result.CompactRevision)
+		case result.Canceled:
 			return watchError(ctx, errors.New("watch cancelled"))
 		}
-		for i := range r.Events {
-			if err := fn(r.Events[i].event()); err != nil {
+		for i := range result.Events {
+			if err := fn(result.Events[i].event()); err != nil {
 				return err
 			}
 		}
@@ -99,11 +99,11 @@
 }
 
 func (e *gwEvent) event() Event {
-	out := e.Kv.entry()
+	event := e.Kv.entry()
 	if e.Type == eventDelete {
-		out.Value = nil
+		event.Value = nil
 	}
-	return Event{out}
+	return Event{event}
 }
 
 // watchError returns the context's error when that is why the watch broke.
--- a/shared/bbstore/faults.go
+++ b/shared/bbstore/faults.go
@@ -57,17 +57,17 @@
 }
 
 // SetFaults replaces the faults. It does not block.
-func (m *Mem) SetFaults(f Faults) {
+func (m *Mem) SetFaults(faults Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if f.ReadRate != m.admission.faults.ReadRate {
-		m.admission.readLimiter = newLimiter(f.ReadRate)
+	if faults.ReadRate != m.admission.faults.ReadRate {
+		m.admission.readLimiter = newLimiter(faults.ReadRate)
 	}
-	if f.WriteRate != m.admission.faults.WriteRate {
-		m.admission.writeLimiter = newLimiter(f.WriteRate)
+	if faults.WriteRate != m.admission.faults.WriteRate {
+		m.admission.writeLimiter = newLimiter(faults.WriteRate)
 	}
-	m.admission.faults = f
-	if f.Down && m.watchesBroken != nil {
+	m.admission.faults = faults
+	if faults.Down && m.watchesBroken != nil {
 		close(m.watchesBroken)
 		m.watchesBroken = nil
 	}
@@ -97,26 +97,26 @@
 	}
 }
 
-func newLimiter(r float64) *rate.Limiter {
-	if r <= 0 {
+func newLimiter(perSecond float64) *rate.Limiter {
+	if perSecond <= 0 {
 		return nil
 	}
-	return rate.NewLimiter(rate.Limit(r), int(r)+1)
+	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1)
 }
 
 // admit counts a refused call, and tells why it is refused.
-func (g *memAdmission) admit(ctx context.Context, l *rate.Limiter) error {
+func (a *memAdmission) admit(ctx context.Context, limiter *rate.Limiter) error {
 	var err error
 	switch {
 	case ctx.Err() != nil:
 		err = fmt.Errorf("%w: %w", ErrDown, ctx.Err())
-	case g.faults.Down:
+	case a.faults.Down:
 		err = ErrDown
-	case l != nil && !l.Allow():
+	case limiter != nil && !limiter.Allow():
 		err = fmt.Errorf("%w: %w", ErrDown, ErrRateLimited)
 	}
 	if err != nil {
-		g.counts.Refused++
+		a.counts.Refused++
 	}
 	return err
 }
@@ -126,13 +126,13 @@
 	m.mu.Lock()
 	m.admission.counts.Reads++
 	err := m.admission.admit(ctx, m.admission.readLimiter)
-	slow := m.admission.faults.Latency
+	latency := m.admission.faults.Latency
 	m.mu.Unlock()
-	if err != nil || slow <= 0 {
+	if err != nil || latency <= 0 {
 		return err
 	}
 	select {
-	case <-time.After(slow):
+	case <-time.After(latency):
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", ErrDown, ctx.Err())
@@ -152,42 +152,42 @@
 	if err := m.admission.admit(ctx, m.admission.writeLimiter); err != nil {
 		return 0, err
 	}
-	f := &m.admission.faults
+	faults := &m.admission.faults
 	switch {
-	case f.ApplyDelay > 0:
+	case faults.ApplyDelay > 0:
 		m.admission.counts.LostAnswers++
-		m.applyAfter(f.ApplyDelay, apply)
+		m.applyAfter(faults.ApplyDelay, apply)
 		return 0, ErrUnknown
-	case f.DropNextWrites > 0:
-		f.DropNextWrites--
+	case faults.DropNextWrites > 0:
+		faults.DropNextWrites--
 		m.admission.counts.LostAnswers++
 		return 0, ErrUnknown
 	case m.takeLostAnswer():
 		m.admission.counts.LostAnswers++
-		m.applyAfter(f.Latency, apply)
+		m.applyAfter(faults.Latency, apply)
 		return 0, ErrUnknown
-	case f.Latency > 0:
-		return m.applySlowly(ctx, f.Latency, apply)
+	case faults.Latency > 0:
+		return m.applySlowly(ctx, faults.Latency, apply)
 	}
 	return apply()
 }
 
 func (m *Mem) takeLostAnswer() bool {
-	f := &m.admission.faults
-	if f.LoseNextAnswers > 0 {
-		f.LoseNextAnswers--
+	faults := &m.admission.faults
+	if faults.LoseNextAnswers > 0 {
+		faults.LoseNextAnswers--
 		return true
 	}
-	return f.LoseEveryNthAnswer > 0 && m.admission.counts.Writes%int64(f.LoseEveryNthAnswer) == 0
+	return faults.LoseEveryNthAnswer > 0 && m.admission.counts.Writes%int64(faults.LoseEveryNthAnswer) == 0
 }
 
 // applyAfter applies a write whose answer nobody gets, at once when d is 0.
-func (m *Mem) applyAfter(d time.Duration, apply func() (Revision, error)) {
-	if d <= 0 {
+func (m *Mem) applyAfter(delay time.Duration, apply func() (Revision, error)) {
+	if delay <= 0 {
 		_, _ = apply()
 		return
 	}
-	time.AfterFunc(d, func() {
+	time.AfterFunc(delay, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		_, _ = apply()
@@ -195,9 +195,9 @@
 }
 
 // applySlowly gives up the lock while it waits for the answer of a slow write.
-func (m *Mem) applySlowly(ctx context.Context, d time.Duration, apply func() (Revision, error)) (Revision, error) {
+func (m *Mem) applySlowly(ctx context.Context, latency time.Duration, apply func() (Revision, error)) (Revision, error) {
 	answer := make(chan writeResult, 1)
-	time.AfterFunc(d, func() {
+	time.AfterFunc(latency, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		rev, err := apply()
--- a/shared/bbstore/mem.go
+++ b/shared/bbstore/mem.go
@@ -60,14 +60,14 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out []Entry
+	var entries []Entry
 	for k := range m.keys {
 		if strings.HasPrefix(k, prefix) {
-			out = append(out, m.entry(k))
+			entries = append(entries, m.entry(k))
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
-	return out, m.rev, nil
+	sort.Slice(entries, func(i, j int) bool { return entries[i].Key < entries[j].Key })
+	return entries, m.rev, nil
 }
 
 // CAS writes value if the key is at revision prev; a nil value deletes.
@@ -177,20 +177,20 @@
 }
 
 func (m *Mem) expireLease(id LeaseID) {
-	l := m.leases[id]
-	if l == nil {
+	lease := m.leases[id]
+	if lease == nil {
 		return
 	}
-	l.timer.Stop()
+	lease.timer.Stop()
 	delete(m.leases, id)
-	var gone []string
+	var keys []string
 	for k, v := range m.keys {
 		if v.lease == id {
-			gone = append(gone, k)
+			keys = append(keys, k)
 		}
 	}
-	sort.Strings(gone)
-	for _, k := range gone {
+	sort.Strings(keys)
+	for _, k := range keys {
 		m.putAtNextRevision(k, nil, 0)
 	}
 }
@@ -270,13 +270,13 @@
 		m.nextWrite = make(chan struct{})
 	}
 	first := sort.Search(len(m.history), func(i int) bool { return m.history[i].Rev > from })
-	var out []Event
+	var events []Event
 	for _, e := range m.history[first:] {
 		if strings.HasPrefix(e.Key, prefix) {
-			out = append(out, e)
+			events = append(events, e)
 		}
 	}
-	return out, m.nextWrite, nil
+	return events, m.nextWrite, nil
 }
 
 // Compact forgets the events up to now, so that older watches must list again.
--- a/shared/bbstore/mem_swap.go
+++ b/shared/bbstore/mem_swap.go
@@ -10,33 +10,33 @@
 // Swap writes all rows at one revision if each key is at the row's revision, or
 // none; a nil value deletes. On ErrConflict it returns the rows as they are.
 func (m *Mem) Swap(ctx context.Context, rows []Entry, lease LeaseID) (Revision, []Entry, error) {
-	own := make([]Entry, len(rows))
+	copies := make([]Entry, len(rows))
 	for i, r := range rows {
 		if len(r.Value) > MaxValueBytes {
 			return 0, nil, errors.Annotatef(ErrTooLarge, "%s: %d bytes", r.Key, len(r.Value))
 		}
-		own[i] = r
+		copies[i] = r
 		if r.Value != nil {
-			own[i].Value = append([]byte{}, r.Value...)
+			copies[i].Value = append([]byte{}, r.Value...)
 		}
 	}
-	rev, err := m.write(ctx, func() (Revision, error) { return m.applySwap(own, lease) })
+	rev, err := m.write(ctx, func() (Revision, error) { return m.applySwap(copies, lease) })
 	if !errors.Is(err, ErrConflict) {
 		return rev, nil, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := make([]Entry, len(rows))
+	current := make([]Entry, len(rows))
 	for i, r := range rows {
-		now[i] = m.entry(r.Key)
+		current[i] = m.entry(r.Key)
 	}
-	return 0, now, err
+	return 0, current, err
 }
 
 func (m *Mem) applySwap(rows []Entry, lease LeaseID) (Revision, error) {
 	for _, r := range rows {
-		if at := m.keys[r.Key].rev; at != r.Rev {
-			return 0, errors.Annotatef(ErrConflict, "%s at %d, not %d", r.Key, at, r.Rev)
+		if current := m.keys[r.Key].rev; current != r.Rev {
+			return 0, errors.Annotatef(ErrConflict, "%s at %d, not %d", r.Key, current, r.Rev)
 		}
 	}
 	if lease != 0 && m.leases[lease] == nil {
@@ -57,20 +57,20 @@
 		return nil, 0, err
 	}
 	defer m.closeWatch()
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
 		m.mu.Lock()
-		at := m.rev
+		next := m.rev
 		m.mu.Unlock()
 		events, changed, err := m.eventsAfter(prefix, after)
 		if err != nil || len(events) > 0 {
-			return events, at, err
+			return events, next, err
 		}
 		select {
 		case <-changed:
-		case <-over.C:
-			return nil, at, nil
+		case <-timeout.C:
+			return nil, next, nil
 		case <-broken:
 			return nil, 0, errors.Trace(ErrDown)
 		case <-muted:
--- a/shared/bbstore/server.go
+++ b/shared/bbstore/server.go
@@ -104,15 +104,15 @@
 		}
 		return &gwRangeResponse{Kvs: []gwKeyValue{newKeyValue(e)}, Count: 1}, nil
 	}
-	l, rev, err := s.mem.List(ctx, prefixOf(in.Key))
+	entries, rev, err := s.mem.List(ctx, prefixOf(in.Key))
 	if err != nil {
 		return nil, err
 	}
-	out := &gwRangeResponse{Header: gwHeader{Revision: int64(rev)}, Count: int64(len(l))}
-	for _, e := range l {
-		out.Kvs = append(out.Kvs, newKeyValue(e))
+	resp := &gwRangeResponse{Header: gwHeader{Revision: int64(rev)}, Count: int64(len(entries))}
+	for _, e := range entries {
+		resp.Kvs = append(resp.Kvs, newKeyValue(e))
 	}
-	return out, nil
+	return resp, nil
 }
 
 // prefixOf takes a range's first key for its prefix: no other range is served.
@@ -178,8 +178,8 @@
 }
 
 func (s *Server) stream(ctx context.Context, w *bufio.Writer, in *gwWatchCreateRequest) {
-	send := func(a gwWatchResponse) error {
-		b, err := json.Marshal(&gwWatchMessage{Result: a})
+	send := func(resp gwWatchResponse) error {
+		b, err := json.Marshal(&gwWatchMessage{Result: resp})
 		if err != nil {
 			return err
 		}
@@ -196,11 +196,11 @@
 		if e == nil {
 			return send(gwWatchResponse{})
 		}
-		ev := gwEvent{Type: eventPut, Kv: newKeyValue(e.Entry)}
+		event := gwEvent{Type: eventPut, Kv: newKeyValue(e.Entry)}
 		if e.Value == nil {
-			ev.Type = eventDelete
+			event.Type = eventDelete
 		}
-		return send(gwWatchResponse{Header: gwHeader{Revision: int64(e.Rev)}, Events: []gwEvent{ev}})
+		return send(gwWatchResponse{Header: gwHeader{Revision: int64(e.Rev)}, Events: []gwEvent{event}})
 	})
 	if errors.Is(err, ErrCompacted) {
 		_ = send(gwWatchResponse{Canceled: true, CompactRevision: int64(from) + 1})
--- a/shared/bbstore/store_test.go
+++ b/shared/bbstore/store_test.go
@@ -224,14 +224,14 @@
 const errStop = errors.ConstError("stop")
 
 func TestStoreContract(t *testing.T) {
-	for _, maker := range contractStores() {
+	for _, impl := range contractStores() {
 		for _, c := range contractCases {
-			t.Run(maker.name+"/"+c.name, func(t *testing.T) {
+			t.Run(impl.name+"/"+c.name, func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				defer cancel()
-				s, m := maker.newStore(t)
+				s, m := impl.newStore(t)
 				c.check(is, ctx, s, m)
 				if ctx.Err() != nil {
 					t.Fatal("took too long")
