--- a/shared/bbstore/client_watch.go
+++ b/shared/bbstore/client_watch.go
@@ -75,10 +75,10 @@
 	return i.Conn.Read(b)
 }
 
-func readEvents(ctx context.Context, d *json.Decoder, fn func(Event) error) error {
+func readEvents(ctx context.Context, decoder *json.Decoder, fn func(Event) error) error {
 	for {
 		var message gwWatchMessage
-		if err := d.Decode(&message); err != nil {
+		if err := decoder.Decode(&message); err != nil {
 			return watchError(ctx, err)
 		}
 		result := &message.Result
--- a/shared/bbstore/faults.go
+++ b/shared/bbstore/faults.go
@@ -215,7 +215,7 @@
 
 // openWatch passes a watch through the gate and returns the channels that
 // break and silence it.
-func (m *Mem) openWatch(ctx context.Context) (broken, muted <-chan struct{}, err error) {
+func (m *Mem) openWatch(ctx context.Context) (broken, silenced <-chan struct{}, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.admission.counts.Watches++
--- a/shared/bbstore/mem.go
+++ b/shared/bbstore/mem.go
@@ -203,7 +203,7 @@
 // watch calls fn with nil whenever the time progress has passed without an
 // event; 0 never does.
 func (m *Mem) watch(ctx context.Context, prefix string, from Revision, progress time.Duration, fn func(*Event) error) error {
-	broken, muted, err := m.openWatch(ctx)
+	broken, silenced, err := m.openWatch(ctx)
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 			return err
 		}
 		for i := range events {
-			if err := watchEndError(ctx, broken, muted); err != nil {
+			if err := watchEndError(ctx, broken, silenced); err != nil {
 				return err
 			}
 			if err := fn(&events[i]); err != nil {
@@ -222,20 +222,20 @@
 			}
 			from = events[i].Rev
 		}
-		var tick <-chan time.Time
+		var progressTimer <-chan time.Time
 		if progress > 0 {
-			tick = time.After(progress)
+			progressTimer = time.After(progress)
 		}
 		select {
 		case <-changed:
-		case <-tick:
+		case <-progressTimer:
 			err = fn(nil)
 		case <-broken:
-		case <-muted:
+		case <-silenced:
 		case <-ctx.Done():
 		}
 		if err == nil {
-			err = watchEndError(ctx, broken, muted)
+			err = watchEndError(ctx, broken, silenced)
 		}
 		if err != nil {
 			return err
@@ -244,9 +244,9 @@
 }
 
 // watchEndError returns why a watch ends, or nil; a silenced one waits for its context.
-func watchEndError(ctx context.Context, broken, muted <-chan struct{}) error {
+func watchEndError(ctx context.Context, broken, silenced <-chan struct{}) error {
 	select {
-	case <-muted:
+	case <-silenced:
 		<-ctx.Done()
 		return ctx.Err()
 	case <-broken:
--- a/shared/bbstore/mem_swap.go
+++ b/shared/bbstore/mem_swap.go
@@ -52,7 +52,7 @@
 // Poll waits up to wait for changes under prefix after a revision, and returns
 // them with the revision to go on from.
 func (m *Mem) Poll(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error) {
-	broken, muted, err := m.openWatch(ctx)
+	broken, silenced, err := m.openWatch(ctx)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -73,7 +73,7 @@
 			return nil, next, nil
 		case <-broken:
 			return nil, 0, errors.Trace(ErrDown)
-		case <-muted:
+		case <-silenced:
 			<-ctx.Done()
 			return nil, 0, errors.Annotate(ErrDown, ctx.Err().Error())
 		case <-ctx.Done():
--- a/shared/bbstore/server.go
+++ b/shared/bbstore/server.go
@@ -163,18 +163,18 @@
 
 // watch streams one JSON line for each event until the caller goes, the service
 // goes down or the server stops.
-func (s *Server) watch(rc *fasthttp.RequestCtx) {
+func (s *Server) watch(httpCtx *fasthttp.RequestCtx) {
 	in := new(gwWatchRequest)
-	if err := json.Unmarshal(rc.PostBody(), in); err != nil {
-		writeError(rc, http.StatusBadRequest, codeInvalidArgument, err.Error())
+	if err := json.Unmarshal(httpCtx.PostBody(), in); err != nil {
+		writeError(httpCtx, http.StatusBadRequest, codeInvalidArgument, err.Error())
 		return
 	}
 	if s.mem.Faults().Down {
-		writeFailure(rc, ErrDown)
+		writeFailure(httpCtx, ErrDown)
 		return
 	}
-	rc.SetContentType("application/json")
-	rc.SetBodyStreamWriter(func(w *bufio.Writer) { s.stream(s.ctx, w, &in.Create) })
+	httpCtx.SetContentType("application/json")
+	httpCtx.SetBodyStreamWriter(func(w *bufio.Writer) { s.stream(s.ctx, w, &in.Create) })
 }
 
 func (s *Server) stream(ctx context.Context, w *bufio.Writer, in *gwWatchCreateRequest) {
