--- a/shared/bbstore/client.go
+++ b/shared/bbstore/client.go
@@ -27,8 +27,8 @@
 type ClientOptions struct {
 	// Timeout bounds every call but a watch, beside the caller's context.
 	Timeout time.Duration
-	// WatchIdleTimeout is the longest silence on a watch before its connection counts as
-	// broken. The service's progress notices must come more often.
+	// WatchIdleTimeout is the longest silence on a watch before its connection
+	// counts as broken. The service's progress notices must come more often.
 	WatchIdleTimeout time.Duration
 	// MaxConns is the most connections open at once, watches not counted.
 	MaxConns int
--- a/shared/bbstore/faults.go
+++ b/shared/bbstore/faults.go
@@ -20,16 +20,16 @@
 	// Latency is how long each call takes. A write whose caller stops waiting
 	// takes effect all the same.
 	Latency time.Duration
-	// LoseNextAnswers loses the answers of that many writes: each takes effect and
-	// its caller gets ErrUnknown.
+	// LoseNextAnswers loses the answers of that many writes: each takes effect
+	// and its caller gets ErrUnknown.
 	LoseNextAnswers int
 	// LoseEveryNthAnswer loses the answer of every n-th write; 0 loses none.
 	LoseEveryNthAnswer int
-	// DropNextWrites loses that many writes themselves: the caller gets ErrUnknown
-	// and nothing takes effect.
+	// DropNextWrites loses that many writes themselves: the caller gets
+	// ErrUnknown and nothing takes effect.
 	DropNextWrites int
-	// ApplyDelay, when above 0, gives every writer ErrUnknown at once and lets its
-	// write take effect, if the key has not moved on, only after this time.
+	// ApplyDelay, when above 0, gives every writer ErrUnknown at once and lets
+	// its write take effect, if the key has not moved on, only after this time.
 	ApplyDelay time.Duration
 	// ReadRate and WriteRate bound the calls a second; 0 does not bound.
 	ReadRate, WriteRate float64
@@ -42,7 +42,8 @@
 	Watches int64 `json:"watches"`
 	// OpenWatches is how many watches are open now.
 	OpenWatches int64 `json:"waiting"`
-	// Refused is how many of the calls found the service down or its rate used up.
+	// Refused is how many of the calls found the service down or its rate used
+	// up.
 	Refused int64 `json:"refused"`
 	// LostAnswers is how many writes got no answer.
 	LostAnswers int64 `json:"lost"`
@@ -87,7 +88,8 @@
 	return m.admission.counts
 }
 
-// SilenceWatches silences the watches that are open now for good; new ones work.
+// SilenceWatches silences the watches that are open now for good; new ones
+// work.
 func (m *Mem) SilenceWatches() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/shared/bbstore/mem.go
+++ b/shared/bbstore/mem.go
@@ -95,13 +95,15 @@
 	return m.rev, nil
 }
 
-// putAtNextRevision writes or deletes the key at a new revision and wakes the watches.
+// putAtNextRevision writes or deletes the key at a new revision and wakes the
+// watches.
 func (m *Mem) putAtNextRevision(key string, value []byte, lease LeaseID) {
 	m.rev++
 	m.putAtRevision(key, value, lease)
 }
 
-// putAtRevision writes or deletes the key at the revision in force and wakes the watches.
+// putAtRevision writes or deletes the key at the revision in force and wakes
+// the watches.
 func (m *Mem) putAtRevision(key string, value []byte, lease LeaseID) {
 	if value == nil {
 		delete(m.keys, key)
@@ -243,7 +245,8 @@
 	}
 }
 
-// watchEndError returns why a watch ends, or nil; a silenced one waits for its context.
+// watchEndError returns why a watch ends, or nil; a silenced one waits for its
+// context.
 func watchEndError(ctx context.Context, broken, silenced <-chan struct{}) error {
 	select {
 	case <-silenced:
@@ -258,8 +261,8 @@
 	}
 }
 
-// eventsAfter returns the kept events under prefix after a revision, and a channel
-// that is closed at the next write.
+// eventsAfter returns the kept events under prefix after a revision, and a
+// channel that is closed at the next write.
 func (m *Mem) eventsAfter(prefix string, from Revision) ([]Event, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/shared/bbstore/server.go
+++ b/shared/bbstore/server.go
@@ -61,8 +61,8 @@
 	writeJSON(ctx, out)
 }
 
-// writeFailure answers with what the gateway sends for err; for a lost answer it closes
-// the connection.
+// writeFailure answers with what the gateway sends for err; for a lost answer
+// it closes the connection.
 func writeFailure(ctx *fasthttp.RequestCtx, err error) {
 	switch {
 	case errors.Is(err, ErrUnknown):
