--- a/shared/bbstore/client.go
+++ b/shared/bbstore/client.go
@@ -20,21 +20,23 @@
 	defaultMaxConns  = 64
 )
 
-// errDial means that no connection could be made, so nothing was sent.
+// errDial means that no connection could be opened, so that nothing was sent.
 const errDial = errors.ConstError("dial failed")
 
-// ClientOptions set how a Client reaches the service. The zero value works.
+// ClientOptions configure a Client. Zero fields get defaults.
 type ClientOptions struct {
-	// Timeout bounds every call but a watch, beside the caller's context.
+	// Timeout limits every call except a watch, in addition to the deadline of
+	// the caller's context.
 	Timeout time.Duration
-	// WatchIdleTimeout is the longest silence on a watch before its connection
-	// counts as broken. The service's progress notices must come more often.
+	// WatchIdleTimeout is how long a watch may receive nothing before its
+	// connection counts as broken. It must be longer than the interval of the
+	// service's progress notifications.
 	WatchIdleTimeout time.Duration
-	// MaxConns is the most connections open at once, watches not counted.
+	// MaxConns limits the open connections, not counting those of watches.
 	MaxConns int
 }
 
-// Client is a Store that speaks the JSON gateway of etcd v3 over HTTP.
+// Client is a Store that uses the JSON gateway of etcd v3 over HTTP.
 type Client struct {
 	addr string
 	opts ClientOptions
@@ -43,7 +45,8 @@
 }
 
 // NewClient returns a client of the service at addr (host:port), and a function
-// that closes its connections and waits for its calls. It opens nothing yet.
+// that closes its idle connections and waits for its running calls. It connects
+// on the first call.
 func NewClient(addr string, opts ClientOptions) (*Client, func()) {
 	if opts.Timeout <= 0 {
 		opts.Timeout = defaultTimeout
@@ -114,7 +117,7 @@
 	return e
 }
 
-// CAS writes value if the key is at revision prev; a nil value deletes.
+// CAS writes value if the key is at revision prev; a nil value deletes the key.
 func (c *Client) CAS(ctx context.Context, key string, value []byte, prev Revision, lease LeaseID) (Revision, error) {
 	if len(value) > MaxValueBytes {
 		return 0, errors.Annotatef(ErrTooLarge, "%s: %d bytes", key, len(value))
@@ -132,12 +135,12 @@
 		return 0, err
 	}
 	if !resp.Succeeded {
-		return 0, errors.Annotatef(ErrConflict, "%s not at %d", key, prev)
+		return 0, errors.Annotatef(ErrConflict, "%s: not at revision %d", key, prev)
 	}
 	return Revision(resp.Header.Revision), nil
 }
 
-// Grant makes a lease of ttl, rounded up to whole seconds.
+// Grant creates a lease of ttl, rounded up to whole seconds.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	var lease gwLease
@@ -145,7 +148,8 @@
 	return LeaseID(lease.ID), err
 }
 
-// Renew extends a lease to its full time; ErrLease when it has lapsed.
+// Renew extends a lease to its full duration. It returns ErrLeaseNotFound when
+// the lease has expired.
 func (c *Client) Renew(ctx context.Context, id LeaseID) error {
 	var resp gwKeepAliveResponse
 	if err := c.write(ctx, pathKeepAlive, &gwLease{ID: int64(id)}, &resp); err != nil {
@@ -162,7 +166,8 @@
 	return c.write(ctx, pathRevoke, &gwLease{ID: int64(id)}, &gwLease{})
 }
 
-// read asks once more when a connection kept open was closed meanwhile.
+// read sends a read. It retries once when the server had closed the kept-alive
+// connection.
 func (c *Client) read(ctx context.Context, in *gwRangeRequest, out *gwRangeResponse) error {
 	err := c.call(ctx, pathRange, in, out)
 	if errors.Is(err, fasthttp.ErrConnectionClosed) {
@@ -174,6 +179,8 @@
 	return fmt.Errorf("%w: %w", ErrDown, err)
 }
 
+// write sends a write. Any error that leaves open whether the write took effect
+// becomes ErrUnknown.
 func (c *Client) write(ctx context.Context, path string, in, out any) error {
 	err := c.call(ctx, path, in, out)
 	if err == nil || errors.Is(err, ErrDown) || errors.Is(err, ErrLeaseNotFound) || errors.Is(err, ErrTooLarge) {
@@ -229,8 +236,9 @@
 	req.SetBody(body)
 }
 
-// statusError maps an answer that is not 200. A 503 that tells of a time-out or
-// of a broken connection behind the gateway leaves the outcome of a write open.
+// statusError returns the error for a status other than 200. It does not return
+// ErrDown for a 503 whose message reports a timeout or a broken connection
+// behind the gateway, since a write may then have taken effect.
 func statusError(status int, body []byte) error {
 	var e gwError
 	_ = json.Unmarshal(body, &e)
--- a/shared/bbstore/client_test.go
+++ b/shared/bbstore/client_test.go
@@ -14,7 +14,8 @@
 
 const testWatchIdleTimeout = 500 * time.Millisecond
 
-// newClientWithServer returns a client of a Mem behind a server on loopback.
+// newClientWithServer returns a client of a Server on the loopback interface,
+// and the Mem that the Server serves.
 func newClientWithServer(t *testing.T) (Store, *Mem) {
 	m := NewMem()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,7 +61,7 @@
 		{"not JSON", respondWith(200, "<html>"), ErrDown, ErrUnknown},
 		{"no answer in time", silent, ErrDown, ErrUnknown},
 		{"connection closed", closing, ErrDown, ErrUnknown},
-		{"lease gone", respondWith(404, `{"code":5,"message":"etcdserver: requested lease not found"}`), ErrLeaseNotFound, ErrLeaseNotFound},
+		{"lease not found", respondWith(404, `{"code":5,"message":"etcdserver: requested lease not found"}`), ErrLeaseNotFound, ErrLeaseNotFound},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,7 +104,7 @@
 	is.True(errors.Is(err, ErrUnknown))
 	is.True(time.Since(start) < 200*time.Millisecond)
 	_, err = s.CAS(ctx, "b", []byte("1"), 0, 0)
-	is.True(errors.Is(err, ErrDown)) // nothing left for the service
+	is.True(errors.Is(err, ErrDown)) // nothing was sent to the service
 }
 
 func TestClientSilentWatch(t *testing.T) {
--- a/shared/bbstore/client_watch.go
+++ b/shared/bbstore/client_watch.go
@@ -13,8 +13,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Watch calls fn for each change under prefix after revision from. It has a
-// connection of its own, which counts as broken after a silence of Idle.
+// Watch calls fn for each change under prefix after revision from. It uses a
+// connection of its own, which counts as broken when nothing arrives for
+// WatchIdleTimeout.
 func (c *Client) Watch(ctx context.Context, prefix string, from Revision, fn func(Event) error) error {
 	body, err := json.Marshal(&gwWatchRequest{Create: gwWatchCreateRequest{
 		Key:            rangeKey(prefix),
@@ -42,7 +43,8 @@
 	return readEvents(ctx, json.NewDecoder(resp.BodyStream()), fn)
 }
 
-// watchClient makes the one connection of a watch, which ends with ctx.
+// watchClient returns an HTTP client for one watch. Its connection is closed
+// when ctx ends.
 func (c *Client) watchClient(ctx context.Context) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                          c.addr,
@@ -61,13 +63,13 @@
 	}
 }
 
-// idleTimeoutConn fails a read that gets nothing for the time idle.
+// idleTimeoutConn is a connection whose reads fail after timeout without data.
 type idleTimeoutConn struct {
 	net.Conn
 	timeout time.Duration
 }
 
-// Read reads from the connection. It blocks for idle at most.
+// Read reads from the connection. It blocks for at most timeout.
 func (i *idleTimeoutConn) Read(b []byte) (int, error) {
 	if err := i.SetReadDeadline(time.Now().Add(i.timeout)); err != nil {
 		return 0, err
@@ -75,6 +77,8 @@
 	return i.Conn.Read(b)
 }
 
+// readEvents decodes the messages of a watch and passes their events to fn
+// until the stream ends or fn returns an error.
 func readEvents(ctx context.Context, decoder *json.Decoder, fn func(Event) error) error {
 	for {
 		var message gwWatchMessage
@@ -86,9 +90,9 @@
 		case message.Error != nil:
 			return watchError(ctx, errors.New(message.Error.Message))
 		case result.Canceled && result.CompactRevision > 0:
-			return errors.Annotatef(ErrCompacted, "%d", result.CompactRevision)
+			return errors.Annotatef(ErrCompacted, "compact revision %d", result.CompactRevision)
 		case result.Canceled:
-			return watchError(ctx, errors.New("watch cancelled"))
+			return watchError(ctx, errors.New("watch cancelled by the service"))
 		}
 		for i := range result.Events {
 			if err := fn(result.Events[i].event()); err != nil {
@@ -106,7 +110,8 @@
 	return Event{event}
 }
 
-// watchError returns the context's error when that is why the watch broke.
+// watchError returns the error of ctx when ctx has ended, otherwise err wrapped
+// in ErrDown.
 func watchError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
--- a/shared/bbstore/faults.go
+++ b/shared/bbstore/faults.go
@@ -9,47 +9,51 @@
 	"golang.org/x/time/rate"
 )
 
-// ErrRateLimited means that a call was above the service's rate; it is also an
-// ErrDown, since nothing was written.
-const ErrRateLimited = errors.ConstError("above the service's rate")
+// ErrRateLimited means that a call exceeded the service's rate limit. It comes
+// together with ErrDown, since nothing was written.
+const ErrRateLimited = errors.ConstError("rate limit of the key-value service exceeded")
 
-// Faults are the ways in which a Mem misbehaves. The zero value has none.
+// Faults are the faults that a Mem simulates. The zero value has none.
 type Faults struct {
-	// Down refuses every call and breaks the open watches.
+	// Down refuses every call and ends the open watches.
 	Down bool
-	// Latency is how long each call takes. A write whose caller stops waiting
-	// takes effect all the same.
+	// Latency is the duration of each read and write. A write takes effect even
+	// when its caller stops waiting.
 	Latency time.Duration
-	// LoseNextAnswers loses the answers of that many writes: each takes effect
-	// and its caller gets ErrUnknown.
+	// LoseNextAnswers is the number of writes that take effect but return
+	// ErrUnknown.
 	LoseNextAnswers int
-	// LoseEveryNthAnswer loses the answer of every n-th write; 0 loses none.
+	// LoseEveryNthAnswer makes every n-th write take effect but return
+	// ErrUnknown; 0 affects none.
 	LoseEveryNthAnswer int
-	// DropNextWrites loses that many writes themselves: the caller gets
-	// ErrUnknown and nothing takes effect.
+	// DropNextWrites is the number of writes that have no effect and return
+	// ErrUnknown.
 	DropNextWrites int
-	// ApplyDelay, when above 0, gives every writer ErrUnknown at once and lets
-	// its write take effect, if the key has not moved on, only after this time.
+	// ApplyDelay, when above 0, makes every write return ErrUnknown at once and
+	// take effect only after this time, if the key is then still at the
+	// expected revision.
 	ApplyDelay time.Duration
-	// ReadRate and WriteRate bound the calls a second; 0 does not bound.
+	// ReadRate and WriteRate limit the calls per second; 0 means no limit.
 	ReadRate, WriteRate float64
 }
 
-// Counts tells how often a store was called.
+// Counts are the calls that a store has received.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
-	// OpenWatches is how many watches are open now.
+	// OpenWatches is the number of watches open now.
 	OpenWatches int64 `json:"waiting"`
-	// Refused is how many of the calls found the service down or its rate used
-	// up.
+	// Refused is the number of calls refused because the service was down, the
+	// rate limit was exceeded or the context had ended.
 	Refused int64 `json:"refused"`
-	// LostAnswers is how many writes got no answer.
+	// LostAnswers is the number of writes that returned ErrUnknown because of a
+	// fault.
 	LostAnswers int64 `json:"lost"`
 }
 
-// memAdmission is what each call of a Mem passes: its faults, rates and counts.
+// memAdmission holds the faults, rate limits and counters of a Mem. Every call
+// passes its admit method first.
 type memAdmission struct {
 	faults       Faults
 	counts       Counts
@@ -57,7 +61,8 @@
 	writeLimiter *rate.Limiter
 }
 
-// SetFaults replaces the faults. It does not block.
+// SetFaults replaces the faults; the counted ones start anew. It does not
+// block.
 func (m *Mem) SetFaults(faults Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,22 +79,23 @@
 	}
 }
 
-// Faults returns the faults in force, with what is left of the counted ones.
+// Faults returns the current faults; the counted ones hold what is left of
+// them.
 func (m *Mem) Faults() Faults {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.admission.faults
 }
 
-// Counts returns how often the store was called so far.
+// Counts returns the calls received so far.
 func (m *Mem) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.admission.counts
 }
 
-// SilenceWatches silences the watches that are open now for good; new ones
-// work.
+// SilenceWatches makes the watches that are open now deliver nothing more,
+// without ending them. Watches opened later are not affected.
 func (m *Mem) SilenceWatches() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,6 +105,7 @@
 	}
 }
 
+// newLimiter returns a limiter for calls per second, or nil for no limit.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -106,7 +113,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1)
 }
 
-// admit counts a refused call, and tells why it is refused.
+// admit returns the error of a call that must be refused, and counts the
+// refusal.
 func (a *memAdmission) admit(ctx context.Context, limiter *rate.Limiter) error {
 	var err error
 	switch {
@@ -123,7 +131,7 @@
 	return err
 }
 
-// admitRead passes one read through the gate and waits as long as reads take.
+// admitRead counts a read, refuses it or waits for the latency of the store.
 func (m *Mem) admitRead(ctx context.Context) error {
 	m.mu.Lock()
 	m.admission.counts.Reads++
@@ -146,7 +154,8 @@
 	err error
 }
 
-// write passes one write through the gate; apply runs under the lock.
+// write counts a write, refuses it or applies it according to the faults. apply
+// is called with m.mu held.
 func (m *Mem) write(ctx context.Context, apply func() (Revision, error)) (Revision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -174,6 +183,7 @@
 	return apply()
 }
 
+// takeLostAnswer reports whether the answer of this write is to be lost.
 func (m *Mem) takeLostAnswer() bool {
 	faults := &m.admission.faults
 	if faults.LoseNextAnswers > 0 {
@@ -183,7 +193,8 @@
 	return faults.LoseEveryNthAnswer > 0 && m.admission.counts.Writes%int64(faults.LoseEveryNthAnswer) == 0
 }
 
-// applyAfter applies a write whose answer nobody gets, at once when d is 0.
+// applyAfter applies a write after delay and discards the result. Without a
+// delay it applies the write at once; m.mu must be held.
 func (m *Mem) applyAfter(delay time.Duration, apply func() (Revision, error)) {
 	if delay <= 0 {
 		_, _ = apply()
@@ -196,7 +207,8 @@
 	})
 }
 
-// applySlowly gives up the lock while it waits for the answer of a slow write.
+// applySlowly applies a write after latency and returns the result. m.mu must
+// be held; it is released during the wait.
 func (m *Mem) applySlowly(ctx context.Context, latency time.Duration, apply func() (Revision, error)) (Revision, error) {
 	answer := make(chan writeResult, 1)
 	time.AfterFunc(latency, func() {
@@ -215,8 +227,8 @@
 	}
 }
 
-// openWatch passes a watch through the gate and returns the channels that
-// break and silence it.
+// openWatch counts a watch and refuses it or returns the channels that are
+// closed to break it and to silence it.
 func (m *Mem) openWatch(ctx context.Context) (broken, silenced <-chan struct{}, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/shared/bbstore/gateway.go
+++ b/shared/bbstore/gateway.go
@@ -1,7 +1,7 @@
 package bbstore
 
-// The messages of the etcd v3 JSON gateway that a Client sends and a Server
-// answers: int64 as strings, keys and values in base64.
+// The messages of the etcd v3 JSON gateway, as far as Client and Server use
+// them. The gateway encodes int64 as strings, and keys and values in base64.
 
 const (
 	pathRange     = "/v3/kv/range"
@@ -12,7 +12,7 @@
 	pathWatch     = "/v3/watch"
 )
 
-// Codes of errors in the gateway's answers.
+// gRPC status codes in the error responses of the gateway.
 const (
 	codeInvalidArgument   = 3
 	codeNotFound          = 5
@@ -70,7 +70,8 @@
 	Succeeded bool     `json:"succeeded,omitempty"`
 }
 
-// gwLease is the question and the answer of each lease call. TTL is in seconds.
+// gwLease is the request and the response of the lease calls. TTL is in
+// seconds.
 type gwLease struct {
 	ID  int64 `json:"ID,string,omitempty"`
 	TTL int64 `json:"TTL,string,omitempty"`
@@ -119,7 +120,8 @@
 	eventDelete = "DELETE"
 )
 
-// rangeEnd returns the key after all keys with the prefix.
+// rangeEnd returns the end of the range of keys with the prefix: the first key
+// after all of them, or \x00, which means no end.
 func rangeEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -131,7 +133,8 @@
 	return []byte{0}
 }
 
-// rangeKey returns the first key of the range of a prefix.
+// rangeKey returns the start of the range of keys with the prefix. The gateway
+// does not accept an empty key; \x00 stands for the first key.
 func rangeKey(prefix string) []byte {
 	if prefix == "" {
 		return []byte{0}
--- a/shared/bbstore/mem.go
+++ b/shared/bbstore/mem.go
@@ -10,11 +10,12 @@
 	"github.com/juju/errors"
 )
 
-// memHistory is how many events a Mem keeps for watches that start late.
+// memHistory is the number of events that a Mem keeps for watches from an older
+// revision.
 const memHistory = 10000
 
-// Mem is a Store in memory with leases, watches and faults that can be switched
-// while it runs. The zero value is an empty store without faults.
+// Mem is a Store in memory. It simulates faults, which can be changed while it
+// is in use. The zero value is an empty store without faults.
 type Mem struct {
 	mu              sync.Mutex
 	rev             Revision
@@ -22,9 +23,9 @@
 	leases          map[LeaseID]*memLease
 	lastLease       LeaseID
 	history         []Event
-	compactedTo     Revision // revision of the newest event that is no longer kept
-	nextWrite       chan struct{}
-	watchesBroken   chan struct{} // closed to break the open watches
+	compactedTo     Revision      // revision of the newest discarded event
+	nextWrite       chan struct{} // closed at the next write
+	watchesBroken   chan struct{} // closed to end the open watches with ErrDown
 	watchesSilenced chan struct{} // closed to silence the open watches
 	admission       memAdmission
 }
@@ -70,7 +71,7 @@
 	return entries, m.rev, nil
 }
 
-// CAS writes value if the key is at revision prev; a nil value deletes.
+// CAS writes value if the key is at revision prev; a nil value deletes the key.
 func (m *Mem) CAS(ctx context.Context, key string, value []byte, prev Revision, lease LeaseID) (Revision, error) {
 	if len(value) > MaxValueBytes {
 		return 0, errors.Annotatef(ErrTooLarge, "%s: %d bytes", key, len(value))
@@ -81,9 +82,11 @@
 	return m.write(ctx, func() (Revision, error) { return m.applyCAS(key, value, prev, lease) })
 }
 
+// applyCAS executes a CAS. Deleting an absent key makes no event and no
+// revision.
 func (m *Mem) applyCAS(key string, value []byte, prev Revision, lease LeaseID) (Revision, error) {
 	if m.keys[key].rev != prev {
-		return 0, errors.Annotatef(ErrConflict, "%s at %d, not %d", key, m.keys[key].rev, prev)
+		return 0, errors.Annotatef(ErrConflict, "%s: at revision %d, expected %d", key, m.keys[key].rev, prev)
 	}
 	if lease != 0 && m.leases[lease] == nil {
 		return 0, ErrLeaseNotFound
@@ -95,14 +98,13 @@
 	return m.rev, nil
 }
 
-// putAtNextRevision writes or deletes the key at a new revision and wakes the
-// watches.
+// putAtNextRevision writes or deletes the key at a new revision.
 func (m *Mem) putAtNextRevision(key string, value []byte, lease LeaseID) {
 	m.rev++
 	m.putAtRevision(key, value, lease)
 }
 
-// putAtRevision writes or deletes the key at the revision in force and wakes
+// putAtRevision writes or deletes the key at the current revision and notifies
 // the watches.
 func (m *Mem) putAtRevision(key string, value []byte, lease LeaseID) {
 	if value == nil {
@@ -132,7 +134,7 @@
 	return Entry{Key: key, Value: append([]byte{}, v.value...), Rev: v.rev}
 }
 
-// Grant makes a lease; keys written under it go when it lapses.
+// Grant creates a lease. The keys written under it are deleted when it expires.
 func (m *Mem) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	id, err := m.write(ctx, func() (Revision, error) {
 		if m.leases == nil {
@@ -146,7 +148,8 @@
 	return LeaseID(id), err
 }
 
-// Renew extends a lease to its full time; ErrLease when it has lapsed.
+// Renew extends a lease to its full duration. It returns ErrLeaseNotFound when
+// the lease has expired.
 func (m *Mem) Renew(ctx context.Context, id LeaseID) error {
 	_, err := m.write(ctx, func() (Revision, error) {
 		l := m.leases[id]
@@ -171,13 +174,14 @@
 	return err
 }
 
-// ExpireLease ends a lease as if its time had run out. It does not block.
+// ExpireLease ends a lease as if its duration had passed. It does not block.
 func (m *Mem) ExpireLease(id LeaseID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expireLease(id)
 }
 
+// expireLease is ExpireLease with m.mu held.
 func (m *Mem) expireLease(id LeaseID) {
 	lease := m.leases[id]
 	if lease == nil {
@@ -202,8 +206,8 @@
 	return m.watch(ctx, prefix, from, 0, func(e *Event) error { return fn(*e) })
 }
 
-// watch calls fn with nil whenever the time progress has passed without an
-// event; 0 never does.
+// watch is Watch with progress notifications: it calls fn with nil whenever no
+// event came for the time progress; 0 turns them off.
 func (m *Mem) watch(ctx context.Context, prefix string, from Revision, progress time.Duration, fn func(*Event) error) error {
 	broken, silenced, err := m.openWatch(ctx)
 	if err != nil {
@@ -245,8 +249,8 @@
 	}
 }
 
-// watchEndError returns why a watch ends, or nil; a silenced one waits for its
-// context.
+// watchEndError returns the error with which a watch must end, or nil. For a
+// silenced watch it blocks until ctx ends.
 func watchEndError(ctx context.Context, broken, silenced <-chan struct{}) error {
 	select {
 	case <-silenced:
@@ -261,13 +265,14 @@
 	}
 }
 
-// eventsAfter returns the kept events under prefix after a revision, and a
-// channel that is closed at the next write.
+// eventsAfter returns the events under prefix after a revision, and a channel
+// that is closed at the next write. It returns ErrCompacted when events after
+// that revision, under any prefix, have been discarded.
 func (m *Mem) eventsAfter(prefix string, from Revision) ([]Event, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if from < m.compactedTo {
-		return nil, nil, errors.Annotatef(ErrCompacted, "%d", from)
+		return nil, nil, errors.Annotatef(ErrCompacted, "watch from revision %d", from)
 	}
 	if m.nextWrite == nil {
 		m.nextWrite = make(chan struct{})
@@ -282,7 +287,8 @@
 	return events, m.nextWrite, nil
 }
 
-// Compact forgets the events up to now, so that older watches must list again.
+// Compact discards all events so far. A watch from an older revision then fails
+// with ErrCompacted.
 func (m *Mem) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/shared/bbstore/mem_swap.go
+++ b/shared/bbstore/mem_swap.go
@@ -7,8 +7,9 @@
 	"github.com/juju/errors"
 )
 
-// Swap writes all rows at one revision if each key is at the row's revision, or
-// none; a nil value deletes. On ErrConflict it returns the rows as they are.
+// Swap is a compare-and-swap of several keys: it writes all rows at one
+// revision if every key is at the revision of its row, and none otherwise. A
+// nil value deletes the key. With ErrConflict it returns the current rows.
 func (m *Mem) Swap(ctx context.Context, rows []Entry, lease LeaseID) (Revision, []Entry, error) {
 	copies := make([]Entry, len(rows))
 	for i, r := range rows {
@@ -33,10 +34,12 @@
 	return 0, current, err
 }
 
+// applySwap executes a Swap. Unlike applyCAS it makes an event and a revision
+// also for deleting an absent key.
 func (m *Mem) applySwap(rows []Entry, lease LeaseID) (Revision, error) {
 	for _, r := range rows {
 		if current := m.keys[r.Key].rev; current != r.Rev {
-			return 0, errors.Annotatef(ErrConflict, "%s at %d, not %d", r.Key, current, r.Rev)
+			return 0, errors.Annotatef(ErrConflict, "%s: at revision %d, expected %d", r.Key, current, r.Rev)
 		}
 	}
 	if lease != 0 && m.leases[lease] == nil {
@@ -49,8 +52,8 @@
 	return m.rev, nil
 }
 
-// Poll waits up to wait for changes under prefix after a revision, and returns
-// them with the revision to go on from.
+// Poll waits up to wait for changes under prefix after a revision. It returns
+// them and the revision to continue from.
 func (m *Mem) Poll(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error) {
 	broken, silenced, err := m.openWatch(ctx)
 	if err != nil {
--- a/shared/bbstore/server.go
+++ b/shared/bbstore/server.go
@@ -12,22 +12,24 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Server answers the JSON gateway of etcd v3 from a Mem, faults included. It
-// stands in for the platform's service in tests and demonstrations.
+// Server is a fake of the platform's key-value service for tests and
+// demonstrations. It serves a Mem, with its faults, over the JSON gateway of
+// etcd v3.
 type Server struct {
 	mem              *Mem
 	progressInterval time.Duration
 	ctx              context.Context
 }
 
-// NewServer returns a server of m that sends a notice on a silent watch each
-// time progress (0: never) has passed, and a function that ends its watches.
+// NewServer returns a server of m, and a function that ends its watches. A
+// watch sends a progress notification whenever no event came for the time
+// progress; 0 turns them off.
 func NewServer(m *Mem, progress time.Duration) (*Server, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{mem: m, progressInterval: progress, ctx: ctx}, cancel
 }
 
-// Handle answers one request.
+// Handle serves one request.
 func (s *Server) Handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case pathRange:
@@ -47,6 +49,7 @@
 	}
 }
 
+// handle decodes the request, calls fn and writes its response or error.
 func handle[In, Out any](ctx *fasthttp.RequestCtx, fn func(context.Context, *In) (*Out, error)) {
 	in := new(In)
 	if err := json.Unmarshal(ctx.PostBody(), in); err != nil {
@@ -61,8 +64,8 @@
 	writeJSON(ctx, out)
 }
 
-// writeFailure answers with what the gateway sends for err; for a lost answer
-// it closes the connection.
+// writeFailure writes the response that the gateway sends for err. For
+// ErrUnknown it closes the connection without a response.
 func writeFailure(ctx *fasthttp.RequestCtx, err error) {
 	switch {
 	case errors.Is(err, ErrUnknown):
@@ -115,7 +118,8 @@
 	return resp, nil
 }
 
-// prefixOf takes a range's first key for its prefix: no other range is served.
+// prefixOf returns the prefix of a range that starts at key. Only ranges made
+// by rangeKey and rangeEnd are supported.
 func prefixOf(key []byte) string {
 	if len(key) == 1 && key[0] == 0 {
 		return ""
@@ -129,7 +133,7 @@
 
 func (s *Server) txn(ctx context.Context, in *gwTxnRequest) (*gwTxnResponse, error) {
 	if len(in.Compare) != 1 || len(in.Success) != 1 || in.Compare[0].Target != "MOD" {
-		return nil, errors.New("only one compare of MOD with one operation is served")
+		return nil, errors.New("unsupported transaction: it must have one comparison, of MOD, and one operation")
 	}
 	prev, op := Revision(in.Compare[0].ModRevision), in.Success[0]
 	var value []byte
@@ -161,8 +165,8 @@
 	return &gwLease{}, s.mem.Revoke(ctx, LeaseID(in.ID))
 }
 
-// watch streams one JSON line for each event until the caller goes, the service
-// goes down or the server stops.
+// watch streams one JSON line for each event until the caller disconnects, the
+// store is down or the server stops.
 func (s *Server) watch(httpCtx *fasthttp.RequestCtx) {
 	in := new(gwWatchRequest)
 	if err := json.Unmarshal(httpCtx.PostBody(), in); err != nil {
--- a/shared/bbstore/store.go
+++ b/shared/bbstore/store.go
@@ -1,5 +1,6 @@
-// Package bbstore reaches the platform's key-value service through one narrow
-// interface: compare-and-swap, leases and watches.
+// Package bbstore defines the interface to the platform's key-value service
+// (compare-and-swap, leases, watches) and has two implementations: a client of
+// the JSON gateway of etcd v3, and a store in memory with faults for tests.
 package bbstore
 
 import (
@@ -9,36 +10,39 @@
 	"github.com/juju/errors"
 )
 
-// Sentinel errors of a Store, tested with errors.Is.
+// Sentinel errors of a Store, for errors.Is.
 const (
-	// ErrConflict means that the key was not at the expected revision, and
-	// that nothing was written.
+	// ErrConflict means that the key was not at the expected revision;
+	// nothing was written.
 	ErrConflict = errors.ConstError("compare-and-swap conflict")
-	// ErrUnknown means that the answer was lost: the write may have taken
-	// effect, and may still take effect until the key moves on.
+	// ErrUnknown means that no response to a write arrived. The write may have
+	// taken effect, or may still do so until the key has a newer revision.
 	ErrUnknown = errors.ConstError("write outcome unknown")
-	// ErrDown means that the service could not be reached or refused the call:
+	// ErrDown means that the service could not be reached or refused the call;
 	// nothing was written.
 	ErrDown = errors.ConstError("key-value service unavailable")
-	// ErrTooLarge means that the value is above MaxValue; nothing was sent.
+	// ErrTooLarge means that the value exceeds MaxValueBytes; nothing was
+	// written.
 	ErrTooLarge = errors.ConstError("value too large")
-	// ErrLeaseNotFound means that the lease is unknown or has lapsed.
+	// ErrLeaseNotFound means that the lease does not exist or has expired.
 	ErrLeaseNotFound = errors.ConstError("lease not found")
-	// ErrCompacted means that a watch asked for events that are no longer kept;
-	// the caller lists the prefix and watches from the listed revision.
+	// ErrCompacted means that the service no longer has the events that a watch
+	// asked for. The caller must list the prefix and watch from the revision of
+	// the listing.
 	ErrCompacted = errors.ConstError("revision compacted")
 )
 
-// MaxValueBytes is the largest value the service holds, in bytes.
+// MaxValueBytes is the size of the largest value that the service accepts.
 const MaxValueBytes = 1 << 20
 
-// Revision orders the writes of the whole service; 0 means absent.
+// Revision numbers the writes of the whole service in order; 0 stands for an
+// absent key.
 type Revision int64
 
-// LeaseID names a lease; 0 means none.
+// LeaseID identifies a lease; 0 means none.
 type LeaseID int64
 
-// Entry is one key with its value and the revision that last wrote it.
+// Entry is a key, its value and the revision of its last write.
 type Entry struct {
 	Key   string
 	Value []byte
@@ -50,26 +54,28 @@
 	Entry
 }
 
-// Store is the platform's key-value service. Every call may block up to the
-// context's deadline and counts against the service's rates; a waiting watch
-// counts as one.
+// Store is the platform's key-value service. Every call may block until the
+// deadline of its context and counts against the service's rate limits; a watch
+// counts once, however long it waits.
 type Store interface {
 	// Get returns the entry, with Rev 0 and no error when the key is absent.
 	Get(ctx context.Context, key string) (Entry, error)
-	// List returns the entries under the prefix in key order, and the revision
-	// the listing stands for.
+	// List returns the entries under the prefix in key order, and a revision
+	// from which a watch misses no later change.
 	List(ctx context.Context, prefix string) ([]Entry, Revision, error)
-	// CAS writes value if the key is at revision prev (0: absent). A nil value
-	// deletes. It returns the new revision, or ErrConflict, ErrUnknown,
-	// ErrDown, ErrLease or ErrTooLarge.
+	// CAS (compare-and-swap) writes value if the key is at revision prev (0:
+	// absent). A nil value deletes the key. It returns the new revision, or
+	// ErrConflict, ErrUnknown, ErrDown, ErrLeaseNotFound or ErrTooLarge.
 	CAS(ctx context.Context, key string, value []byte, prev Revision, lease LeaseID) (Revision, error)
-	// Grant makes a lease; keys written under it go when it lapses.
+	// Grant creates a lease. The keys written under it are deleted when it
+	// expires.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew extends a lease to its full time; ErrLease when it has lapsed.
+	// Renew extends a lease to its full duration. It returns ErrLeaseNotFound
+	// when the lease has expired.
 	Renew(ctx context.Context, id LeaseID) error
 	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
 	// Watch calls fn for each change under prefix after revision from, in
-	// order, until ctx ends, fn fails or the connection breaks.
+	// order, until ctx ends, fn returns an error or the connection breaks.
 	Watch(ctx context.Context, prefix string, from Revision, fn func(Event) error) error
 }
--- a/shared/bbstore/store_test.go
+++ b/shared/bbstore/store_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// contractStore makes a Store for the contract, and the Mem behind it.
+// contractStore is an implementation of Store under test. newStore returns an
+// empty store and the Mem that holds its data.
 type contractStore struct {
 	name     string
 	newStore func(t *testing.T) (Store, *Mem)
@@ -45,7 +46,7 @@
 		is.NoErr(err)
 		is.Equal(e, Entry{Key: "a", Value: []byte("2"), Rev: r2})
 	}},
-	{"delete needs the revision too", func(is *is.I, ctx context.Context, s Store, _ *Mem) {
+	{"a delete with another revision conflicts", func(is *is.I, ctx context.Context, s Store, _ *Mem) {
 		r1, err := s.CAS(ctx, "a", []byte{}, 0, 0)
 		is.NoErr(err)
 		_, err = s.CAS(ctx, "a", nil, r1+1, 0)
@@ -93,7 +94,7 @@
 		is.NoErr(s.Revoke(ctx, id))
 		is.True(errors.Is(s.Revoke(ctx, id), ErrLeaseNotFound))
 	}},
-	{"a lease lapses by itself", func(is *is.I, ctx context.Context, s Store, _ *Mem) {
+	{"a lease expires after its duration", func(is *is.I, ctx context.Context, s Store, _ *Mem) {
 		id, err := s.Grant(ctx, time.Second)
 		is.NoErr(err)
 		_, err = s.CAS(ctx, "a", []byte("1"), 0, id)
@@ -103,7 +104,7 @@
 		is.Equal(e.Value, []byte(nil))
 		is.True(errors.Is(s.Renew(ctx, id), ErrLeaseNotFound))
 	}},
-	{"down", func(is *is.I, ctx context.Context, s Store, m *Mem) {
+	{"the service is down", func(is *is.I, ctx context.Context, s Store, m *Mem) {
 		m.SetFaults(Faults{Down: true})
 		_, err := s.Get(ctx, "a")
 		is.True(errors.Is(err, ErrDown))
@@ -115,7 +116,7 @@
 		is.True(errors.Is(err, ErrDown))
 		is.True(errors.Is(s.Watch(ctx, "a", 0, func(Event) error { return nil }), ErrDown))
 	}},
-	{"answer lost after the write", func(is *is.I, ctx context.Context, s Store, m *Mem) {
+	{"the answer of a write is lost", func(is *is.I, ctx context.Context, s Store, m *Mem) {
 		m.SetFaults(Faults{LoseNextAnswers: 1})
 		_, err := s.CAS(ctx, "a", []byte("1"), 0, 0)
 		is.True(errors.Is(err, ErrUnknown))
@@ -123,14 +124,14 @@
 		is.NoErr(err)
 		is.Equal(e.Value, []byte("1"))
 	}},
-	{"write lost", func(is *is.I, ctx context.Context, s Store, m *Mem) {
+	{"a write is lost", func(is *is.I, ctx context.Context, s Store, m *Mem) {
 		m.SetFaults(Faults{DropNextWrites: 1})
 		_, err := s.CAS(ctx, "a", []byte("1"), 0, 0)
 		is.True(errors.Is(err, ErrUnknown))
 		_, err = s.CAS(ctx, "a", []byte("2"), 0, 0)
 		is.NoErr(err)
 	}},
-	{"write takes effect late", func(is *is.I, ctx context.Context, s Store, m *Mem) {
+	{"a write takes effect late", func(is *is.I, ctx context.Context, s Store, m *Mem) {
 		m.SetFaults(Faults{ApplyDelay: 20 * time.Millisecond})
 		_, err := s.CAS(ctx, "a", []byte("1"), 0, 0)
 		is.True(errors.Is(err, ErrUnknown))
@@ -140,7 +141,7 @@
 		is.NoErr(err)
 		is.Equal(e.Value, []byte("1"))
 	}},
-	{"a late write fails once the key has moved on", func(is *is.I, ctx context.Context, s Store, m *Mem) {
+	{"a late write fails when the key has a newer revision", func(is *is.I, ctx context.Context, s Store, m *Mem) {
 		m.SetFaults(Faults{ApplyDelay: 20 * time.Millisecond})
 		_, err := s.CAS(ctx, "a", []byte("1"), 0, 0)
 		is.True(errors.Is(err, ErrUnknown))
@@ -152,7 +153,7 @@
 		is.NoErr(err)
 		is.Equal(e.Value, []byte("2"))
 	}},
-	{"slow past the deadline", func(is *is.I, ctx context.Context, s Store, m *Mem) {
+	{"a call takes longer than its deadline", func(is *is.I, ctx context.Context, s Store, m *Mem) {
 		m.SetFaults(Faults{Latency: 200 * time.Millisecond})
 		short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		defer cancel()
@@ -166,7 +167,7 @@
 		is.NoErr(err)
 		is.Equal(e.Value, []byte("1"))
 	}},
-	{"above the rate", func(is *is.I, ctx context.Context, s Store, m *Mem) {
+	{"rate limit exceeded", func(is *is.I, ctx context.Context, s Store, m *Mem) {
 		m.SetFaults(Faults{WriteRate: 1})
 		var err error
 		for i := 0; i < 5 && err == nil; i++ {
@@ -234,7 +235,7 @@
 				s, m := impl.newStore(t)
 				c.check(is, ctx, s, m)
 				if ctx.Err() != nil {
-					t.Fatal("took too long")
+					t.Fatal("the case did not end before its deadline")
 				}
 			})
 		}
