--- a/shared/bbstore/client_test.go
+++ b/shared/bbstore/client_test.go
@@ -27,10 +27,10 @@
 	return c, m
 }
 
-func serve(t *testing.T, l net.Listener, h fasthttp.RequestHandler, stop func()) {
-	srv := &fasthttp.Server{Handler: h, CloseOnShutdown: true}
+func serve(t *testing.T, listener net.Listener, handler fasthttp.RequestHandler, stop func()) {
+	srv := &fasthttp.Server{Handler: handler, CloseOnShutdown: true}
 	var wg conc.WaitGroup
-	wg.Go(func() { _ = srv.Serve(l) })
+	wg.Go(func() { _ = srv.Serve(listener) })
 	t.Cleanup(func() {
 		stop()
 		_ = srv.Shutdown()
@@ -46,8 +46,8 @@
 }
 
 func TestClientErrors(t *testing.T) {
-	silent := func(*fasthttp.RequestCtx) { time.Sleep(300 * time.Millisecond) }
-	closing := func(ctx *fasthttp.RequestCtx) { writeFailure(ctx, ErrUnknown) }
+	tooSlow := func(*fasthttp.RequestCtx) { time.Sleep(300 * time.Millisecond) }
+	closeWithoutAnswer := func(ctx *fasthttp.RequestCtx) { writeFailure(ctx, ErrUnknown) }
 	cases := []struct {
 		name        string
 		handler     fasthttp.RequestHandler
@@ -59,8 +59,8 @@
 		{"429", respondWith(429, ""), ErrDown, ErrDown},
 		{"500", respondWith(500, ""), ErrDown, ErrUnknown},
 		{"not JSON", respondWith(200, "<html>"), ErrDown, ErrUnknown},
-		{"no answer in time", silent, ErrDown, ErrUnknown},
-		{"connection closed", closing, ErrDown, ErrUnknown},
+		{"no answer in time", tooSlow, ErrDown, ErrUnknown},
+		{"connection closed", closeWithoutAnswer, ErrDown, ErrUnknown},
 		{"lease not found", respondWith(404, `{"code":5,"message":"etcdserver: requested lease not found"}`), ErrLeaseNotFound, ErrLeaseNotFound},
 	}
 	for _, c := range cases {
