--- a/shared/bbstore/client.go
+++ b/shared/bbstore/client.go
@@ -73,6 +73,7 @@
 	}
 }
 
+// dial opens a TCP connection. Its error is errDial.
 func dial(addr string, timeout time.Duration) (net.Conn, error) {
 	if timeout <= 0 || timeout > defaultTimeout {
 		timeout = defaultTimeout
@@ -212,6 +213,8 @@
 	}
 }
 
+// post sends one request, waits for its response until the deadline and decodes
+// it into out.
 func (c *Client) post(path string, body []byte, deadline time.Time, out any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
