--- a/bluebellport/src/engine_client.go
+++ b/bluebellport/src/engine_client.go
@@ -128,7 +128,7 @@
 // be tried.
 func passThroughError(ctx context.Context, resp *fasthttp.Response, answer *Answer) error {
 	if resp.StatusCode() >= http.StatusInternalServerError {
-		return errors.WithType(errors.Errorf("target answered with status %d", resp.StatusCode()), errTargetFailed)
+		return errors.WithType(errors.Errorf("target answered %d", resp.StatusCode()), errTargetFailed)
 	}
 	b, err := readBody(resp)
 	if err != nil {
@@ -170,7 +170,7 @@
 		Usage *tokenUsage `json:"usage"`
 	}
 	if err := json.Unmarshal(b, &response); err != nil {
-		return errors.WithType(errors.Annotate(err, "response of the engine"), errTargetFailed)
+		return errors.WithType(errors.Annotate(err, "answer"), errTargetFailed)
 	}
 	relay.usage = response.Usage
 	if response.Usage != nil {
@@ -235,7 +235,7 @@
 }
 
 // errNotResumable means that the engine cannot resume the request's stream.
-const errNotResumable = errors.ConstError("engine cannot resume the stream")
+const errNotResumable = errors.ConstError("stream cannot be resumed")
 
 // resumeOnce requests the events after the last one received.
 func (ec *engineClient) resumeOnce(ctx context.Context, req *clientRequest, ea *engineAttempt, relay *chatRelay, answer *Answer) error {
--- a/bluebellport/src/order.go
+++ b/bluebellport/src/order.go
@@ -244,7 +244,7 @@
 	case code == fasthttp.StatusConflict:
 		return errors.Annotatef(ErrStaleFence, "order %d to target %q", intent.Fence, t.ID)
 	case code < 200 || code > 299:
-		return errors.Annotatef(ErrNotAcknowledged, "target answered with status %d", code)
+		return errors.Annotatef(ErrNotAcknowledged, "status %d", code)
 	}
 	return nil
 }
--- a/bluebellport/src/plain_client.go
+++ b/bluebellport/src/plain_client.go
@@ -98,7 +98,7 @@
 		return err
 	}
 	if req.idempotent && resp.StatusCode() >= http.StatusInternalServerError {
-		return errors.WithType(errors.Errorf("target answered with status %d", resp.StatusCode()), errTargetFailed)
+		return errors.WithType(errors.Errorf("target answered %d", resp.StatusCode()), errTargetFailed)
 	}
 	b, err := readBody(resp)
 	if err != nil {
--- a/bluebellport/src/sse.go
+++ b/bluebellport/src/sse.go
@@ -95,7 +95,7 @@
 func (r *chatRelay) process(event sseEvent, wantUsage bool) ([]byte, error) {
 	var chunk chatChunk
 	if err := json.Unmarshal(event.data, &chunk); err != nil {
-		return nil, errors.WithType(errors.Annotate(err, "streamed chunk"), errTargetFailed)
+		return nil, errors.WithType(errors.Annotate(err, "chunk"), errTargetFailed)
 	}
 	if event.id > 0 {
 		r.lastEvent = event.id
--- a/bluebellport/src/target_conns.go
+++ b/bluebellport/src/target_conns.go
@@ -158,7 +158,7 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(stream, maxResponseBytes+1))
 	if err == nil && len(b) > maxResponseBytes {
-		err = errors.WithType(errors.Errorf("response body exceeds %d bytes", maxResponseBytes), errTargetFailed)
+		err = errors.WithType(errors.Errorf("answer above %d bytes", maxResponseBytes), errTargetFailed)
 	}
 	return b, errors.Trace(err)
 }
