--- a/bluebellctl/src/bill.go
+++ b/bluebellctl/src/bill.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// bill is one record, as operators read it.
-type bill struct {
+// recordRow is one record, as operators read it.
+type recordRow struct {
 	Kind    string           `json:"kind"`
 	Made    time.Time        `json:"made"`
 	Account bbunit.AccountID `json:"account"`
@@ -46,8 +46,8 @@
 	Owner   string           `json:"owner"`
 }
 
-func billOf(r *bbwire.Record) bill {
-	return bill{
+func newRecordRow(r *bbwire.Record) recordRow {
+	return recordRow{
 		Kind: strings.ToLower(r.Kind.String()), Made: time.UnixMilli(r.Made).UTC(),
 		Account: bbunit.AccountID(r.Account), Request: bbunit.RequestID(r.Request),
 		Service: bbunit.ServiceID(r.Service), Target: bbunit.TargetID(r.Target),
@@ -66,9 +66,9 @@
 		for _, t := range sums {
 			cells = append(cells, []any{t.Account, t.Bills, t.Amount, t.Claims, t.Unknown, t.Held})
 		}
-		return e.show(sums, []string{"ACCOUNT", "BILLS", "TOKENS", "CLAIMS", "UNKNOWN", "HELD"}, cells)
+		return e.render(sums, []string{"ACCOUNT", "BILLS", "TOKENS", "CLAIMS", "UNKNOWN", "HELD"}, cells)
 	}
-	return e.showBills(list)
+	return e.renderRecords(list)
 }
 
 func showBill(ctx context.Context, e *env, f bbjournal.Filter) error {
@@ -79,16 +79,16 @@
 	if len(list) == 0 {
 		return errors.WithType(errors.Errorf("request: no record: %q", f.Request), errUsage)
 	}
-	return e.showBills(list)
+	return e.renderRecords(list)
 }
 
-func (e *env) showBills(list []*bbwire.Record) error {
-	bills := make([]bill, 0, len(list))
+func (e *env) renderRecords(list []*bbwire.Record) error {
+	bills := make([]recordRow, 0, len(list))
 	var cells [][]any
 	for _, r := range list {
-		b := billOf(r)
+		b := newRecordRow(r)
 		bills = append(bills, b)
 		cells = append(cells, []any{b.Made.Format(time.RFC3339), b.Kind, b.Account, b.Request, b.Service, b.Target, b.Budget, b.Tokens})
 	}
-	return e.show(bills, []string{"MADE", "KIND", "ACCOUNT", "REQUEST", "SERVICE", "TARGET", "BUDGET", "TOKENS"}, cells)
+	return e.render(bills, []string{"MADE", "KIND", "ACCOUNT", "REQUEST", "SERVICE", "TARGET", "BUDGET", "TOKENS"}, cells)
 }
--- a/bluebellctl/src/budget.go
+++ b/bluebellctl/src/budget.go
@@ -75,13 +75,13 @@
 		return err
 	}
 	if detail && e.opts.Output == formatTable {
-		return e.show(list, []string{"BUDGET", "HOLDER", "DOMAIN", "DRAWN", "SPENT", "STUCK", "WITNESS OR REASON"}, holderRows(list))
+		return e.render(list, []string{"BUDGET", "HOLDER", "DOMAIN", "DRAWN", "SPENT", "STUCK", "WITNESS OR REASON"}, holderRows(list))
 	}
 	var cells [][]any
 	for _, b := range list {
 		cells = append(cells, []any{b.Budget, b.Paid, b.Drawn, b.Spent, b.Stuck, b.Remaining, len(b.Holders)})
 	}
-	return e.show(list, []string{"BUDGET", "PAID", "DRAWN", "SPENT", "STUCK", "REST", "HOLDERS"}, cells)
+	return e.render(list, []string{"BUDGET", "PAID", "DRAWN", "SPENT", "STUCK", "REST", "HOLDERS"}, cells)
 }
 
 // holderRows lists each holder and each stuck amount.
@@ -106,7 +106,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	fmt.Fprintf(e.info, "budget %s: %d tokens given back\n", b, n)
+	fmt.Fprintf(e.stderr, "budget %s: %d tokens given back\n", b, n)
 	return nil
 }
 
@@ -118,7 +118,7 @@
 	undo := func() {
 		for _, id := range capped {
 			if err := bbledger.Uncap(context.WithoutCancel(ctx), e.store, id, t.Number, nonce); err != nil {
-				fmt.Fprintf(e.info, "budget %s: the cap of refused ticket %d stands until a ticket sets the budget: %s\n", id, t.Number, err)
+				fmt.Fprintf(e.stderr, "budget %s: the cap of refused ticket %d stands until a ticket sets the budget: %s\n", id, t.Number, err)
 			}
 		}
 	}
--- a/bluebellctl/src/cause.go
+++ b/bluebellctl/src/cause.go
@@ -8,17 +8,17 @@
 
 // cause says in a sentence why a request ended as it did, as far as its last
 // steps tell.
-func (s *story) cause() string {
+func (s *timeline) cause() string {
 	last := s.Steps[len(s.Steps)-1]
 	switch last.Line.Msg {
 	case "refused":
-		why := refusal(&last)
+		why := explainRefusal(&last)
 		if n := len(s.Steps) - 2; n >= 0 && s.Steps[n].Line.Msg == "attempt failed" {
-			why += "; " + failure(&s.Steps[n].Line)
+			why += "; " + explainFailure(&s.Steps[n].Line)
 		}
 		return why
 	case "attempt failed":
-		return failure(&last.Line)
+		return explainFailure(&last.Line)
 	case "request cut":
 		return fmt.Sprintf("the instance stopped %s after the request came; target %q had not answered whole", milliseconds(last.Line.number("ms")), last.Line.text("target"))
 	case "served":
@@ -27,15 +27,15 @@
 	return last.Line.Msg
 }
 
-// refusal explains an answer of the fleet's own.
-func refusal(s *step) string {
+// explainRefusal explains an answer of the fleet's own.
+func explainRefusal(s *step) string {
 	l := &s.Line
 	known := ""
 	if age := l.number("age"); age > 0 {
 		known = fmt.Sprintf(", known %s before", milliseconds(age))
 	}
 	_, money := l.Fields["account"]
-	lost, away := s.believed("store-lost")
+	lost, away := s.findStateLine("store-lost")
 	switch status := int(l.number("status")); {
 	case money && status == http.StatusPaymentRequired:
 		return fmt.Sprintf("the balance of account %s does not cover %.0f tokens: %.0f here, %.0f free, %.0f at other instances%s",
@@ -47,15 +47,15 @@
 		return fmt.Sprintf("no share of account %s covers %.0f tokens: %.0f here, %.0f free, %.0f at other instances%s",
 			l.text("account"), l.number("tokens"), l.number("here"), l.number("free"), l.number("others"), known)
 	case status == http.StatusNotFound || status == http.StatusUnauthorized:
-		if plan, ok := s.believed("plan"); ok {
+		if plan, ok := s.findStateLine("plan"); ok {
 			return fmt.Sprintf("%s in plan %.0f, in force there for %s", l.text("reason"), plan.number("version"), l.Time.Sub(plan.Time))
 		}
 	}
 	return l.text("reason")
 }
 
-// failure explains an attempt that brought no answer.
-func failure(l *logLine) string {
+// explainFailure explains an attempt that brought no answer.
+func explainFailure(l *logLine) string {
 	why := l.text("error")
 	if why != "" {
 		why = ": " + why
--- a/bluebellctl/src/core.go
+++ b/bluebellctl/src/core.go
@@ -23,11 +23,11 @@
 
 // env is what commands work with.
 type env struct {
-	opts  *Options
-	store bbstore.Store
-	in    io.Reader
-	out   io.Writer
-	info  io.Writer // progress, for people
+	opts   *Options
+	store  bbstore.Store
+	stdin  io.Reader
+	stdout io.Writer
+	stderr io.Writer // progress, for people
 }
 
 // Main runs the program with the arguments and returns its exit code:
@@ -52,11 +52,11 @@
 	defer closeStore()
 	ctx, cancel := context.WithTimeout(context.Background(), opts.Timeout)
 	defer cancel()
-	return report(commands[name](ctx, &env{opts: opts, store: store, in: os.Stdin, out: stdout, info: stderr}), stderr)
+	return exitCode(commands[name](ctx, &env{opts: opts, store: store, stdin: os.Stdin, stdout: stdout, stderr: stderr}), stderr)
 }
 
-// report prints the error and returns the exit code for it.
-func report(err error, stderr io.Writer) int {
+// exitCode prints the error and returns the exit code for it.
+func exitCode(err error, stderr io.Writer) int {
 	if err == nil {
 		return bbcli.ExitOK
 	}
--- a/bluebellctl/src/core_test.go
+++ b/bluebellctl/src/core_test.go
@@ -21,15 +21,15 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// desk is an operator's place: a key-value service and the command.
-type desk struct {
-	t    *testing.T
-	addr string
-	mem  *bbstore.Mem
-	dir  string
+// cliFixture is an operator's place: a key-value service and the command.
+type cliFixture struct {
+	t         *testing.T
+	storeAddr string
+	store     *bbstore.Mem
+	dir       string
 }
 
-func newDesk(t *testing.T) *desk {
+func newCLIFixture(t *testing.T) *cliFixture {
 	t.Helper()
 	mem := bbstore.NewMem()
 	srv, stop := bbstore.NewServer(mem, 0)
@@ -43,17 +43,17 @@
 		stop()
 		_ = s.Shutdown()
 	})
-	return &desk{t: t, addr: ln.Addr().String(), mem: mem, dir: t.TempDir()}
+	return &cliFixture{t: t, storeAddr: ln.Addr().String(), store: mem, dir: t.TempDir()}
 }
 
 // run runs the command and returns its exit code and outputs.
-func (d *desk) run(args ...string) (int, string, string) {
+func (d *cliFixture) run(args ...string) (int, string, string) {
 	var out, errs bytes.Buffer
-	code := Main(append([]string{"--store", d.addr, "--timeout", "3s"}, args...), &out, &errs)
+	code := Main(append([]string{"--store", d.storeAddr, "--timeout", "3s"}, args...), &out, &errs)
 	return code, out.String(), strings.ReplaceAll(errs.String(), d.dir+"/", "")
 }
 
-func (d *desk) file(name, body string) string {
+func (d *cliFixture) writeFile(name, body string) string {
 	p := filepath.Join(d.dir, name)
 	if err := os.WriteFile(p, []byte(body), 0o600); err != nil {
 		d.t.Fatal(err)
@@ -71,13 +71,13 @@
 targets: [{id: t, service: s, address: "127.0.0.1:9", domain: d}]
 `
 
-var stamp = regexp.MustCompile(`20\d\d-\d\d-\d\dT[0-9:.]+Z`)
+var timestampPattern = regexp.MustCompile(`20\d\d-\d\d-\d\dT[0-9:.]+Z`)
 
-// TestOutputs holds what the commands print, for people and for programs.
-func TestOutputs(t *testing.T) {
-	d := newDesk(t)
-	first := d.file("1.yaml", firstTicket)
-	second := d.file("2.yaml", "number: 2\nnote: top-up\nbudgets: [{id: b, account: a, paid: 5000}]\n")
+// TestCommandOutput holds what the commands print, for people and for programs.
+func TestCommandOutput(t *testing.T) {
+	d := newCLIFixture(t)
+	first := d.writeFile("1.yaml", firstTicket)
+	second := d.writeFile("2.yaml", "number: 2\nnote: top-up\nbudgets: [{id: b, account: a, paid: 5000}]\n")
 	for _, c := range []struct {
 		name string
 		args []string
@@ -108,34 +108,34 @@
 			code, out, errs := d.run(c.args...)
 			is.Equal(code, c.code)
 			got := "stdout:\n" + out + "stderr:\n" + errs
-			goldie.New(t).Assert(t, "output/"+c.name, []byte(stamp.ReplaceAllString(got, "TIME")))
+			goldie.New(t).Assert(t, "output/"+c.name, []byte(timestampPattern.ReplaceAllString(got, "TIME")))
 		})
 	}
 }
 
-// TestLowering: a budget cannot be lowered below what is drawn, the refusal
+// TestLowerBudget: a budget cannot be lowered below what is drawn, the refusal
 // names the figure, and a refused ticket leaves no cap behind.
-func TestLowering(t *testing.T) {
+func TestLowerBudget(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
-	code, _, _ := d.run("ticket", "apply", d.file("1.yaml", firstTicket))
+	d := newCLIFixture(t)
+	code, _, _ := d.run("ticket", "apply", d.writeFile("1.yaml", firstTicket))
 	is.Equal(code, bbcli.ExitOK)
-	drawAll(t, d.mem, "b", 1000, 600)
+	writeDrawnPage(t, d.store, "b", 1000, 600)
 
-	code, _, errs := d.run("ticket", "apply", d.file("2.yaml", "number: 2\nbudgets: [{id: b, account: a, paid: 500}]\n"))
+	code, _, errs := d.run("ticket", "apply", d.writeFile("2.yaml", "number: 2\nbudgets: [{id: b, account: a, paid: 500}]\n"))
 	is.Equal(code, bbcli.ExitFailed)
 	is.True(strings.Contains(errs, "600 tokens"))
-	code, _, _ = d.run("ticket", "apply", d.file("3.yaml", "number: 7\nbudgets: [{id: b, account: a, paid: 700}]\n"))
+	code, _, _ = d.run("ticket", "apply", d.writeFile("3.yaml", "number: 7\nbudgets: [{id: b, account: a, paid: 700}]\n"))
 	is.Equal(code, bbcli.ExitFailed) // another number
-	list, err := bbledger.ListBudgets(context.Background(), d.mem)
+	list, err := bbledger.ListBudgets(context.Background(), d.store)
 	is.NoErr(err)
 	is.Equal(list[0].Capped, false)
 	is.Equal(list[0].Remaining, list[0].Paid-600)
 
-	code, _, errs = d.run("ticket", "apply", d.file("4.yaml", "number: 2\nbudgets: [{id: b, account: a, paid: 700}]\n"))
+	code, _, errs = d.run("ticket", "apply", d.writeFile("4.yaml", "number: 2\nbudgets: [{id: b, account: a, paid: 700}]\n"))
 	is.Equal(errs, "ticket 2 is accepted\n")
 	is.Equal(code, bbcli.ExitOK)
-	list, err = bbledger.ListBudgets(context.Background(), d.mem)
+	list, err = bbledger.ListBudgets(context.Background(), d.store)
 	is.NoErr(err)
 	is.Equal(int64(list[0].Remaining), int64(100))
 }
@@ -149,8 +149,8 @@
 	is.True(strings.Contains(errs.String(), "key-value service unavailable"))
 }
 
-// drawAll writes a page as if a holder had drawn from the budget.
-func drawAll(t *testing.T, mem *bbstore.Mem, b bbunit.BudgetID, paid, drawn int64) {
+// writeDrawnPage writes a page as if a holder had drawn from the budget.
+func writeDrawnPage(t *testing.T, mem *bbstore.Mem, b bbunit.BudgetID, paid, drawn int64) {
 	t.Helper()
 	v, err := bbledger.EncodePage(&bbwire.Page{Entries: []*bbwire.Entry{{
 		Budget: string(b), Paid: paid, Number: 1,
--- a/bluebellctl/src/explain.go
+++ b/bluebellctl/src/explain.go
@@ -24,40 +24,40 @@
 }
 
 func explain(e *env, request string, files []string) error {
-	s := newStory(request)
+	s := newTimeline(request)
 	if len(files) == 0 {
-		if err := s.read(e.in); err != nil {
+		if err := s.readLog(e.stdin); err != nil {
 			return errors.Annotate(err, "standard input")
 		}
 	}
 	for _, name := range files {
-		if err := s.readFile(name); err != nil {
+		if err := s.readLogFile(name); err != nil {
 			return errors.WithType(err, errUsage)
 		}
 	}
-	s.end()
+	s.sortSteps()
 	if len(s.Steps) == 0 {
 		return errors.WithType(errors.Errorf("request: no line of %q in %s (%d lines read, %d of them not of an instance); of the requests that were served only some are logged",
-			request, places(files), s.Read, s.Foreign), errUsage)
+			request, sourceNames(files), s.LinesRead, s.LinesSkipped), errUsage)
 	}
 	if e.opts.Output == formatJSON {
-		return e.show(s, nil, nil)
+		return e.render(s, nil, nil)
 	}
-	fmt.Fprintf(e.info, "%d lines read, %d of them not of an instance\n", s.Read, s.Foreign)
-	fmt.Fprintln(e.out, "cause:", s.cause())
-	return e.show(nil, []string{"TIME", "INSTANCE", "AGE", "LINE", "DETAIL"}, s.rows())
+	fmt.Fprintf(e.stderr, "%d lines read, %d of them not of an instance\n", s.LinesRead, s.LinesSkipped)
+	fmt.Fprintln(e.stdout, "cause:", s.cause())
+	return e.render(nil, []string{"TIME", "INSTANCE", "AGE", "LINE", "DETAIL"}, s.rows())
 }
 
-func (s *story) readFile(name string) error {
+func (s *timeline) readLogFile(name string) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer func() { _ = f.Close() }()
-	return errors.Annotate(s.read(f), name)
+	return errors.Annotate(s.readLog(f), name)
 }
 
-func places(files []string) string {
+func sourceNames(files []string) string {
 	if len(files) == 0 {
 		return "standard input"
 	}
@@ -66,12 +66,12 @@
 
 // rows are the steps, each after what its instance believed, with the age of
 // that.
-func (s *story) rows() [][]any {
+func (s *timeline) rows() [][]any {
 	var rows [][]any
 	for i := range s.Steps {
 		st := &s.Steps[i]
-		for j := range st.Beliefs {
-			b := &st.Beliefs[j]
+		for j := range st.InstanceState {
+			b := &st.InstanceState[j]
 			rows = append(rows, []any{b.Time.Format(time.RFC3339Nano), b.Instance, st.Line.Time.Sub(b.Time), "believed: " + b.Msg, b.detail()})
 		}
 		rows = append(rows, []any{st.Line.Time.Format(time.RFC3339Nano), st.Line.Instance, "", st.Line.Msg, st.Line.detail()})
--- a/bluebellctl/src/explain_test.go
+++ b/bluebellctl/src/explain_test.go
@@ -20,7 +20,7 @@
 // A request is told over all instances, whatever the order of their files, with
 // what each believed then.
 func TestExplain(t *testing.T) {
-	d := newDesk(t)
+	d := newCLIFixture(t)
 	for _, request := range []string{"r1", "r2", "r3", "r4", "r5"} {
 		t.Run(request, func(t *testing.T) {
 			is := is.New(t)
@@ -34,9 +34,9 @@
 	}
 }
 
-func TestExplainSaysWhereItLooked(t *testing.T) {
+func TestExplainNamesSearchedFiles(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newCLIFixture(t)
 	code, _, errs := d.run("explain", "r9", logOne, logTwo)
 	is.Equal(code, bbcli.ExitUsage)
 	is.True(strings.Contains(errs, `no line of "r9" in `+logOne+", "+logTwo+" (15 lines read, 2 of them not of an instance)"))
@@ -55,7 +55,7 @@
 {"after":0.5,"instance":"edge-a-1","msg":"refused","reason":"nothing is in force here yet","request":"r6","status":503,"time":"2026-12-04T01:01:01Z"}
 `
 	var out, info bytes.Buffer
-	e := &env{opts: &Options{Output: formatJSON}, in: strings.NewReader(string(lines) + restart), out: &out, info: &info}
+	e := &env{opts: &Options{Output: formatJSON}, stdin: strings.NewReader(string(lines) + restart), stdout: &out, stderr: &info}
 	is.NoErr(explain(e, "r6", nil))
 	is.True(strings.Contains(out.String(), "nothing is in force here yet"))
 	is.True(!strings.Contains(out.String(), "plan in force"))
--- a/bluebellctl/src/order.go
+++ b/bluebellctl/src/order.go
@@ -12,29 +12,29 @@
 
 // orderCommands declares the command that gives targets orders.
 func orderCommands(app *kingpin.Application, commands map[string]command) {
-	var ask orderAsk
+	var ask orderRequest
 	o := app.Command("order", "Order a target to load a model, adapter or version, or to change its role.")
 	o.Arg("target", "Id of the target.").Required().StringVar(&ask.Target)
 	o.Arg("action", "What to do, in the target's own words, such as load.").Required().StringVar(&ask.Action)
 	o.Arg("model", "Model, adapter, version or role that the action is about.").StringVar(&ask.Model)
-	commands[o.FullCommand()] = func(_ context.Context, e *env) error { return giveOrder(e, ask) }
+	commands[o.FullCommand()] = func(_ context.Context, e *env) error { return sendOrder(e, ask) }
 }
 
-// orderAsk is an order as an instance takes it.
-type orderAsk struct {
+// orderRequest is an order as an instance takes it.
+type orderRequest struct {
 	Target string `json:"target"`
 	Action string `json:"action"`
 	Model  string `json:"model"`
 }
 
-// orderTell is what became of an order.
-type orderTell struct {
+// orderResponse is what became of an order.
+type orderResponse struct {
 	Fence uint64 `json:"fence"`
 	Error string `json:"error"`
 }
 
-// giveOrder has the first instance named by --admin give the order.
-func giveOrder(e *env, ask orderAsk) error {
+// sendOrder has the first instance named by --admin give the order.
+func sendOrder(e *env, ask orderRequest) error {
 	if len(e.opts.Admins) == 0 {
 		return errors.WithType(errors.New("order needs --admin"), errUsage)
 	}
@@ -51,13 +51,13 @@
 	if err := fasthttp.DoTimeout(req, resp, e.opts.Timeout); err != nil {
 		return errors.Annotate(err, e.opts.Admins[0])
 	}
-	var tell orderTell
+	var tell orderResponse
 	if err := json.Unmarshal(resp.Body(), &tell); err != nil {
 		return errors.Annotatef(err, "%s answered %d", e.opts.Admins[0], resp.StatusCode())
 	}
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
-		fmt.Fprintf(e.info, "target %s took the order under fencing number %d\n", ask.Target, tell.Fence)
+		fmt.Fprintf(e.stderr, "target %s took the order under fencing number %d\n", ask.Target, tell.Fence)
 		return nil
 	case fasthttp.StatusBadRequest, fasthttp.StatusNotFound:
 		return errors.WithType(errors.New(tell.Error), errUsage)
--- a/bluebellctl/src/status.go
+++ b/bluebellctl/src/status.go
@@ -12,8 +12,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// instance is what one instance tells of itself, and where it was asked.
-type instance struct {
+// instanceStatus is what one instance tells of itself, and where it was asked.
+type instanceStatus struct {
 	bbunit.Status
 	Admin string `json:"admin"`
 	Error string `json:"error,omitempty"`
@@ -29,11 +29,11 @@
 	if len(e.opts.Admins) == 0 {
 		return errors.WithType(errors.New("status needs --admin"), errUsage)
 	}
-	list := make([]instance, len(e.opts.Admins))
+	list := make([]instanceStatus, len(e.opts.Admins))
 	var cells [][]any
 	failed := false
 	for i, a := range e.opts.Admins {
-		list[i] = askStatus(a, e.opts.Timeout)
+		list[i] = fetchStatus(a, e.opts.Timeout)
 		s := &list[i]
 		state := "ready"
 		switch {
@@ -46,7 +46,7 @@
 		}
 		cells = append(cells, []any{a, s.Instance, s.Domain, s.Number, state, s.Open, len(s.Members), s.Version})
 	}
-	if err := e.show(list, []string{"ADMIN", "INSTANCE", "DOMAIN", "TICKET", "STATE", "OPEN", "SEES", "VERSION"}, cells); err != nil {
+	if err := e.render(list, []string{"ADMIN", "INSTANCE", "DOMAIN", "TICKET", "STATE", "OPEN", "SEES", "VERSION"}, cells); err != nil {
 		return err
 	}
 	if failed {
@@ -55,9 +55,9 @@
 	return nil
 }
 
-// askStatus asks one instance; what goes wrong stands in Error.
-func askStatus(admin string, timeout time.Duration) instance {
-	s := instance{Admin: admin}
+// fetchStatus asks one instance; what goes wrong stands in Error.
+func fetchStatus(admin string, timeout time.Duration) instanceStatus {
+	s := instanceStatus{Admin: admin}
 	code, body, err := fasthttp.GetTimeout(nil, "http://"+admin+"/status", timeout)
 	switch {
 	case err != nil:
--- a/bluebellctl/src/table.go
+++ b/bluebellctl/src/table.go
@@ -9,14 +9,14 @@
 	"github.com/juju/errors"
 )
 
-// show prints v as JSON for programs, or the rows as a table for people.
-func (e *env) show(v any, heads []string, rows [][]any) error {
+// render prints v as JSON for programs, or the rows as a table for people.
+func (e *env) render(v any, heads []string, rows [][]any) error {
 	if e.opts.Output == formatJSON {
-		enc := json.NewEncoder(e.out)
+		enc := json.NewEncoder(e.stdout)
 		enc.SetIndent("", "  ")
 		return errors.Trace(enc.Encode(v))
 	}
-	w := tabwriter.NewWriter(e.out, 0, 8, 2, ' ', 0)
+	w := tabwriter.NewWriter(e.stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, strings.Join(heads, "\t"))
 	for _, r := range rows {
 		cells := make([]string, len(r))
--- a/bluebellctl/src/ticket.go
+++ b/bluebellctl/src/ticket.go
@@ -60,19 +60,19 @@
 	if err != nil {
 		return err
 	}
-	_, err = loadFor(ctx, e, t)
+	_, err = loadBaseState(ctx, e, t)
 	if errors.Is(err, bbticket.ErrInvalid) {
 		return errors.Annotatef(err, "%s", file)
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(e.info, "ticket %d can be applied\n", t.Number)
+	fmt.Fprintf(e.stderr, "ticket %d can be applied\n", t.Number)
 	return nil
 }
 
-// loadFor returns the state in force, if the ticket may follow it.
-func loadFor(ctx context.Context, e *env, t bbticket.Ticket) (*bbticket.State, error) {
+// loadBaseState returns the state in force, if the ticket may follow it.
+func loadBaseState(ctx context.Context, e *env, t bbticket.Ticket) (*bbticket.State, error) {
 	s, err := bbticket.NewLog(e.store).Load(ctx)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -92,14 +92,14 @@
 	if err := acceptTicket(ctx, e, t, nonce); err != nil {
 		return errors.Annotatef(err, "%s", file)
 	}
-	fmt.Fprintf(e.info, "ticket %d is accepted\n", t.Number)
+	fmt.Fprintf(e.stderr, "ticket %d is accepted\n", t.Number)
 	return nil
 }
 
 // acceptTicket has the ticket accepted. A budget that it lowers is capped first;
 // where more is drawn, the ticket is refused with the figure.
 func acceptTicket(ctx context.Context, e *env, t bbticket.Ticket, nonce string) error {
-	s, err := loadFor(ctx, e, t)
+	s, err := loadBaseState(ctx, e, t)
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 		rows = append(rows, r)
 		cells = append(cells, []any{r.Number, r.At.Format(time.RFC3339), r.Objects, r.Note})
 	}
-	return e.show(rows, []string{"NUMBER", "AT", "OBJECTS", "NOTE"}, cells)
+	return e.render(rows, []string{"NUMBER", "AT", "OBJECTS", "NOTE"}, cells)
 }
 
 func showTicket(ctx context.Context, e *env, n bbunit.TicketNumber) error {
@@ -145,7 +145,7 @@
 		if err != nil {
 			return errors.Trace(err)
 		}
-		return e.print(s.Ticket())
+		return e.printTicket(s.Ticket())
 	}
 	h, _, err := l.Head(ctx)
 	if err != nil {
@@ -153,7 +153,7 @@
 	}
 	for _, a := range h.Tail {
 		if a.Ticket.Number == n {
-			return e.print(a.Ticket)
+			return e.printTicket(a.Ticket)
 		}
 	}
 	if n <= h.SnapshotNumber {
@@ -162,16 +162,16 @@
 	return errors.WithType(errors.Errorf("ticket %d: not in the log, which ends at %d", n, h.Number), errUsage)
 }
 
-// print writes a ticket as YAML, or as JSON for programs.
-func (e *env) print(t bbticket.Ticket) error {
+// printTicket writes a ticket as YAML, or as JSON for programs.
+func (e *env) printTicket(t bbticket.Ticket) error {
 	if e.opts.Output == formatJSON {
-		return e.show(t, nil, nil)
+		return e.render(t, nil, nil)
 	}
 	b, err := yaml.Marshal(t)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	_, err = e.out.Write(b)
+	_, err = e.stdout.Write(b)
 	return errors.Trace(err)
 }
 
@@ -189,5 +189,5 @@
 	for _, r := range rows {
 		cells = append(cells, []any{r.Action, r.Object, r.Field, r.Old, r.New})
 	}
-	return e.show(rows, []string{"CHANGE", "OBJECT", "FIELD", "IN FORCE", "TICKET"}, cells)
+	return e.render(rows, []string{"CHANGE", "OBJECT", "FIELD", "IN FORCE", "TICKET"}, cells)
 }
--- a/bluebellctl/src/story.go
+++ b/bluebellctl/src/timeline.go
@@ -12,8 +12,8 @@
 	"github.com/juju/errors"
 )
 
-// longestLine is the longest log line that is read, in bytes.
-const longestLine = 4 << 20
+// maxLineBytes is the longest log line that is read, in bytes.
+const maxLineBytes = 4 << 20
 
 // logLine is one log line of an instance.
 type logLine struct {
@@ -55,9 +55,9 @@
 	return s
 }
 
-// topic is what a line changes in the beliefs of its instance, empty for none.
+// stateKey is what a line changes in the beliefs of its instance, empty for none.
 // The newest line of a topic holds.
-func (l *logLine) topic() string {
+func (l *logLine) stateKey() string {
 	switch l.Event {
 	case "store-lost", "store-back", "watch-handed":
 		return "store"
@@ -73,62 +73,62 @@
 
 // step is one line of a request, and what its instance believed then.
 type step struct {
-	Line    logLine   `json:"line"`
-	Beliefs []logLine `json:"beliefs"`
+	Line          logLine   `json:"line"`
+	InstanceState []logLine `json:"beliefs"`
 }
 
-// story is what logs tell of one request.
-type story struct {
+// timeline is what logs tell of one request.
+type timeline struct {
 	Request string `json:"request"`
 	Steps   []step `json:"steps"`
-	// Read counts the lines, Foreign those among them that no instance wrote.
-	Read    int `json:"read"`
-	Foreign int `json:"foreign"`
+	// LinesRead counts the lines, Foreign those among them that no instance wrote.
+	LinesRead    int `json:"read"`
+	LinesSkipped int `json:"foreign"`
 
-	beliefs map[string]map[string]logLine // by instance and topic
+	instanceStates map[string]map[string]logLine // by instance and topic
 }
 
-// newStory returns the empty story of a request.
-func newStory(request string) *story {
-	return &story{Request: request, beliefs: map[string]map[string]logLine{}}
+// newTimeline returns the empty story of a request.
+func newTimeline(request string) *timeline {
+	return &timeline{Request: request, instanceStates: map[string]map[string]logLine{}}
 }
 
-// read takes log lines. The lines of one instance come in the order in which it
+// readLog takes log lines. The lines of one instance come in the order in which it
 // wrote them; those of several may be mixed or come one instance after the other.
-func (s *story) read(r io.Reader) error {
+func (s *timeline) readLog(r io.Reader) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		s.Read++
+		s.LinesRead++
 		l, ours := parseLine(lines.Bytes())
 		if !ours {
-			s.Foreign++
+			s.LinesSkipped++
 			continue
 		}
-		s.take(l)
+		s.add(l)
 	}
 	return errors.Trace(lines.Err())
 }
 
-func (s *story) take(l logLine) {
-	b := s.beliefs[l.Instance]
+func (s *timeline) add(l logLine) {
+	b := s.instanceStates[l.Instance]
 	if b == nil {
 		b = map[string]logLine{}
-		s.beliefs[l.Instance] = b
+		s.instanceStates[l.Instance] = b
 	}
 	if l.Event == "start" {
 		clear(b) // a new life knows nothing of the one before
 	}
-	if t := l.topic(); t != "" {
+	if t := l.stateKey(); t != "" {
 		b[t] = l
 	}
 	if l.Request == s.Request {
-		s.Steps = append(s.Steps, step{Line: l, Beliefs: inForce(b, l)})
+		s.Steps = append(s.Steps, step{Line: l, InstanceState: relevantState(b, l)})
 	}
 }
 
-// inForce returns the beliefs that matter to a line, oldest first.
-func inForce(b map[string]logLine, l logLine) []logLine {
+// relevantState returns the beliefs that matter to a line, oldest first.
+func relevantState(b map[string]logLine, l logLine) []logLine {
 	var out []logLine
 	for _, t := range []string{"life", "plan", "store", "crowded", "reload", "target " + l.text("target")} {
 		if belief, ok := b[t]; ok {
@@ -139,16 +139,16 @@
 	return out
 }
 
-// end sorts the steps once all lines are read.
-func (s *story) end() {
+// sortSteps sorts the steps once all lines are read.
+func (s *timeline) sortSteps() {
 	slices.SortStableFunc(s.Steps, func(a, b step) int {
 		return cmp.Or(a.Line.Time.Compare(b.Line.Time), cmp.Compare(a.Line.Instance, b.Line.Instance))
 	})
 }
 
-// believed returns the newest line of an event in force at the step.
-func (s *step) believed(event string) (logLine, bool) {
-	for _, b := range s.Beliefs {
+// findStateLine returns the newest line of an event in force at the step.
+func (s *step) findStateLine(event string) (logLine, bool) {
+	for _, b := range s.InstanceState {
 		if b.Event == event {
 			return b, true
 		}
--- a/bluebellstand/src/ask.go
+++ b/bluebellstand/src/ask.go
@@ -48,27 +48,27 @@
 	if (o.Service == "") == (o.Plain == "") {
 		bad = append(bad, "--service, --plain: just one is needed")
 	}
-	bad = append(bad, badNumber("--tokens", float64(o.Tokens), 1)...)
+	bad = append(bad, checkMin("--tokens", float64(o.Tokens), 1)...)
 	return append(bad, bbcli.CheckDuration("--timeout", o.Timeout)...)
 }
 
 func (o *AskOptions) run(_ context.Context, s streams) error {
-	r := &loadRequest{id: o.ID, secret: o.Key}
+	r := &loadRequest{id: o.ID, apiKey: o.Key}
 	if r.id == "" {
 		r.id = uuid.NewString()
 	}
 	switch {
 	case o.Plain != "":
-		o.plain(r)
+		o.preparePlain(r)
 	case o.Stream:
 		r.kind = LoadStream
-		r.chat(o.Service, o.Text, o.Tokens)
+		r.setChat(o.Service, o.Text, o.Tokens)
 	default:
-		r.chat(o.Service, o.Text, o.Tokens)
+		r.setChat(o.Service, o.Text, o.Tokens)
 	}
 	sender, stop := newSender([]string{o.Instance}, o.Timeout)
 	defer stop()
-	out := sender.end(r, 0, time.Now())
+	out := sender.sendWithRetries(r, 0, time.Now())
 	fmt.Fprintf(s.out, "%s: status %d, %s, %d tokens: %s\n", r.id, out.Status, out.Outcome, out.Tokens, out.text)
 	if out.Outcome != "done" {
 		return errors.Errorf("%s: %s", out.Outcome, out.Title)
@@ -76,11 +76,11 @@
 	return nil
 }
 
-func (o *AskOptions) plain(r *loadRequest) {
+func (o *AskOptions) preparePlain(r *loadRequest) {
 	r.kind, r.method = LoadRead, http.MethodGet
 	if o.Write {
 		r.kind, r.method, r.body = LoadWrite, http.MethodPost, []byte(r.id)
 	}
 	r.path = "/services/" + o.Plain + o.Text
-	r.plain = NewPlainAnswer(r.method, o.Text, r.body, 0)
+	r.wantPlain = NewPlainAnswer(r.method, o.Text, r.body, 0)
 }
--- a/bluebellstand/src/core.go
+++ b/bluebellstand/src/core.go
@@ -39,7 +39,7 @@
 	app := bbcli.New("bluebellstand", "Stand-ins for the platform and the targets, and a load generator.", stdout, stderr)
 	commands := newCommands(app)
 	chosen := func() []string {
-		if c := commands[firstCommand(app, args)]; c != nil {
+		if c := commands[selectedCommand(app, args)]; c != nil {
 			return c.check()
 		}
 		return nil
@@ -58,8 +58,8 @@
 	return bbcli.ExitOK
 }
 
-// firstCommand returns the command that the arguments choose, or "".
-func firstCommand(app *kingpin.Application, args []string) string {
+// selectedCommand returns the command that the arguments choose, or "".
+func selectedCommand(app *kingpin.Application, args []string) string {
 	ctx, err := app.ParseContext(args)
 	if err != nil || ctx.SelectedCommand == nil {
 		return ""
--- a/bluebellstand/src/core_test.go
+++ b/bluebellstand/src/core_test.go
@@ -15,16 +15,16 @@
 	"bluebellport.example/shared/bbserve"
 )
 
-// startPart serves a part on loopback and returns its base URL.
-func startPart(t *testing.T, mount func(*fiber.App, *listener)) string {
+// startStandIn serves a part on loopback and returns its base URL.
+func startStandIn(t *testing.T, mount func(*fiber.App, *listener)) string {
 	l, err := listen("127.0.0.1:0")
 	is.New(t).NoErr(err)
-	app := fiber.New(fiber.Config{DisableStartupMessage: true, Immutable: true, UnescapePath: true, ErrorHandler: answerError})
+	app := fiber.New(fiber.Config{DisableStartupMessage: true, Immutable: true, UnescapePath: true, ErrorHandler: respondError})
 	mount(app, l)
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = app.Listener(l) })
 	t.Cleanup(func() {
-		_ = bbserve.Stop(app, l, stopTime/10)
+		_ = bbserve.Stop(app, l, shutdownTimeout/10)
 		wg.Wait()
 	})
 	return "http://" + l.Addr().String()
@@ -60,7 +60,7 @@
 }
 
 // A stop may come before the server has registered its listener.
-func TestStopAtOnceAfterTheStart(t *testing.T) {
+func TestStopBeforeListenerIsRegistered(t *testing.T) {
 	for range 300 {
 		l, err := listen("127.0.0.1:0")
 		is.New(t).NoErr(err)
@@ -70,7 +70,7 @@
 			defer close(served)
 			_ = app.Listener(l)
 		}()
-		_ = bbserve.Stop(app, l, stopTime/10)
+		_ = bbserve.Stop(app, l, shutdownTimeout/10)
 		select {
 		case <-served:
 		case <-time.After(5 * time.Second):
--- a/bluebellstand/src/engine.go
+++ b/bluebellstand/src/engine.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	errLeaving = errors.ConstError("leaving")
-	errFull    = errors.ConstError("queue full")
-	errPartial = errors.ConstError("the last message is not how the answer begins")
+	errLeaving        = errors.ConstError("leaving")
+	errQueueFull      = errors.ConstError("queue full")
+	errPrefixMismatch = errors.ConstError("the last message is not how the answer begins")
 )
 
-// exitCrash is the exit code of an engine that a prompt crashed.
-const exitCrash = 70
+// exitCodeCrash is the exit code of an engine that a prompt crashed.
+const exitCodeCrash = 70
 
 // States of a request.
 const (
@@ -29,39 +29,39 @@
 	stateCancelled = "cancelled"
 )
 
-// Ran is one run of a request.
-type Ran struct {
+// EngineExecution is one run of a request.
+type EngineExecution struct {
 	Request string `json:"request"`
 	// Name is what the prompt has after "--name".
 	Name string `json:"name"`
-	// Tokens is how many were generated so far.
-	Tokens int    `json:"tokens"`
-	Prompt int    `json:"prompt"`
-	State  string `json:"state"`
-	// At is when the request came, in microseconds since the epoch.
-	At int64 `json:"at"`
+	// GeneratedTokens is how many were generated so far.
+	GeneratedTokens int    `json:"tokens"`
+	PromptTokens    int    `json:"prompt"`
+	State           string `json:"state"`
+	// AcceptedAt is when the request came, in microseconds since the epoch.
+	AcceptedAt int64 `json:"at"`
 }
 
 // job is one request in an engine.
 type job struct {
-	id       string
-	name     string
-	model    string
-	prompt   int // tokens
-	priority int
-	crash    bool
-	cached   bool
-	tokens   []string // all that will be generated
-	cut      bool     // max_tokens ends it
+	id           string
+	name         string
+	model        string
+	promptTokens int // tokens
+	priority     int
+	crash        bool
+	prefixCached bool
+	answerTokens []string // all that will be generated
+	truncated    bool     // max_tokens ends it
 
-	made    int
-	state   string
-	at      time.Time
-	readers int
-	changed chan struct{}
-	slot    chan struct{}
-	cancel  context.CancelFunc
-	ctx     context.Context
+	generated   int
+	state       string
+	acceptedAt  time.Time
+	readers     int
+	changed     chan struct{}
+	slotGranted chan struct{}
+	cancel      context.CancelFunc
+	ctx         context.Context
 }
 
 // engine runs requests by continuous batching: each of the running ones gets a
@@ -69,39 +69,39 @@
 type engine struct {
 	opts EngineOptions
 	exit func(int)
-	// came is told of each request that is taken, before it runs.
-	came func(Ran)
+	// onAccepted is told of each request that is taken, before it runs.
+	onAccepted func(EngineExecution)
 
-	mu      sync.Mutex
-	running int
-	waiting []*job
-	jobs    map[string]*job
-	ran     []*job
-	refused int
-	cache   prefixCache
-	loads   loadHistory
-	orders  orders
-	leaving bool
-	frozen  time.Time
-	ctx     context.Context
-	wg      conc.WaitGroup
+	mu          sync.Mutex
+	running     int
+	waiting     []*job
+	jobs        map[string]*job
+	accepted    []*job
+	refused     int
+	cache       prefixCache
+	loadHistory loadHistory
+	orders      orderLog
+	leaving     bool
+	frozenUntil time.Time
+	ctx         context.Context
+	wg          conc.WaitGroup
 }
 
 // newEngine returns an engine, and a function that stops what it runs.
 func newEngine(o EngineOptions) (*engine, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	e := &engine{opts: o, exit: os.Exit, came: func(Ran) {}, jobs: map[string]*job{}, ctx: ctx}
-	e.cache = prefixCache{size: o.Cache, gap: o.EventGap}
-	e.loads = loadHistory{lag: o.LoadLag}
-	e.orders = orders{fence: o.Fence}
+	e := &engine{opts: o, exit: os.Exit, onAccepted: func(EngineExecution) {}, jobs: map[string]*job{}, ctx: ctx}
+	e.cache = prefixCache{size: o.Cache, dropEvery: o.EventGap}
+	e.loadHistory = loadHistory{lag: o.LoadLag}
+	e.orders = orderLog{rejectStale: o.Fence}
 	return e, func() {
 		cancel()
 		e.wg.Wait()
 	}
 }
 
-// start queues a request, or tells why not.
-func (e *engine) start(id string, priority int, r *chatRequest) (*job, error) {
+// submit queues a request, or tells why not.
+func (e *engine) submit(id string, priority int, r *chatRequest) (*job, error) {
 	j, err := e.newJob(id, priority, r)
 	if err != nil {
 		return nil, err
@@ -114,88 +114,88 @@
 	}
 	if e.running >= e.opts.Slots && len(e.waiting) >= e.opts.Queue {
 		e.refused++
-		return nil, errFull
+		return nil, errQueueFull
 	}
-	j.cached = e.cache.use(r.Model, r.Messages, j.at)
+	j.prefixCached = e.cache.touch(r.Model, r.Messages, j.acceptedAt)
 	e.jobs[id] = j
-	e.ran = append(e.ran, j)
+	e.accepted = append(e.accepted, j)
 	e.waiting = append(e.waiting, j)
-	e.came(j.record())
+	e.onAccepted(j.execution())
 	sort.SliceStable(e.waiting, func(a, b int) bool { return e.waiting[a].priority > e.waiting[b].priority })
-	e.fill()
-	e.wg.Go(func() { e.work(j) })
+	e.assignSlots()
+	e.wg.Go(func() { e.runJob(j) })
 	return j, nil
 }
 
 func (e *engine) newJob(id string, priority int, r *chatRequest) (*job, error) {
-	j := &job{id: id, model: r.Model, prompt: PromptTokens(r.Messages), priority: priority, state: stateWaiting}
+	j := &job{id: id, model: r.Model, promptTokens: PromptTokens(r.Messages), priority: priority, state: stateWaiting}
 	messages, partial := r.Messages, ""
-	if r.Continue {
+	if r.ContinueFinalMessage {
 		last := len(messages) - 1
 		messages, partial = messages[:last], messages[last].Content
 	}
 	for _, m := range r.Messages {
-		j.name = wordAfter(m.Content, nameWord, j.name)
+		j.name = wordAfter(m.Content, nameMarker, j.name)
 		j.crash = j.crash || e.opts.Crash != "" && strings.Contains(m.Content, e.opts.Crash)
 	}
 	var ok bool
-	j.tokens, ok = after(AnswerTokens(r.Model, messages, e.opts.Answer), partial)
+	j.answerTokens, ok = remainingTokens(AnswerTokens(r.Model, messages, e.opts.Answer), partial)
 	if !ok {
-		return nil, errPartial
+		return nil, errPrefixMismatch
 	}
-	if most := r.most(); most > 0 && most < len(j.tokens) {
-		j.tokens, j.cut = j.tokens[:most], true
+	if most := r.maxAnswerTokens(); most > 0 && most < len(j.answerTokens) {
+		j.answerTokens, j.truncated = j.answerTokens[:most], true
 	}
-	j.at = time.Now()
+	j.acceptedAt = time.Now()
 	j.changed = make(chan struct{})
-	j.slot = make(chan struct{})
+	j.slotGranted = make(chan struct{})
 	j.ctx, j.cancel = context.WithCancel(e.ctx)
 	return j, nil
 }
 
-// fill gives free slots to the first of the waiting; e.mu is held.
-func (e *engine) fill() {
+// assignSlots gives free slots to the first of the waiting; e.mu is held.
+func (e *engine) assignSlots() {
 	for e.running < e.opts.Slots && len(e.waiting) > 0 {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		e.running++
 		j.state = stateRunning
-		close(j.slot)
+		close(j.slotGranted)
 	}
-	e.loads.note(time.Now(), e.load())
+	e.loadHistory.record(time.Now(), e.load())
 }
 
-// work runs one request to its end.
-func (e *engine) work(j *job) {
+// runJob runs one request to its end.
+func (e *engine) runJob(j *job) {
 	defer j.cancel()
 	select {
-	case <-j.slot:
+	case <-j.slotGranted:
 	case <-j.ctx.Done():
-		e.leave(j)
+		e.abandon(j)
 		return
 	}
-	prefill := e.opts.Prefill * time.Duration(j.prompt)
-	if j.cached {
+	prefill := e.opts.Prefill * time.Duration(j.promptTokens)
+	if j.prefixCached {
 		prefill /= 10
 	}
-	alive := e.pause(j.ctx, prefill)
+	alive := e.sleep(j.ctx, prefill)
 	if alive && j.crash {
-		e.exit(exitCrash)
+		e.exit(exitCodeCrash)
 	}
-	for alive && j.made < len(j.tokens) {
+	for alive && j.generated < len(j.answerTokens) {
 		e.mu.Lock()
-		j.made++
-		j.wake()
+		j.generated++
+		j.notifyReaders()
 		e.mu.Unlock()
-		alive = e.pause(j.ctx, e.opts.Interval)
+		alive = e.sleep(j.ctx, e.opts.Interval)
 	}
-	e.end(j)
+	e.releaseSlot(j)
 }
 
-// pause waits, longer while the engine is frozen; false when ctx ended.
-func (e *engine) pause(ctx context.Context, d time.Duration) bool {
+// sleep waits, longer while the engine is frozen; false when ctx ended.
+func (e *engine) sleep(ctx context.Context, d time.Duration) bool {
 	e.mu.Lock()
-	if f := time.Until(e.frozen); f > d {
+	if f := time.Until(e.frozenUntil); f > d {
 		d = f
 	}
 	e.mu.Unlock()
@@ -207,17 +207,17 @@
 	}
 }
 
-// end frees the request's slot.
-func (e *engine) end(j *job) {
+// releaseSlot frees the request's slot.
+func (e *engine) releaseSlot(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
 	e.finish(j)
 }
 
-// leave takes a request that has no slot out of the queue, or frees the slot
+// abandon takes a request that has no slot out of the queue, or frees the slot
 // that it was given meanwhile.
-func (e *engine) leave(j *job) {
+func (e *engine) abandon(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if j.state == stateRunning {
@@ -234,49 +234,49 @@
 
 func (e *engine) finish(j *job) {
 	j.state = stateDone
-	if j.made < len(j.tokens) {
+	if j.generated < len(j.answerTokens) {
 		j.state = stateCancelled
 	}
-	j.wake()
-	e.fill()
+	j.notifyReaders()
+	e.assignSlots()
 }
 
-// wake tells the readers that the request has moved on; engine.mu is held.
-func (j *job) wake() {
+// notifyReaders tells the readers that the request has moved on; engine.mu is held.
+func (j *job) notifyReaders() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
 // progress is what a reader sees of a request.
 type progress struct {
-	tokens  []string
-	made    int
-	ended   bool
-	state   string
-	changed <-chan struct{}
+	tokens    []string
+	generated int
+	finished  bool
+	state     string
+	changed   <-chan struct{}
 }
 
-// read returns the tokens made after the first from ones.
-func (e *engine) read(j *job, from int) progress {
+// readProgress returns the tokens made after the first from ones.
+func (e *engine) readProgress(j *job, from int) progress {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p := progress{made: j.made, state: j.state, changed: j.changed}
-	p.ended = j.state == stateDone || j.state == stateCancelled
-	if from < j.made {
-		p.tokens = j.tokens[from:j.made]
+	p := progress{generated: j.generated, state: j.state, changed: j.changed}
+	p.finished = j.state == stateDone || j.state == stateCancelled
+	if from < j.generated {
+		p.tokens = j.answerTokens[from:j.generated]
 	}
 	return p
 }
 
-// attach counts a reader of the request's stream.
-func (e *engine) attach(j *job) {
+// addReader counts a reader of the request's stream.
+func (e *engine) addReader(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	j.readers++
 }
 
-// detach counts a reader out; a request that stays without one is cancelled.
-func (e *engine) detach(j *job) {
+// removeReader counts a reader out; a request that stays without one is cancelled.
+func (e *engine) removeReader(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	j.readers--
@@ -292,24 +292,24 @@
 	})
 }
 
-func (e *engine) find(id string) *job {
+func (e *engine) findJob(id string) *job {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.jobs[id]
 }
 
-// list returns all that ran since the start, oldest first.
-func (e *engine) list() []Ran {
+// executions returns all that ran since the start, oldest first.
+func (e *engine) executions() []EngineExecution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]Ran, len(e.ran))
-	for i, j := range e.ran {
-		out[i] = j.record()
+	out := make([]EngineExecution, len(e.accepted))
+	for i, j := range e.accepted {
+		out[i] = j.execution()
 	}
 	return out
 }
 
-// record returns how far the request has come; engine.mu is held.
-func (j *job) record() Ran {
-	return Ran{Request: j.id, Name: j.name, Tokens: j.made, Prompt: j.prompt, State: j.state, At: j.at.UnixMicro()}
+// execution returns how far the request has come; engine.mu is held.
+func (j *job) execution() EngineExecution {
+	return EngineExecution{Request: j.id, Name: j.name, GeneratedTokens: j.generated, PromptTokens: j.promptTokens, State: j.state, AcceptedAt: j.acceptedAt.UnixMicro()}
 }
--- a/bluebellstand/src/engine_admin.go
+++ b/bluebellstand/src/engine_admin.go
@@ -18,25 +18,25 @@
 
 // TargetCounts tells how many requests a target took and refused.
 type TargetCounts struct {
-	Ran     int    `json:"ran"`
-	Refused int    `json:"refused"`
-	Waits   int    `json:"waiting"`
-	Runs    int    `json:"running"`
-	Made    int    `json:"tokens"`
-	Fence   uint64 `json:"fence"`
+	Accepted        int    `json:"ran"`
+	Refused         int    `json:"refused"`
+	Waiting         int    `json:"waiting"`
+	Running         int    `json:"running"`
+	GeneratedTokens int    `json:"tokens"`
+	HighestFence    uint64 `json:"fence"`
 }
 
 func (e *engine) mountAdmin(app *fiber.App, l *listener) {
-	app.Get("/admin/ran", func(c *fiber.Ctx) error { return c.JSON(e.list()) })
+	app.Get("/admin/ran", func(c *fiber.Ctx) error { return c.JSON(e.executions()) })
 	app.Get("/admin/counts", func(c *fiber.Ctx) error { return c.JSON(e.counts()) })
 	app.Get("/admin/orders", func(c *fiber.Ctx) error {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return c.JSON(e.orders.obeyed)
+		return c.JSON(e.orders.accepted)
 	})
 	app.Post("/admin/fault", func(c *fiber.Ctx) error {
 		var f EngineFault
-		if err := strict(c, &f); err != nil {
+		if err := decodeStrict(c, &f); err != nil {
 			return err
 		}
 		e.setFault(f)
@@ -51,16 +51,16 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = f.Leaving
-	e.frozen = time.Now().Add(time.Duration(f.FreezeMS) * time.Millisecond)
-	e.loads.note(time.Now(), e.load())
+	e.frozenUntil = time.Now().Add(time.Duration(f.FreezeMS) * time.Millisecond)
+	e.loadHistory.record(time.Now(), e.load())
 }
 
 func (e *engine) counts() TargetCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := TargetCounts{Ran: len(e.ran), Refused: e.refused, Waits: len(e.waiting), Runs: e.running, Fence: e.orders.highest}
-	for _, j := range e.ran {
-		n.Made += j.made
+	n := TargetCounts{Accepted: len(e.accepted), Refused: e.refused, Waiting: len(e.waiting), Running: e.running, HighestFence: e.orders.highestFence}
+	for _, j := range e.accepted {
+		n.GeneratedTokens += j.generated
 	}
 	return n
 }
--- a/bluebellstand/src/engine_http.go
+++ b/bluebellstand/src/engine_http.go
@@ -16,43 +16,43 @@
 )
 
 const (
-	headerID       = "X-Request-Id"
-	headerPriority = "X-Request-Priority"
-	headerLeaving  = "X-Leaving"
-	headerRetry    = "Retry-After"
-	requestsPath   = "/v1/requests/"
-	streamSuffix   = "/stream"
-	// LogCame is the message of the log line for each request that an engine takes.
-	LogCame = "came"
+	headerRequestID  = "X-Request-Id"
+	headerPriority   = "X-Request-Priority"
+	headerLeaving    = "X-Leaving"
+	headerRetryAfter = "Retry-After"
+	requestsPath     = "/v1/requests/"
+	streamSuffix     = "/stream"
+	// LogAccepted is the message of the log line for each request that an engine takes.
+	LogAccepted = "came"
 )
 
 // chatRequest is what a chat completion asks for.
 type chatRequest struct {
-	Model     string    `json:"model"`
-	Messages  []Message `json:"messages"`
-	Stream    bool      `json:"stream"`
-	MaxTokens int       `json:"max_tokens"`
-	MaxNew    int       `json:"max_completion_tokens"`
-	// Continue tells that the last message is how the answer begins.
-	Continue bool `json:"continue_final_message"`
+	Model               string    `json:"model"`
+	Messages            []Message `json:"messages"`
+	Stream              bool      `json:"stream"`
+	MaxTokens           int       `json:"max_tokens"`
+	MaxCompletionTokens int       `json:"max_completion_tokens"`
+	// ContinueFinalMessage tells that the last message is how the answer begins.
+	ContinueFinalMessage bool `json:"continue_final_message"`
 }
 
-func (r *chatRequest) most() int {
-	if r.MaxNew > 0 {
-		return r.MaxNew
+func (r *chatRequest) maxAnswerTokens() int {
+	if r.MaxCompletionTokens > 0 {
+		return r.MaxCompletionTokens
 	}
 	return r.MaxTokens
 }
 
-func (r *chatRequest) check(model string) error {
+func (r *chatRequest) validate(model string) error {
 	switch {
 	case model != "" && r.Model != model:
 		return fiber.NewError(http.StatusNotFound, fmt.Sprintf("model: unknown: %q", r.Model))
 	case len(r.Messages) == 0:
 		return fiber.NewError(http.StatusBadRequest, "messages: must not be empty")
-	case r.MaxTokens < 0 || r.MaxNew < 0:
+	case r.MaxTokens < 0 || r.MaxCompletionTokens < 0:
 		return fiber.NewError(http.StatusBadRequest, "max_tokens: must be above 0")
-	case r.Continue && r.Messages[len(r.Messages)-1].Role != "assistant":
+	case r.ContinueFinalMessage && r.Messages[len(r.Messages)-1].Role != "assistant":
 		return fiber.NewError(http.StatusBadRequest, "continue_final_message: the last message is not the assistant's")
 	}
 	return nil
@@ -66,19 +66,19 @@
 }
 
 type chatChoice struct {
-	Index   int      `json:"index"`
-	Message *Message `json:"message,omitempty"`
-	Delta   *delta   `json:"delta,omitempty"`
-	Finish  *string  `json:"finish_reason"`
+	Index        int        `json:"index"`
+	Message      *Message   `json:"message,omitempty"`
+	Delta        *chatDelta `json:"delta,omitempty"`
+	FinishReason *string    `json:"finish_reason"`
 }
 
-type delta struct {
+type chatDelta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// chatAnswer is a whole answer or one chunk of a stream.
-type chatAnswer struct {
+// chatResponse is a whole answer or one chunk of a stream.
+type chatResponse struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
 	Created int64        `json:"created"`
@@ -96,92 +96,92 @@
 
 func (o *EngineOptions) run(ctx context.Context, s streams) error {
 	e, stop := newEngine(*o)
-	e.came = func(r Ran) { s.log.WithField("ran", r).Info(LogCame) }
-	return serve(ctx, s, part{name: "engine", addr: o.Listen, mount: e.mount, stop: stop})
+	e.onAccepted = func(r EngineExecution) { s.log.WithField("ran", r).Info(LogAccepted) }
+	return serve(ctx, s, standIn{name: "engine", addr: o.Listen, mount: e.mount, stop: stop})
 }
 
 func (e *engine) mount(app *fiber.App, l *listener) {
-	app.Post("/v1/chat/completions", e.chat)
-	app.Get(requestsPath+"+", e.request)
-	app.Delete(requestsPath+"+", e.remove)
-	app.Get("/v1/models", e.models)
-	app.Get("/v1/events", e.events)
-	app.Post("/v1/orders", e.order)
-	app.Get("/load", e.report)
+	app.Post("/v1/chat/completions", e.postChat)
+	app.Get(requestsPath+"+", e.getRequest)
+	app.Delete(requestsPath+"+", e.cancelRequest)
+	app.Get("/v1/models", e.getModels)
+	app.Get("/v1/events", e.getEvents)
+	app.Post("/v1/orders", e.postOrder)
+	app.Get("/load", e.getLoad)
 	e.mountAdmin(app, l)
 }
 
-func (e *engine) chat(c *fiber.Ctx) error {
+func (e *engine) postChat(c *fiber.Ctx) error {
 	r := &chatRequest{}
 	if err := json.Unmarshal(c.Body(), r); err != nil {
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
-	if err := r.check(e.opts.Model); err != nil {
+	if err := r.validate(e.opts.Model); err != nil {
 		return err
 	}
-	id := c.Get(headerID)
+	id := c.Get(headerRequestID)
 	if id == "" {
 		id = uuid.NewString()
 	}
 	priority, _ := strconv.Atoi(c.Get(headerPriority))
-	j, err := e.start(id, priority, r)
+	j, err := e.submit(id, priority, r)
 	if err != nil {
 		return refuse(c, err)
 	}
-	c.Set(headerID, id)
+	c.Set(headerRequestID, id)
 	if r.Stream {
-		return e.stream(c, j, 0)
+		return e.respondStream(c, j, 0)
 	}
-	return e.whole(c, j)
+	return e.respondWhole(c, j)
 }
 
 func refuse(c *fiber.Ctx, err error) error {
 	switch {
 	case errors.Is(err, errLeaving):
 		c.Set(headerLeaving, "1")
-	case errors.Is(err, errPartial):
+	case errors.Is(err, errPrefixMismatch):
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
-	c.Set(headerRetry, "1")
+	c.Set(headerRetryAfter, "1")
 	return fiber.NewError(http.StatusServiceUnavailable, err.Error())
 }
 
-// whole waits for the end of the request and answers with all of it.
-func (e *engine) whole(c *fiber.Ctx, j *job) error {
+// respondWhole waits for the end of the request and answers with all of it.
+func (e *engine) respondWhole(c *fiber.Ctx, j *job) error {
 	for {
-		p := e.read(j, 0)
+		p := e.readProgress(j, 0)
 		if p.state == stateCancelled {
 			return fiber.NewError(http.StatusServiceUnavailable, "cancelled")
 		}
-		if p.ended {
-			a := j.answer("chat.completion")
-			a.Choices = []chatChoice{{Message: &Message{Role: "assistant", Content: strings.Join(p.tokens, "")}, Finish: j.finish()}}
-			a.Usage = j.usage(p.made)
+		if p.finished {
+			a := j.newResponse("chat.completion")
+			a.Choices = []chatChoice{{Message: &Message{Role: "assistant", Content: strings.Join(p.tokens, "")}, FinishReason: j.finishReason()}}
+			a.Usage = j.usage(p.generated)
 			return c.JSON(a)
 		}
 		<-p.changed
 	}
 }
 
-// stream answers with the request's events after the first from ones.
-func (e *engine) stream(c *fiber.Ctx, j *job, from int) error {
+// respondStream answers with the request's events after the first from ones.
+func (e *engine) respondStream(c *fiber.Ctx, j *job, from int) error {
 	c.Set("Content-Type", "text/event-stream")
-	e.attach(j)
+	e.addReader(j)
 	c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer e.detach(j)
+		defer e.removeReader(j)
 		for {
-			p := e.read(j, from)
+			p := e.readProgress(j, from)
 			for _, t := range p.tokens {
 				from++
-				if j.send(w, from, []chatChoice{{Delta: tokenDelta(from, t)}}, nil) != nil {
+				if j.writeEvent(w, from, []chatChoice{{Delta: tokenDelta(from, t)}}, nil) != nil {
 					return
 				}
 			}
 			if p.state == stateCancelled {
 				return
 			}
-			if p.ended {
-				_ = j.send(w, p.made+1, []chatChoice{{Delta: &delta{}, Finish: j.finish()}}, j.usage(p.made))
+			if p.finished {
+				_ = j.writeEvent(w, p.generated+1, []chatChoice{{Delta: &chatDelta{}, FinishReason: j.finishReason()}}, j.usage(p.generated))
 				_, _ = w.WriteString("data: [DONE]\n\n")
 				_ = w.Flush()
 				return
@@ -194,17 +194,17 @@
 	return nil
 }
 
-func tokenDelta(n int, token string) *delta {
-	d := &delta{Content: token}
+func tokenDelta(n int, token string) *chatDelta {
+	d := &chatDelta{Content: token}
 	if n == 1 {
 		d.Role = "assistant"
 	}
 	return d
 }
 
-// send writes one numbered event of the request.
-func (j *job) send(w *bufio.Writer, n int, choices []chatChoice, u *chatUsage) error {
-	a := j.answer("chat.completion.chunk")
+// writeEvent writes one numbered event of the request.
+func (j *job) writeEvent(w *bufio.Writer, n int, choices []chatChoice, u *chatUsage) error {
+	a := j.newResponse("chat.completion.chunk")
 	a.Choices, a.Usage = choices, u
 	b, err := json.Marshal(a)
 	if err != nil {
@@ -216,26 +216,26 @@
 	return w.Flush()
 }
 
-func (j *job) answer(object string) *chatAnswer {
-	return &chatAnswer{ID: j.id, Object: object, Created: j.at.Unix(), Model: j.model}
+func (j *job) newResponse(object string) *chatResponse {
+	return &chatResponse{ID: j.id, Object: object, Created: j.acceptedAt.Unix(), Model: j.model}
 }
 
 func (j *job) usage(made int) *chatUsage {
-	return &chatUsage{Prompt: j.prompt, Completion: made, Total: j.prompt + made}
+	return &chatUsage{Prompt: j.promptTokens, Completion: made, Total: j.promptTokens + made}
 }
 
-func (j *job) finish() *string {
+func (j *job) finishReason() *string {
 	reason := "stop"
-	if j.cut {
+	if j.truncated {
 		reason = "length"
 	}
 	return &reason
 }
 
-// request tells the state of a request, or resumes its stream.
-func (e *engine) request(c *fiber.Ctx) error {
+// getRequest tells the state of a request, or resumes its stream.
+func (e *engine) getRequest(c *fiber.Ctx) error {
 	id, resume := strings.CutSuffix(c.Params("+"), streamSuffix)
-	j := e.find(id)
+	j := e.findJob(id)
 	if j == nil {
 		return fiber.NewError(http.StatusNotFound, fmt.Sprintf("unknown request %q", id))
 	}
@@ -244,25 +244,25 @@
 		if from < 0 {
 			return fiber.NewError(http.StatusBadRequest, "from: must be 0 at least")
 		}
-		return e.stream(c, j, from)
+		return e.respondStream(c, j, from)
 	}
-	p := e.read(j, 0)
-	return c.JSON(requestState{ID: id, State: p.state, Usage: *j.usage(p.made)})
+	p := e.readProgress(j, 0)
+	return c.JSON(requestState{ID: id, State: p.state, Usage: *j.usage(p.generated)})
 }
 
-// remove cancels a request; one that has ended stays as it is.
-func (e *engine) remove(c *fiber.Ctx) error {
-	j := e.find(c.Params("+"))
+// cancelRequest cancels a request; one that has ended stays as it is.
+func (e *engine) cancelRequest(c *fiber.Ctx) error {
+	j := e.findJob(c.Params("+"))
 	if j == nil {
 		return fiber.NewError(http.StatusNotFound, "unknown request")
 	}
 	j.cancel()
-	p := e.read(j, 0)
-	for !p.ended {
+	p := e.readProgress(j, 0)
+	for !p.finished {
 		<-p.changed
-		p = e.read(j, 0)
+		p = e.readProgress(j, 0)
 	}
-	return c.JSON(requestState{ID: j.id, State: p.state, Usage: *j.usage(p.made)})
+	return c.JSON(requestState{ID: j.id, State: p.state, Usage: *j.usage(p.generated)})
 }
 
 type modelList struct {
@@ -275,31 +275,31 @@
 	Object string `json:"object"`
 }
 
-func (e *engine) models(c *fiber.Ctx) error {
+func (e *engine) getModels(c *fiber.Ctx) error {
 	return c.JSON(modelList{Object: "list", Data: []modelItem{{ID: e.opts.Model, Object: "model"}}})
 }
 
-func (e *engine) events(c *fiber.Ctx) error {
+func (e *engine) getEvents(c *fiber.Ctx) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return c.JSON(e.cache.after(c.QueryInt("after"), time.Now().Add(-e.opts.EventLag)))
+	return c.JSON(e.cache.eventsAfter(c.QueryInt("after"), time.Now().Add(-e.opts.EventLag)))
 }
 
-func (e *engine) order(c *fiber.Ctx) error {
+func (e *engine) postOrder(c *fiber.Ctx) error {
 	var o Order
-	if err := strict(c, &o); err != nil {
+	if err := decodeStrict(c, &o); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.orders.take(o); err != nil {
+	if err := e.orders.accept(o); err != nil {
 		return fiber.NewError(http.StatusConflict, err.Error())
 	}
 	return c.JSON(o)
 }
 
-func (e *engine) report(c *fiber.Ctx) error {
+func (e *engine) getLoad(c *fiber.Ctx) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return c.JSON(e.loads.report(time.Now(), Load{Slots: e.opts.Slots}))
+	return c.JSON(e.loadHistory.lagged(time.Now(), TargetLoad{Slots: e.opts.Slots}))
 }
--- a/bluebellstand/src/engine_parts.go
+++ b/bluebellstand/src/engine_state.go
@@ -8,8 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// Load is what a target reports of itself.
-type Load struct {
+// TargetLoad is what a target reports of itself.
+type TargetLoad struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
 	Slots   int  `json:"slots"`
@@ -19,32 +19,32 @@
 }
 
 // load returns the load of now; e.mu is held.
-func (e *engine) load() Load {
-	return Load{Running: e.running, Waiting: len(e.waiting), Slots: e.opts.Slots, Leaving: e.leaving}
+func (e *engine) load() TargetLoad {
+	return TargetLoad{Running: e.running, Waiting: len(e.waiting), Slots: e.opts.Slots, Leaving: e.leaving}
 }
 
 // loadHistory keeps the loads of the last lag, so that reports come late.
 type loadHistory struct {
-	lag   time.Duration
-	notes []loadNote
+	lag     time.Duration
+	samples []loadSample
 }
 
-type loadNote struct {
+type loadSample struct {
 	at   time.Time
-	load Load
+	load TargetLoad
 }
 
-func (h *loadHistory) note(now time.Time, l Load) {
-	h.notes = append(h.notes, loadNote{now, l})
-	for len(h.notes) > 1 && now.Sub(h.notes[1].at) > h.lag {
-		h.notes = h.notes[1:]
+func (h *loadHistory) record(now time.Time, l TargetLoad) {
+	h.samples = append(h.samples, loadSample{now, l})
+	for len(h.samples) > 1 && now.Sub(h.samples[1].at) > h.lag {
+		h.samples = h.samples[1:]
 	}
 }
 
-// report returns the load as it was lag ago.
-func (h *loadHistory) report(now time.Time, idle Load) Load {
+// lagged returns the load as it was lag ago.
+func (h *loadHistory) lagged(now time.Time, idle TargetLoad) TargetLoad {
 	out := idle
-	for _, n := range h.notes {
+	for _, n := range h.samples {
 		if now.Sub(n.at) < h.lag {
 			break
 		}
@@ -64,11 +64,11 @@
 
 // prefixCache remembers the first messages of the last prompts.
 type prefixCache struct {
-	size   int
-	gap    int
-	hashes []string // least recently used first
-	events []CacheEvent
-	seq    int
+	size      int
+	dropEvery int
+	prefixes  []string // least recently used first
+	events    []CacheEvent
+	seq       int
 }
 
 // prefixHash names the part of a prompt that others may share: the model and
@@ -82,37 +82,37 @@
 	return strconv.FormatUint(d.Sum64(), 16)
 }
 
-// use puts the prompt's prefix into the cache and tells whether it was there.
-func (p *prefixCache) use(model string, messages []Message, now time.Time) bool {
+// touch puts the prompt's prefix into the cache and tells whether it was there.
+func (p *prefixCache) touch(model string, messages []Message, now time.Time) bool {
 	hash := prefixHash(model, messages)
-	for i, h := range p.hashes {
+	for i, h := range p.prefixes {
 		if h == hash {
-			p.hashes = append(append(p.hashes[:i:i], p.hashes[i+1:]...), hash)
+			p.prefixes = append(append(p.prefixes[:i:i], p.prefixes[i+1:]...), hash)
 			return true
 		}
 	}
 	if p.size == 0 {
 		return false
 	}
-	p.hashes = append(p.hashes, hash)
-	p.event("stored", hash, now)
-	if len(p.hashes) > p.size {
-		p.event("removed", p.hashes[0], now)
-		p.hashes = p.hashes[1:]
+	p.prefixes = append(p.prefixes, hash)
+	p.addEvent("stored", hash, now)
+	if len(p.prefixes) > p.size {
+		p.addEvent("removed", p.prefixes[0], now)
+		p.prefixes = p.prefixes[1:]
 	}
 	return false
 }
 
-func (p *prefixCache) event(kind, hash string, now time.Time) {
+func (p *prefixCache) addEvent(kind, hash string, now time.Time) {
 	p.seq++
-	if p.gap > 0 && p.seq%p.gap == 0 {
+	if p.dropEvery > 0 && p.seq%p.dropEvery == 0 {
 		return
 	}
 	p.events = append(p.events, CacheEvent{Seq: p.seq, Type: kind, Hash: hash, At: now.UnixMilli()})
 }
 
-// after returns the events with a higher number that are old enough.
-func (p *prefixCache) after(seq int, old time.Time) []CacheEvent {
+// eventsAfter returns the events with a higher number that are old enough.
+func (p *prefixCache) eventsAfter(seq int, old time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range p.events {
 		if e.Seq > seq && e.At <= old.UnixMilli() {
@@ -129,20 +129,20 @@
 	Model  string `json:"model"`
 }
 
-const errFence = errors.ConstError("old fencing number")
+const errStaleFence = errors.ConstError("old fencing number")
 
-// orders records the orders that were obeyed.
-type orders struct {
-	fence   bool
-	highest uint64
-	obeyed  []Order
+// orderLog records the orders that were obeyed.
+type orderLog struct {
+	rejectStale  bool
+	highestFence uint64
+	accepted     []Order
 }
 
-func (o *orders) take(r Order) error {
-	if o.fence && r.Fence < o.highest {
-		return errors.Annotatef(errFence, "%d below %d", r.Fence, o.highest)
+func (o *orderLog) accept(r Order) error {
+	if o.rejectStale && r.Fence < o.highestFence {
+		return errors.Annotatef(errStaleFence, "%d below %d", r.Fence, o.highestFence)
 	}
-	o.highest = max(o.highest, r.Fence)
-	o.obeyed = append(o.obeyed, r)
+	o.highestFence = max(o.highestFence, r.Fence)
+	o.accepted = append(o.accepted, r)
 	return nil
 }
--- a/bluebellstand/src/engine_test.go
+++ b/bluebellstand/src/engine_test.go
@@ -13,23 +13,23 @@
 	"github.com/matryer/is"
 )
 
-func testEngine(t *testing.T, change func(*EngineOptions)) (*engine, string) {
+func startTestEngine(t *testing.T, change func(*EngineOptions)) (*engine, string) {
 	o := EngineOptions{Slots: 2, Queue: 1, Interval: time.Millisecond, Answer: 5, Linger: time.Minute, Cache: 1}
 	if change != nil {
 		change(&o)
 	}
 	e, stop := newEngine(o)
-	url := startPart(t, e.mount)
+	url := startStandIn(t, e.mount)
 	t.Cleanup(stop)
 	return e, url
 }
 
-// ask sends a request and returns the status, the headers and the body.
-func ask(t *testing.T, method, url, id, body string) (int, http.Header, string) {
+// sendRequest sends a request and returns the status, the headers and the body.
+func sendRequest(t *testing.T, method, url, id, body string) (int, http.Header, string) {
 	is := is.New(t)
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	is.NoErr(err)
-	r.Header.Set(headerID, id)
+	r.Header.Set(headerRequestID, id)
 	resp, err := http.DefaultClient.Do(r)
 	is.NoErr(err)
 	defer func() { _ = resp.Body.Close() }()
@@ -42,107 +42,107 @@
 	return fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}]%s}`, prompt, more)
 }
 
-func user(prompt string) []Message { return []Message{{Role: "user", Content: prompt}} }
+func userMessage(prompt string) []Message { return []Message{{Role: "user", Content: prompt}} }
 
-func content(t *testing.T, body string) (string, chatUsage, string) {
-	var a chatAnswer
+func decodeAnswer(t *testing.T, body string) (string, chatUsage, string) {
+	var a chatResponse
 	is.New(t).NoErr(json.Unmarshal([]byte(body), &a))
-	return a.Choices[0].Message.Content, *a.Usage, *a.Choices[0].Finish
+	return a.Choices[0].Message.Content, *a.Usage, *a.Choices[0].FinishReason
 }
 
-func TestEngineWhole(t *testing.T) {
+func TestEngineWholeAnswer(t *testing.T) {
 	is := is.New(t)
-	_, url := testEngine(t, nil)
-	_, _, body := ask(t, "POST", url+"/v1/chat/completions", "a/1", chatBody("one two", ""))
-	text, usage, finish := content(t, body)
-	is.Equal(text, AnswerText("m", user("one two"), 5, 0))
+	_, url := startTestEngine(t, nil)
+	_, _, body := sendRequest(t, "POST", url+"/v1/chat/completions", "a/1", chatBody("one two", ""))
+	text, usage, finish := decodeAnswer(t, body)
+	is.Equal(text, AnswerText("m", userMessage("one two"), 5, 0))
 	is.Equal(usage, chatUsage{Prompt: 2, Completion: 5, Total: 7})
 	is.Equal(finish, "stop")
-	_, _, body = ask(t, "POST", url+"/v1/chat/completions", "a/2", chatBody("one two", `,"max_tokens":3`))
-	text, usage, finish = content(t, body)
-	is.Equal(text, AnswerText("m", user("one two"), 5, 3))
+	_, _, body = sendRequest(t, "POST", url+"/v1/chat/completions", "a/2", chatBody("one two", `,"max_tokens":3`))
+	text, usage, finish = decodeAnswer(t, body)
+	is.Equal(text, AnswerText("m", userMessage("one two"), 5, 3))
 	is.Equal(usage.Completion, 3)
 	is.Equal(finish, "length")
-	_, _, body = ask(t, "GET", url+"/v1/requests/a%2F2", "", "")
+	_, _, body = sendRequest(t, "GET", url+"/v1/requests/a%2F2", "", "")
 	is.Equal(body, `{"id":"a/2","state":"done","usage":{"prompt_tokens":2,"completion_tokens":3,"total_tokens":5}}`)
 }
 
-func TestEngineContinuesExactlyWhereTheTextEnds(t *testing.T) {
-	_, url := testEngine(t, nil)
-	whole := AnswerText("m", user("hi"), 5, 0)
+func TestEngineContinuesPartialAnswer(t *testing.T) {
+	_, url := startTestEngine(t, nil)
+	whole := AnswerText("m", userMessage("hi"), 5, 0)
 	for cut := 0; cut <= len(whole); cut++ {
 		is := is.New(t)
-		b, err := json.Marshal(chatRequest{Model: "m", Continue: true, Messages: append(user("hi"), Message{"assistant", whole[:cut]})})
+		b, err := json.Marshal(chatRequest{Model: "m", ContinueFinalMessage: true, Messages: append(userMessage("hi"), Message{"assistant", whole[:cut]})})
 		is.NoErr(err)
-		_, _, body := ask(t, "POST", url+"/v1/chat/completions", "", string(b))
-		text, _, _ := content(t, body)
+		_, _, body := sendRequest(t, "POST", url+"/v1/chat/completions", "", string(b))
+		text, _, _ := decodeAnswer(t, body)
 		is.Equal(whole[:cut]+text, whole)
 	}
-	b, _ := json.Marshal(chatRequest{Model: "m", Continue: true, Messages: append(user("hi"), Message{"assistant", "other"})})
-	status, _, _ := ask(t, "POST", url+"/v1/chat/completions", "", string(b))
+	b, _ := json.Marshal(chatRequest{Model: "m", ContinueFinalMessage: true, Messages: append(userMessage("hi"), Message{"assistant", "other"})})
+	status, _, _ := sendRequest(t, "POST", url+"/v1/chat/completions", "", string(b))
 	is.New(t).Equal(status, http.StatusBadRequest)
 }
 
 func TestEngineStreamAndResume(t *testing.T) {
 	is := is.New(t)
-	_, url := testEngine(t, nil)
-	_, _, whole := ask(t, "POST", url+"/v1/chat/completions", "a", chatBody("x", `,"stream":true`))
+	_, url := startTestEngine(t, nil)
+	_, _, whole := sendRequest(t, "POST", url+"/v1/chat/completions", "a", chatBody("x", `,"stream":true`))
 	is.True(strings.HasSuffix(whole, "data: [DONE]\n\n"))
 	is.Equal(strings.Count(whole, "id: "), 6)
-	_, _, rest := ask(t, "GET", url+"/v1/requests/a/stream?from=2", "", "")
+	_, _, rest := sendRequest(t, "GET", url+"/v1/requests/a/stream?from=2", "", "")
 	is.True(strings.HasPrefix(rest, "id: 3\n"))
 	is.True(strings.HasSuffix(whole, rest))
 }
 
 func TestEngineCancel(t *testing.T) {
 	is := is.New(t)
-	e, url := testEngine(t, func(o *EngineOptions) { o.Interval = 20 * time.Millisecond })
+	e, url := startTestEngine(t, func(o *EngineOptions) { o.Interval = 20 * time.Millisecond })
 	resp, err := http.Post(url+"/v1/chat/completions", "", strings.NewReader(chatBody("--tokens 1000", `,"stream":true`)))
 	is.NoErr(err)
-	id := resp.Header.Get(headerID)
+	id := resp.Header.Get(headerRequestID)
 	_, err = bufio.NewReader(resp.Body).ReadString('\n')
 	is.NoErr(err)
-	status, _, body := ask(t, "DELETE", url+"/v1/requests/"+id, "", "")
+	status, _, body := sendRequest(t, "DELETE", url+"/v1/requests/"+id, "", "")
 	is.Equal(status, 200)
 	is.True(strings.Contains(body, `"state":"cancelled"`))
 	_, _ = io.ReadAll(resp.Body)
 	is.NoErr(resp.Body.Close())
-	is.Equal(e.counts().Runs, 0)
-	is.True(e.list()[0].Tokens < 1000)
+	is.Equal(e.counts().Running, 0)
+	is.True(e.executions()[0].GeneratedTokens < 1000)
 }
 
-func TestEngineStreamWithoutReaderEnds(t *testing.T) {
+func TestEngineCancelsStreamWithoutReader(t *testing.T) {
 	is := is.New(t)
-	e, url := testEngine(t, func(o *EngineOptions) { o.Linger = 20 * time.Millisecond })
+	e, url := startTestEngine(t, func(o *EngineOptions) { o.Linger = 20 * time.Millisecond })
 	resp, err := http.Post(url+"/v1/chat/completions", "", strings.NewReader(chatBody("--tokens 100000", `,"stream":true`)))
 	is.NoErr(err)
 	is.NoErr(resp.Body.Close())
-	for i := 0; i < 200 && e.counts().Runs > 0; i++ {
+	for i := 0; i < 200 && e.counts().Running > 0; i++ {
 		time.Sleep(10 * time.Millisecond)
 	}
-	is.Equal(e.counts().Runs, 0)
+	is.Equal(e.counts().Running, 0)
 }
 
 func TestEngineQueueIsBoundedAndOrdered(t *testing.T) {
 	is := is.New(t)
-	e, _ := testEngine(t, func(o *EngineOptions) { o.Slots, o.Queue, o.Interval = 1, 2, 10*time.Millisecond })
+	e, _ := startTestEngine(t, func(o *EngineOptions) { o.Slots, o.Queue, o.Interval = 1, 2, 10*time.Millisecond })
 	start := func(id string, priority int) error {
-		_, err := e.start(id, priority, &chatRequest{Messages: user("x")})
+		_, err := e.submit(id, priority, &chatRequest{Messages: userMessage("x")})
 		return err
 	}
 	is.NoErr(start("running", 0))
 	is.NoErr(start("low", 1))
 	is.NoErr(start("high", 2))
-	is.Equal(start("refused", 3), errFull)
+	is.Equal(start("refused", 3), errQueueFull)
 	e.mu.Lock()
 	first, load := e.waiting[0].id, e.load()
 	e.mu.Unlock()
 	is.Equal(first, "high")
-	is.Equal(load, Load{Running: 1, Waiting: 2, Slots: 1})
+	is.Equal(load, TargetLoad{Running: 1, Waiting: 2, Slots: 1})
 }
 
 func TestEngineBadRequests(t *testing.T) {
-	_, url := testEngine(t, func(o *EngineOptions) { o.Model = "m" })
+	_, url := startTestEngine(t, func(o *EngineOptions) { o.Model = "m" })
 	cases := []struct {
 		body   string
 		status int
@@ -156,7 +156,7 @@
 	}
 	for _, c := range cases {
 		is := is.New(t)
-		status, _, body := ask(t, "POST", url+"/v1/chat/completions", "", c.body)
+		status, _, body := sendRequest(t, "POST", url+"/v1/chat/completions", "", c.body)
 		is.Equal(status, c.status)
 		is.True(strings.Contains(body, c.want))
 	}
@@ -164,73 +164,73 @@
 
 func TestEngineLeaving(t *testing.T) {
 	is := is.New(t)
-	_, url := testEngine(t, nil)
-	status, _, _ := ask(t, "POST", url+"/admin/fault", "", `{"leaving":true}`)
+	_, url := startTestEngine(t, nil)
+	status, _, _ := sendRequest(t, "POST", url+"/admin/fault", "", `{"leaving":true}`)
 	is.Equal(status, 200)
-	status, h, _ := ask(t, "POST", url+"/v1/chat/completions", "", chatBody("x", ""))
+	status, h, _ := sendRequest(t, "POST", url+"/v1/chat/completions", "", chatBody("x", ""))
 	is.Equal(status, 503)
 	is.Equal(h.Get(headerLeaving), "1")
-	is.Equal(h.Get(headerRetry), "1")
-	_, _, body := ask(t, "GET", url+"/load", "", "")
+	is.Equal(h.Get(headerRetryAfter), "1")
+	_, _, body := sendRequest(t, "GET", url+"/load", "", "")
 	is.True(strings.Contains(body, `"leaving":true`))
 }
 
 func TestEngineOrders(t *testing.T) {
 	for _, fence := range []bool{true, false} {
 		is := is.New(t)
-		_, url := testEngine(t, func(o *EngineOptions) { o.Fence = fence })
-		status, _, _ := ask(t, "POST", url+"/v1/orders", "", `{"fence":2,"action":"load","model":"m"}`)
+		_, url := startTestEngine(t, func(o *EngineOptions) { o.Fence = fence })
+		status, _, _ := sendRequest(t, "POST", url+"/v1/orders", "", `{"fence":2,"action":"load","model":"m"}`)
 		is.Equal(status, 200)
-		status, _, _ = ask(t, "POST", url+"/v1/orders", "", `{"fence":1,"action":"unload","model":"m"}`)
+		status, _, _ = sendRequest(t, "POST", url+"/v1/orders", "", `{"fence":1,"action":"unload","model":"m"}`)
 		is.Equal(status == 409, fence)
 	}
 }
 
 func TestEngineCrash(t *testing.T) {
 	is := is.New(t)
-	e, url := testEngine(t, func(o *EngineOptions) { o.Crash = "boom" })
+	e, url := startTestEngine(t, func(o *EngineOptions) { o.Crash = "boom" })
 	crashed := make(chan int, 1)
 	e.exit = func(code int) { crashed <- code }
-	_, _, _ = ask(t, "POST", url+"/v1/chat/completions", "", chatBody("a boom b", ""))
-	is.Equal(<-crashed, exitCrash)
+	_, _, _ = sendRequest(t, "POST", url+"/v1/chat/completions", "", chatBody("a boom b", ""))
+	is.Equal(<-crashed, exitCodeCrash)
 }
 
 func TestSilentConnections(t *testing.T) {
 	is := is.New(t)
-	_, url := testEngine(t, func(o *EngineOptions) { o.Interval = 5 * time.Millisecond })
+	_, url := startTestEngine(t, func(o *EngineOptions) { o.Interval = 5 * time.Millisecond })
 	c := &http.Client{Timeout: 300 * time.Millisecond, Transport: &http.Transport{}}
 	resp, err := c.Post(url+"/v1/chat/completions", "", strings.NewReader(chatBody("--tokens 20", `,"stream":true`)))
 	is.NoErr(err)
-	status, _, _ := ask(t, "POST", url+"/admin/fault", "", `{"silent":true}`)
+	status, _, _ := sendRequest(t, "POST", url+"/admin/fault", "", `{"silent":true}`)
 	is.Equal(status, 200)
 	_, err = io.ReadAll(resp.Body)
 	is.True(err != nil) // nothing more comes, and no end
 	_ = resp.Body.Close()
 	http.DefaultClient.CloseIdleConnections()
-	status, _, _ = ask(t, "POST", url+"/v1/chat/completions", "", chatBody("x", ""))
+	status, _, _ = sendRequest(t, "POST", url+"/v1/chat/completions", "", chatBody("x", ""))
 	is.Equal(status, 200)
 }
 
 func TestPrefixCacheEvents(t *testing.T) {
 	is := is.New(t)
-	p := prefixCache{size: 1, gap: 3}
+	p := prefixCache{size: 1, dropEvery: 3}
 	now := time.Unix(10, 0)
-	is.True(!p.use("m", user("a"), now))
-	is.True(p.use("m", user("b"), now)) // the last message is not in the prefix
-	is.True(!p.use("n", user("a"), now))
-	is.Equal(len(p.after(0, now.Add(-time.Second))), 0) // late
-	e := p.after(0, now)
+	is.True(!p.touch("m", userMessage("a"), now))
+	is.True(p.touch("m", userMessage("b"), now)) // the last message is not in the prefix
+	is.True(!p.touch("n", userMessage("a"), now))
+	is.Equal(len(p.eventsAfter(0, now.Add(-time.Second))), 0) // late
+	e := p.eventsAfter(0, now)
 	is.Equal(len(e), 2) // the third is lost
 	is.Equal(e[1].Seq, 2)
 }
 
-func TestLoadIsLate(t *testing.T) {
+func TestLoadReportLag(t *testing.T) {
 	is := is.New(t)
 	h := loadHistory{lag: time.Second}
 	t0 := time.Unix(10, 0)
-	h.note(t0, Load{Running: 1})
-	h.note(t0.Add(500*time.Millisecond), Load{Running: 2})
-	is.Equal(h.report(t0.Add(900*time.Millisecond), Load{}).Running, 0)
-	is.Equal(h.report(t0.Add(1100*time.Millisecond), Load{}).Running, 1)
-	is.Equal(h.report(t0.Add(1600*time.Millisecond), Load{}).Running, 2)
+	h.record(t0, TargetLoad{Running: 1})
+	h.record(t0.Add(500*time.Millisecond), TargetLoad{Running: 2})
+	is.Equal(h.lagged(t0.Add(900*time.Millisecond), TargetLoad{}).Running, 0)
+	is.Equal(h.lagged(t0.Add(1100*time.Millisecond), TargetLoad{}).Running, 1)
+	is.Equal(h.lagged(t0.Add(1600*time.Millisecond), TargetLoad{}).Running, 2)
 }
--- a/bluebellstand/src/fetch.go
+++ b/bluebellstand/src/fetch.go
@@ -13,8 +13,8 @@
 	"bluebellport.example/shared/bbcli"
 )
 
-// fetchPause is the time between two tries of a get.
-const fetchPause = 100 * time.Millisecond
+// pollInterval is the time between two tries of a get.
+const pollInterval = 100 * time.Millisecond
 
 // GetOptions set a GET that is tried until it is answered with 200.
 type GetOptions struct {
@@ -45,7 +45,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Errorf("%s%s: status %d, %v", o.Address, o.Path, status, err)
-		case <-time.After(fetchPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/bluebellstand/src/list.go
+++ b/bluebellstand/src/list.go
@@ -25,10 +25,10 @@
 
 // ListFault is the body of POST /admin/fault of the list.
 type ListFault struct {
-	Down   bool `json:"down"`
-	SlowMS int  `json:"slowms"`
-	LagMS  int  `json:"lagms"`
-	Silent bool `json:"silent"`
+	Down      bool `json:"down"`
+	LatencyMS int  `json:"slowms"`
+	LagMS     int  `json:"lagms"`
+	Silent    bool `json:"silent"`
 }
 
 // States of an instance.
@@ -37,35 +37,35 @@
 	stateLeaving = "leaving"
 )
 
-// instances is the list, as the changes that made it.
-type instances struct {
+// instanceList is the list, as the changes that made it.
+type instanceList struct {
 	mu      sync.Mutex
 	changes []instanceChange
 	fault   ListFault
 }
 
 type instanceChange struct {
-	at   time.Time
-	inst Instance
-	gone bool
+	at      time.Time
+	inst    Instance
+	removed bool
 }
 
-func (i *instances) change(inst Instance, gone bool, now time.Time) {
+func (i *instanceList) addChange(inst Instance, gone bool, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	inst.Since = now.UnixMilli()
-	i.changes = append(i.changes, instanceChange{at: now, inst: inst, gone: gone})
+	i.changes = append(i.changes, instanceChange{at: now, inst: inst, removed: gone})
 }
 
-// at returns the list as it was at a time, sorted by id.
-func (i *instances) at(t time.Time) []Instance {
+// listAt returns the list as it was at a time, sorted by id.
+func (i *instanceList) listAt(t time.Time) []Instance {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	byID := map[string]Instance{}
 	for _, c := range i.changes {
 		switch {
 		case c.at.After(t):
-		case c.gone:
+		case c.removed:
 			delete(byID, c.inst.ID)
 		default:
 			byID[c.inst.ID] = c.inst
@@ -79,32 +79,32 @@
 	return out
 }
 
-func (i *instances) setFault(f ListFault) {
+func (i *instanceList) setFault(f ListFault) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.fault = f
 }
 
-func (i *instances) faults() ListFault {
+func (i *instanceList) currentFault() ListFault {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.fault
 }
 
-func (o *ListOptions) run(ctx context.Context, s streams) error { return serve(ctx, s, o.part()) }
+func (o *ListOptions) run(ctx context.Context, s streams) error { return serve(ctx, s, o.standIn()) }
 
-func (o *ListOptions) part() part {
-	list := &instances{fault: ListFault{LagMS: int(o.Lag.Milliseconds())}}
-	return part{name: "list", addr: o.Listen, stop: func() {}, mount: func(app *fiber.App, l *listener) {
+func (o *ListOptions) standIn() standIn {
+	list := &instanceList{fault: ListFault{LagMS: int(o.Lag.Milliseconds())}}
+	return standIn{name: "list", addr: o.Listen, stop: func() {}, mount: func(app *fiber.App, l *listener) {
 		app.Get("/v1/instances", list.get)
 		app.Post("/v1/instances", list.post)
 		app.Delete("/v1/instances/:id", func(c *fiber.Ctx) error {
-			list.change(Instance{ID: c.Params("id")}, true, time.Now())
+			list.addChange(Instance{ID: c.Params("id")}, true, time.Now())
 			return c.SendStatus(http.StatusNoContent)
 		})
 		app.Post("/admin/fault", func(c *fiber.Ctx) error {
 			f := ListFault{LagMS: int(o.Lag.Milliseconds())}
-			if err := strict(c, &f); err != nil {
+			if err := decodeStrict(c, &f); err != nil {
 				return err
 			}
 			if f.Silent {
@@ -116,18 +116,18 @@
 	}}
 }
 
-func (i *instances) get(c *fiber.Ctx) error {
-	f := i.faults()
-	time.Sleep(time.Duration(f.SlowMS) * time.Millisecond)
+func (i *instanceList) get(c *fiber.Ctx) error {
+	f := i.currentFault()
+	time.Sleep(time.Duration(f.LatencyMS) * time.Millisecond)
 	if f.Down {
 		return fiber.NewError(http.StatusServiceUnavailable, "down")
 	}
-	return c.JSON(i.at(time.Now().Add(-time.Duration(f.LagMS) * time.Millisecond)))
+	return c.JSON(i.listAt(time.Now().Add(-time.Duration(f.LagMS) * time.Millisecond)))
 }
 
-func (i *instances) post(c *fiber.Ctx) error {
+func (i *instanceList) post(c *fiber.Ctx) error {
 	inst := Instance{State: stateLive}
-	if err := strict(c, &inst); err != nil {
+	if err := decodeStrict(c, &inst); err != nil {
 		return err
 	}
 	switch {
@@ -140,6 +140,6 @@
 	case inst.State != stateLive && inst.State != stateLeaving:
 		return fiber.NewError(http.StatusBadRequest, "state: must be live or leaving")
 	}
-	i.change(inst, false, time.Now())
+	i.addChange(inst, false, time.Now())
 	return c.JSON(inst)
 }
--- a/bluebellstand/src/load.go
+++ b/bluebellstand/src/load.go
@@ -19,24 +19,24 @@
 
 // LoadOptions set what the load generator sends.
 type LoadOptions struct {
-	Instances   []string // taken in turn, as a balancer does
-	Keys        []string
-	Service     string
-	Plain       string
-	Streamed    float64 // share of the chats
-	PlainShare  float64 // share of all requests
-	WriteShare  float64 // share of the requests to the plain service
-	Rate        float64 // requests a second
-	Concurrency int
-	Duration    time.Duration
-	Count       int
-	Tokens      int
-	Retries     int
-	Timeout     time.Duration
-	Seed        uint64
-	Prefix      string
-	Output      string
-	Records     string
+	Instances     []string // taken in turn, as a balancer does
+	Keys          []string
+	Service       string
+	Plain         string
+	StreamedShare float64 // share of the chats
+	PlainShare    float64 // share of all requests
+	WriteShare    float64 // share of the requests to the plain service
+	Rate          float64 // requests a second
+	Concurrency   int
+	Duration      time.Duration
+	Count         int
+	Tokens        int
+	Retries       int
+	Timeout       time.Duration
+	Seed          uint64
+	Prefix        string
+	Output        string
+	Records       string
 }
 
 func (o *LoadOptions) flags(cmd *kingpin.CmdClause) {
@@ -44,7 +44,7 @@
 	flag(cmd, "key", "", "API key; may be repeated.").StringsVar(&o.Keys)
 	flag(cmd, "service", "", "Service that chats go to.").StringVar(&o.Service)
 	flag(cmd, "plain", "", "Plain service that other requests go to.").StringVar(&o.Plain)
-	flag(cmd, "streamed", "0.5", "Share of the chats that are streamed.").Float64Var(&o.Streamed)
+	flag(cmd, "streamed", "0.5", "Share of the chats that are streamed.").Float64Var(&o.StreamedShare)
 	flag(cmd, "plain-share", "0", "Share of the requests that go to the plain service.").Float64Var(&o.PlainShare)
 	flag(cmd, "write-share", "0.5", "Share of those that are not idempotent.").Float64Var(&o.WriteShare)
 	flag(cmd, "rate", "0", "Requests a second; 0 sends as fast as the concurrency allows.").Float64Var(&o.Rate)
@@ -77,19 +77,19 @@
 	if o.Plain == "" && o.PlainShare > 0 {
 		bad = append(bad, "--plain: needed while --plain-share is above 0")
 	}
-	bad = append(bad, badShare("--streamed", o.Streamed)...)
-	bad = append(bad, badShare("--plain-share", o.PlainShare)...)
-	bad = append(bad, badShare("--write-share", o.WriteShare)...)
-	bad = append(bad, badNumber("--rate", o.Rate, 0)...)
-	bad = append(bad, badNumber("--concurrency", float64(o.Concurrency), 1)...)
+	bad = append(bad, checkShare("--streamed", o.StreamedShare)...)
+	bad = append(bad, checkShare("--plain-share", o.PlainShare)...)
+	bad = append(bad, checkShare("--write-share", o.WriteShare)...)
+	bad = append(bad, checkMin("--rate", o.Rate, 0)...)
+	bad = append(bad, checkMin("--concurrency", float64(o.Concurrency), 1)...)
 	bad = append(bad, bbcli.CheckDuration("--duration", o.Duration)...)
-	bad = append(bad, badNumber("--count", float64(o.Count), 0)...)
-	bad = append(bad, badNumber("--tokens", float64(o.Tokens), 1)...)
-	bad = append(bad, badNumber("--retries", float64(o.Retries), 0)...)
+	bad = append(bad, checkMin("--count", float64(o.Count), 0)...)
+	bad = append(bad, checkMin("--tokens", float64(o.Tokens), 1)...)
+	bad = append(bad, checkMin("--retries", float64(o.Retries), 0)...)
 	return append(bad, bbcli.CheckDuration("--timeout", o.Timeout)...)
 }
 
-func badShare(flag string, v float64) []string {
+func checkShare(flag string, v float64) []string {
 	if v < 0 || v > 1 {
 		return []string{fmt.Sprintf("%s: must be from 0 to 1, is %v", flag, v)}
 	}
@@ -118,8 +118,8 @@
 	if err := report.print(s.out, o.Output); err != nil {
 		return err
 	}
-	if report.Wrong > 0 || report.Cut > 0 {
-		return errors.Errorf("%d answers were wrong and %d were cut", report.Wrong, report.Cut)
+	if report.Wrong > 0 || report.Truncated > 0 {
+		return errors.Errorf("%d answers were wrong and %d were cut", report.Wrong, report.Truncated)
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 			return
 		case <-time.After(time.Until(due)):
 		}
-		r := o.request(n, random)
-		workers.Go(func() { done(sender.end(r, o.Retries, due)) })
+		r := o.newRequest(n, random)
+		workers.Go(func() { done(sender.sendWithRetries(r, o.Retries, due)) })
 	}
 }
--- a/bluebellstand/src/load_report.go
+++ b/bluebellstand/src/load_report.go
@@ -11,16 +11,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Refused counts the refusals of one kind.
-type Refused struct {
+// RefusalCount counts the refusals of one kind.
+type RefusalCount struct {
 	Status  int    `json:"status"`
 	Outcome string `json:"outcome"`
 	Title   string `json:"title"`
 	Count   int    `json:"count"`
 }
 
-// Spread is how a time is spread, in milliseconds.
-type Spread struct {
+// Percentiles is how a time is spread, in milliseconds.
+type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
@@ -28,25 +28,25 @@
 
 // LoadReport sums results up.
 type LoadReport struct {
-	Sent    int       `json:"sent"`
-	Done    int       `json:"done"`
-	Retried int       `json:"retried"`
-	Refused []Refused `json:"refused"`
-	Lost    int       `json:"lost"`
-	Cut     int       `json:"cut"`
-	Wrong   int       `json:"wrong"`
-	Tokens  int       `json:"tokens"`
+	Sent      int            `json:"sent"`
+	Done      int            `json:"done"`
+	Retried   int            `json:"retried"`
+	Refusals  []RefusalCount `json:"refused"`
+	Lost      int            `json:"lost"`
+	Truncated int            `json:"cut"`
+	Wrong     int            `json:"wrong"`
+	Tokens    int            `json:"tokens"`
 	// Latency and First are of the requests that are done.
-	Latency Spread `json:"latency"`
-	First   Spread `json:"first"`
+	Latency   Percentiles `json:"latency"`
+	FirstByte Percentiles `json:"first"`
 
-	total, first *hdrhistogram.Histogram
+	latencyHistogram, firstByteHistogram *hdrhistogram.Histogram
 }
 
 // NewLoadReport returns an empty report.
 func NewLoadReport() *LoadReport {
 	most := time.Hour.Microseconds()
-	return &LoadReport{Refused: []Refused{}, total: hdrhistogram.New(1, most, 3), first: hdrhistogram.New(1, most, 3)}
+	return &LoadReport{Refusals: []RefusalCount{}, latencyHistogram: hdrhistogram.New(1, most, 3), firstByteHistogram: hdrhistogram.New(1, most, 3)}
 }
 
 // Add counts one result.
@@ -56,8 +56,8 @@
 		l.Retried++
 	}
 	switch {
-	case r.Cut:
-		l.Cut++
+	case r.Truncated:
+		l.Truncated++
 	case r.Outcome == outcomeLost:
 		l.Lost++
 	case r.Wrong:
@@ -65,32 +65,32 @@
 	case r.Outcome == "done":
 		l.Done++
 		l.Tokens += r.Tokens
-		_ = l.total.RecordValue(r.Total.Microseconds())
-		_ = l.first.RecordValue(r.First.Microseconds())
+		_ = l.latencyHistogram.RecordValue(r.Total.Microseconds())
+		_ = l.firstByteHistogram.RecordValue(r.FirstByte.Microseconds())
 	default:
-		l.refuse(r)
+		l.addRefusal(r)
 	}
-	l.Latency, l.First = spread(l.total), spread(l.first)
+	l.Latency, l.FirstByte = percentiles(l.latencyHistogram), percentiles(l.firstByteHistogram)
 }
 
-func (l *LoadReport) refuse(r LoadResult) {
-	for i := range l.Refused {
-		f := &l.Refused[i]
+func (l *LoadReport) addRefusal(r LoadResult) {
+	for i := range l.Refusals {
+		f := &l.Refusals[i]
 		if f.Status == r.Status && f.Outcome == r.Outcome && f.Title == r.Title {
 			f.Count++
 			return
 		}
 	}
-	l.Refused = append(l.Refused, Refused{Status: r.Status, Outcome: r.Outcome, Title: r.Title, Count: 1})
-	sort.Slice(l.Refused, func(a, b int) bool {
-		x, y := l.Refused[a], l.Refused[b]
+	l.Refusals = append(l.Refusals, RefusalCount{Status: r.Status, Outcome: r.Outcome, Title: r.Title, Count: 1})
+	sort.Slice(l.Refusals, func(a, b int) bool {
+		x, y := l.Refusals[a], l.Refusals[b]
 		return x.Status < y.Status || x.Status == y.Status && x.Outcome+x.Title < y.Outcome+y.Title
 	})
 }
 
-func spread(h *hdrhistogram.Histogram) Spread {
+func percentiles(h *hdrhistogram.Histogram) Percentiles {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return Spread{P50: ms(50), P95: ms(95), P99: ms(99)}
+	return Percentiles{P50: ms(50), P95: ms(95), P99: ms(99)}
 }
 
 func (l *LoadReport) print(w io.Writer, format string) error {
@@ -98,12 +98,12 @@
 		return json.NewEncoder(w).Encode(l)
 	}
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(t, "SENT\tDONE\tRETRIED\tLOST\tCUT\tWRONG\tTOKENS\n%d\t%d\t%d\t%d\t%d\t%d\t%d\n", l.Sent, l.Done, l.Retried, l.Lost, l.Cut, l.Wrong, l.Tokens)
-	for _, r := range l.Refused {
+	fmt.Fprintf(t, "SENT\tDONE\tRETRIED\tLOST\tCUT\tWRONG\tTOKENS\n%d\t%d\t%d\t%d\t%d\t%d\t%d\n", l.Sent, l.Done, l.Retried, l.Lost, l.Truncated, l.Wrong, l.Tokens)
+	for _, r := range l.Refusals {
 		fmt.Fprintf(t, "refused\t%d\t%s\t%s\t%d\n", r.Status, r.Outcome, r.Title, r.Count)
 	}
 	fmt.Fprintf(t, "TIME (MS)\tP50\tP95\tP99\n")
 	fmt.Fprintf(t, "answer\t%.1f\t%.1f\t%.1f\n", l.Latency.P50, l.Latency.P95, l.Latency.P99)
-	fmt.Fprintf(t, "first byte\t%.1f\t%.1f\t%.1f\n", l.First.P50, l.First.P95, l.First.P99)
+	fmt.Fprintf(t, "first byte\t%.1f\t%.1f\t%.1f\n", l.FirstByte.P50, l.FirstByte.P95, l.FirstByte.P99)
 	return t.Flush()
 }
--- a/bluebellstand/src/load_request.go
+++ b/bluebellstand/src/load_request.go
@@ -26,25 +26,25 @@
 
 // loadRequest is one request with the answer that it must get.
 type loadRequest struct {
-	n      int
-	id     string
-	kind   LoadKind
-	key    int // place among the keys
-	secret string
-	method string
-	path   string
-	body   []byte
-	// want is the text of a chat's answer.
-	want string
-	// plain is the answer of a plain service, without its run.
-	plain PlainAnswer
+	n        int
+	id       string
+	kind     LoadKind
+	keyIndex int // place among the keys
+	apiKey   string
+	method   string
+	path     string
+	body     []byte
+	// wantText is the text of a chat's answer.
+	wantText string
+	// wantPlain is the answer of a plain service, without its run.
+	wantPlain PlainAnswer
 }
 
-// request makes the n-th request.
-func (o *LoadOptions) request(n int, random *rand.Rand) *loadRequest {
-	r := &loadRequest{n: n, id: fmt.Sprintf("%s-%d-%d", o.Prefix, o.Seed, n), key: random.IntN(len(o.Keys))}
-	r.secret = o.Keys[r.key]
-	plain, write, stream := random.Float64() < o.PlainShare, random.Float64() < o.WriteShare, random.Float64() < o.Streamed
+// newRequest makes the n-th request.
+func (o *LoadOptions) newRequest(n int, random *rand.Rand) *loadRequest {
+	r := &loadRequest{n: n, id: fmt.Sprintf("%s-%d-%d", o.Prefix, o.Seed, n), keyIndex: random.IntN(len(o.Keys))}
+	r.apiKey = o.Keys[r.keyIndex]
+	plain, write, stream := random.Float64() < o.PlainShare, random.Float64() < o.WriteShare, random.Float64() < o.StreamedShare
 	switch {
 	case plain && write:
 		r.kind, r.method, r.body = LoadWrite, http.MethodPost, []byte("close the street for "+r.id)
@@ -56,11 +56,11 @@
 	if plain {
 		path := "/closures/" + r.id
 		r.path = "/services/" + o.Plain + path
-		r.plain = NewPlainAnswer(r.method, path, r.body, 0)
+		r.wantPlain = NewPlainAnswer(r.method, path, r.body, 0)
 		return r
 	}
-	prompt := fmt.Sprintf("Draft a permit %s %s %s %d", nameWord, r.id, lengthWord, o.Tokens)
-	r.chat(o.Service, prompt, o.Tokens)
+	prompt := fmt.Sprintf("Draft a permit %s %s %s %d", nameMarker, r.id, tokensMarker, o.Tokens)
+	r.setChat(o.Service, prompt, o.Tokens)
 	return r
 }
 
@@ -76,13 +76,13 @@
 	Options   *streamOptions `json:"stream_options,omitempty"`
 }
 
-// chat makes r a chat with the prompt.
-func (r *loadRequest) chat(service, prompt string, most int) {
+// setChat makes r a chat with the prompt.
+func (r *loadRequest) setChat(service, prompt string, most int) {
 	c := loadChat{Model: service, Messages: []Message{{Role: "user", Content: prompt}}, MaxTokens: most}
 	if r.kind == LoadStream {
 		c.Stream, c.Options = true, &streamOptions{Usage: true}
 	}
 	r.method, r.path = http.MethodPost, "/v1/chat/completions"
 	r.body, _ = json.Marshal(c)
-	r.want = AnswerText(service, c.Messages, 1, most)
+	r.wantText = AnswerText(service, c.Messages, 1, most)
 }
--- a/bluebellstand/src/load_send.go
+++ b/bluebellstand/src/load_send.go
@@ -24,41 +24,41 @@
 type LoadResult struct {
 	ID       string   `json:"id"`
 	Kind     LoadKind `json:"kind"`
-	Key      int      `json:"key"`
+	KeyIndex int      `json:"key"`
 	Status   int      `json:"status"`
 	Outcome  string   `json:"outcome"` // of RFC 9457 answers, "done" or "lost"
 	Title    string   `json:"title,omitempty"`
 	Attempts int      `json:"attempts"`
-	// Broken is how many attempts got a connection and no whole answer on it.
-	Broken int `json:"broken"`
-	// Cut tells that an answer began and did not end.
-	Cut bool `json:"cut,omitempty"`
+	// BrokenAttempts is how many attempts got a connection and no whole answer on it.
+	BrokenAttempts int `json:"broken"`
+	// Truncated tells that an answer began and did not end.
+	Truncated bool `json:"cut,omitempty"`
 	// Wrong tells that an answer is whole and not the right one.
 	Wrong bool `json:"wrong,omitempty"`
 	// Tokens is what the answer's usage says.
 	Tokens int `json:"tokens"`
 	// Start is when the request was due, in milliseconds since the epoch.
 	Start int64 `json:"start"`
-	// Told is what each attempt was told: status, outcome and title.
-	Told []string `json:"told,omitempty"`
-	// NotRun holds when the caller was told "not-run", in microseconds since
+	// AttemptErrors is what each attempt was told: status, outcome and title.
+	AttemptErrors []string `json:"told,omitempty"`
+	// NotRunAt holds when the caller was told "not-run", in microseconds since
 	// the epoch.
-	NotRun []int64 `json:"notrun,omitempty"`
-	// First and Total are times since the request was due, in nanoseconds.
-	First time.Duration `json:"first"`
-	Total time.Duration `json:"total"`
-	text  string
-	retry time.Duration
-	err   error
+	NotRunAt []int64 `json:"notrun,omitempty"`
+	// FirstByte and Total are times since the request was due, in nanoseconds.
+	FirstByte  time.Duration `json:"first"`
+	Total      time.Duration `json:"total"`
+	text       string
+	retryDelay time.Duration
+	err        error
 }
 
 const (
-	errDial         = errors.ConstError("no connection")
-	instanceTimeout = 2 * time.Second
+	errDial     = errors.ConstError("no connection")
+	dialTimeout = 2 * time.Second
 )
 
 func dialInstance(addr string, _ time.Duration) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", addr, instanceTimeout)
+	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, errors.WithType(err, errDial)
 	}
@@ -90,61 +90,61 @@
 	}
 }
 
-// end sends the request, again to the next instance while that can help and
+// sendWithRetries sends the request, again to the next instance while that can help and
 // retries are left, and returns how it ended.
-func (s *sender) end(r *loadRequest, retries int, due time.Time) LoadResult {
-	out := LoadResult{ID: r.id, Kind: r.kind, Key: r.key, Start: due.UnixMilli()}
+func (s *sender) sendWithRetries(r *loadRequest, retries int, due time.Time) LoadResult {
+	out := LoadResult{ID: r.id, Kind: r.kind, KeyIndex: r.keyIndex, Start: due.UnixMilli()}
 	for out.Attempts = 1; ; out.Attempts++ {
-		s.send(s.clients[(r.n+out.Attempts-1)%len(s.clients)], r, &out, due)
+		s.sendOnce(s.clients[(r.n+out.Attempts-1)%len(s.clients)], r, &out, due)
 		if out.Outcome == outcomeLost && !errors.Is(out.err, errDial) {
-			out.Broken++
+			out.BrokenAttempts++
 		}
 		if out.Outcome != "done" {
-			out.Told = append(out.Told, fmt.Sprintf("%d %s: %s", out.Status, out.Outcome, out.Title))
+			out.AttemptErrors = append(out.AttemptErrors, fmt.Sprintf("%d %s: %s", out.Status, out.Outcome, out.Title))
 		}
 		if out.Outcome == "not-run" {
-			out.NotRun = append(out.NotRun, time.Now().UnixMicro())
+			out.NotRunAt = append(out.NotRunAt, time.Now().UnixMicro())
 		}
-		if !out.again() || out.Attempts > retries {
+		if !out.shouldRetry() || out.Attempts > retries {
 			break
 		}
-		time.Sleep(out.retry)
+		time.Sleep(out.retryDelay)
 	}
 	out.Total = time.Since(due)
 	return out
 }
 
-// again tells whether sending the request once more can help.
-func (l *LoadResult) again() bool {
-	return l.Outcome == outcomeLost || l.Cut || l.retry > 0
+// shouldRetry tells whether sending the request once more can help.
+func (l *LoadResult) shouldRetry() bool {
+	return l.Outcome == outcomeLost || l.Truncated || l.retryDelay > 0
 }
 
-// send sends the request once and sets out by the answer.
-func (s *sender) send(c *fasthttp.HostClient, r *loadRequest, out *LoadResult, due time.Time) {
-	out.Status, out.Outcome, out.Title, out.Cut, out.Wrong, out.Tokens, out.text, out.retry, out.err = 0, outcomeLost, "", false, false, 0, "", 0, nil
+// sendOnce sends the request once and sets out by the answer.
+func (s *sender) sendOnce(c *fasthttp.HostClient, r *loadRequest, out *LoadResult, due time.Time) {
+	out.Status, out.Outcome, out.Title, out.Truncated, out.Wrong, out.Tokens, out.text, out.retryDelay, out.err = 0, outcomeLost, "", false, false, 0, "", 0, nil
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(r.method)
 	req.SetRequestURI("http://" + c.Addr + r.path)
-	req.Header.Set("Authorization", "Bearer "+r.secret)
-	req.Header.Set(headerKey, r.id)
+	req.Header.Set("Authorization", "Bearer "+r.apiKey)
+	req.Header.Set(headerIdempotencyKey, r.id)
 	req.Header.Set("X-Request-Deadline-Ms", strconv.FormatInt(s.timeout.Milliseconds(), 10))
 	if r.body != nil {
 		req.Header.SetContentType("application/json")
 		req.SetBody(r.body)
 	}
 	if err := c.DoTimeout(req, resp, s.timeout); err != nil {
-		out.err, out.Title, out.retry = err, err.Error(), 100*time.Millisecond
+		out.err, out.Title, out.retryDelay = err, err.Error(), 100*time.Millisecond
 		return
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
 	out.Status = resp.StatusCode()
-	out.read(r, resp, due)
+	out.readResponse(r, resp, due)
 }
 
-func (l *LoadResult) read(r *loadRequest, resp *fasthttp.Response, due time.Time) {
-	body := &firstByte{r: resp.BodyStream(), due: due}
+func (l *LoadResult) readResponse(r *loadRequest, resp *fasthttp.Response, due time.Time) {
+	body := &firstByteTimer{r: resp.BodyStream(), due: due}
 	if resp.BodyStream() == nil {
 		body.r = bytes.NewReader(resp.Body())
 	}
@@ -152,11 +152,11 @@
 	switch {
 	case l.Status != http.StatusOK:
 		err = l.readProblem(body)
-		if s, e := strconv.Atoi(string(resp.Header.Peek(headerRetry))); e == nil {
-			l.retry = time.Duration(s) * time.Second
+		if s, e := strconv.Atoi(string(resp.Header.Peek(headerRetryAfter))); e == nil {
+			l.retryDelay = time.Duration(s) * time.Second
 		}
-		if l.Outcome == "unknown" && l.retry == 0 {
-			l.retry = time.Second
+		if l.Outcome == "unknown" && l.retryDelay == 0 {
+			l.retryDelay = time.Second
 		}
 	case r.kind == LoadStream:
 		err = l.readStream(body)
@@ -165,34 +165,34 @@
 	default:
 		err = l.readPlain(r, body)
 	}
-	l.First = body.first
+	l.FirstByte = body.elapsed
 	if err != nil {
-		l.Cut, l.Outcome, l.Title = l.Status == http.StatusOK, outcomeLost, err.Error()
+		l.Truncated, l.Outcome, l.Title = l.Status == http.StatusOK, outcomeLost, err.Error()
 		return
 	}
 	if l.Status == http.StatusOK {
 		l.Outcome = "done"
-		l.Wrong = l.Wrong || r.want != "" && l.text != r.want
+		l.Wrong = l.Wrong || r.wantText != "" && l.text != r.wantText
 	}
 }
 
-// firstByte notes when the first byte came.
-type firstByte struct {
-	r     io.Reader
-	due   time.Time
-	first time.Duration
+// firstByteTimer notes when the first byte came.
+type firstByteTimer struct {
+	r       io.Reader
+	due     time.Time
+	elapsed time.Duration
 }
 
 // Read reads on.
-func (f *firstByte) Read(b []byte) (int, error) {
+func (f *firstByteTimer) Read(b []byte) (int, error) {
 	n, err := f.r.Read(b)
-	if n > 0 && f.first == 0 {
-		f.first = time.Since(f.due)
+	if n > 0 && f.elapsed == 0 {
+		f.elapsed = time.Since(f.due)
 	}
 	return n, err
 }
 
-type problemAnswer struct {
+type problemDocument struct {
 	Title   string `json:"title"`
 	Detail  string `json:"detail"`
 	Outcome string `json:"outcome"`
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	p := problemAnswer{Outcome: "none"}
+	p := problemDocument{Outcome: "none"}
 	if json.Unmarshal(b, &p) != nil {
 		p.Title = string(b)
 	}
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	var a chatAnswer
+	var a chatResponse
 	if err := json.Unmarshal(b, &a); err != nil {
 		return err
 	}
@@ -241,7 +241,7 @@
 		if data == "[DONE]" {
 			return nil
 		}
-		var a chatAnswer
+		var a chatResponse
 		if err := json.Unmarshal([]byte(data), &a); err != nil {
 			return err
 		}
@@ -270,8 +270,8 @@
 	if err := json.Unmarshal(b, &a); err != nil {
 		return err
 	}
-	ran := a.Run
-	a.Run = 0
-	l.text, l.Wrong = string(b), a != r.plain || (r.kind == LoadWrite) != (ran > 0)
+	ran := a.WriteNumber
+	a.WriteNumber = 0
+	l.text, l.Wrong = string(b), a != r.wantPlain || (r.kind == LoadWrite) != (ran > 0)
 	return nil
 }
--- a/bluebellstand/src/load_test.go
+++ b/bluebellstand/src/load_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-func testLoad(urls ...string) LoadOptions {
+func testLoadOptions(urls ...string) LoadOptions {
 	o := LoadOptions{
 		Keys: []string{"k"}, Service: "m", Plain: "p", Concurrency: 4,
 		Duration: time.Minute, Tokens: 3, Timeout: 5 * time.Second, Prefix: "t",
@@ -24,7 +24,7 @@
 	return o
 }
 
-func generate(o LoadOptions) (*LoadReport, []LoadResult) {
+func runLoad(o LoadOptions) (*LoadReport, []LoadResult) {
 	var mu sync.Mutex
 	var all []LoadResult
 	report := NewLoadReport()
@@ -39,17 +39,17 @@
 
 func TestLoadAgainstEngine(t *testing.T) {
 	is := is.New(t)
-	e, url := testEngine(t, func(o *EngineOptions) { o.Slots = 4 })
-	o := testLoad(url)
-	o.Count, o.Streamed = 20, 0.5
-	report, _ := generate(o)
+	e, url := startTestEngine(t, func(o *EngineOptions) { o.Slots = 4 })
+	o := testLoadOptions(url)
+	o.Count, o.StreamedShare = 20, 0.5
+	report, _ := runLoad(o)
 	is.Equal(report.Done, 20)
-	is.Equal(len(e.list()), 20)
-	is.True(strings.HasPrefix(e.list()[0].Name, "t-0-"))
+	is.Equal(len(e.executions()), 20)
+	is.True(strings.HasPrefix(e.executions()[0].Name, "t-0-"))
 	is.Equal(report.Tokens, 20*(7+3)) // prompt and answer
 }
 
-func TestLoadTellsAnswersApart(t *testing.T) {
+func TestLoadClassifiesAnswers(t *testing.T) {
 	const chunk = `{"choices":[{"delta":{"content":"%s"}}]}`
 	whole := func(text string) string { return fmt.Sprintf(`{"choices":[{"message":{"content":%q}}]}`, text) }
 	cases := []struct {
@@ -61,45 +61,45 @@
 	}{
 		{"right", LoadWhole, 200, whole("right"), LoadResult{Status: 200, Outcome: "done"}},
 		{"crossed", LoadWhole, 200, whole("other"), LoadResult{Status: 200, Outcome: "done", Wrong: true}},
-		{"not JSON", LoadWhole, 200, `{"cho`, LoadResult{Status: 200, Outcome: outcomeLost, Cut: true}},
+		{"not JSON", LoadWhole, 200, `{"cho`, LoadResult{Status: 200, Outcome: outcomeLost, Truncated: true}},
 		{"stream", LoadStream, 200, "data: " + fmt.Sprintf(chunk, "right") + "\n\ndata: [DONE]\n\n", LoadResult{Status: 200, Outcome: "done"}},
-		{"stream cut", LoadStream, 200, "data: " + fmt.Sprintf(chunk, "right") + "\n\n", LoadResult{Status: 200, Outcome: outcomeLost, Cut: true}},
+		{"stream cut", LoadStream, 200, "data: " + fmt.Sprintf(chunk, "right") + "\n\n", LoadResult{Status: 200, Outcome: outcomeLost, Truncated: true}},
 		{"refused", LoadWhole, 402, `{"title":"budget exhausted","outcome":"not-run"}`, LoadResult{Status: 402, Outcome: "not-run", Title: "budget exhausted"}},
 		{"run of another", LoadWrite, 200, `{"path":"/other","run":1}`, LoadResult{Status: 200, Outcome: "done", Wrong: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			url := startPart(t, func(app *fiber.App, _ *listener) {
+			url := startStandIn(t, func(app *fiber.App, _ *listener) {
 				app.All("/*", func(ctx *fiber.Ctx) error { return ctx.Status(c.status).SendString(c.body) })
 			})
-			s, stop := newSender(testLoad(url).Instances, time.Second)
+			s, stop := newSender(testLoadOptions(url).Instances, time.Second)
 			defer stop()
-			r := &loadRequest{kind: c.kind, method: http.MethodPost, path: "/", want: "right"}
+			r := &loadRequest{kind: c.kind, method: http.MethodPost, path: "/", wantText: "right"}
 			if c.kind == LoadWrite {
-				r.want, r.plain = "", PlainAnswer{Path: "/mine"}
+				r.wantText, r.wantPlain = "", PlainAnswer{Path: "/mine"}
 			}
-			got := s.end(r, 0, time.Now())
+			got := s.sendWithRetries(r, 0, time.Now())
 			is.Equal(got.Status, c.want.Status)
 			is.Equal(got.Outcome, c.want.Outcome)
-			is.Equal(got.Cut, c.want.Cut)
+			is.Equal(got.Truncated, c.want.Truncated)
 			is.Equal(got.Wrong, c.want.Wrong)
-			is.Equal(len(got.NotRun) == 1, c.want.Outcome == "not-run")
+			is.Equal(len(got.NotRunAt) == 1, c.want.Outcome == "not-run")
 		})
 	}
 }
 
 func TestLoadRetriesAtTheNextInstance(t *testing.T) {
 	is := is.New(t)
-	broken := startPart(t, func(app *fiber.App, _ *listener) { app.All("/*", hangUp) })
-	_, url := testEngine(t, nil)
-	o := testLoad(broken, url)
+	broken := startStandIn(t, func(app *fiber.App, _ *listener) { app.All("/*", closeWithoutResponse) })
+	_, url := startTestEngine(t, nil)
+	o := testLoadOptions(broken, url)
 	o.Count, o.Retries = 4, 1
-	report, all := generate(o)
+	report, all := runLoad(o)
 	is.Equal(report.Done, 4)
 	is.Equal(report.Retried, 2)
 	o.Retries = 0
-	report, _ = generate(o)
+	report, _ = runLoad(o)
 	is.Equal(report.Lost, 2)
 	is.Equal(len(all), 4)
 }
--- a/bluebellstand/src/native.go
+++ b/bluebellstand/src/native.go
@@ -45,7 +45,7 @@
 		bad = append(bad, fmt.Sprintf("--plan: %q: not a file that can be read", o.Plan))
 	}
 	for _, t := range o.Targets {
-		if _, err := o.target(t); err != nil {
+		if _, err := o.parseTarget(t); err != nil {
 			bad = append(bad, fmt.Sprintf("--target: %s", err))
 		}
 	}
@@ -58,8 +58,8 @@
 	return bad
 }
 
-// target reads one --target.
-func (o *NativeOptions) target(text string) (bbplatformstand.TargetOptions, error) {
+// parseTarget reads one --target.
+func (o *NativeOptions) parseTarget(text string) (bbplatformstand.TargetOptions, error) {
 	id, rest, ok := strings.Cut(text, "=")
 	service, domain, ok2 := strings.Cut(rest, "@")
 	domain, kind, _ := strings.Cut(domain, ":")
@@ -90,7 +90,7 @@
 	defer func() { _ = l.Close() }()
 	go func() { _ = (&fasthttp.Server{Handler: store.Handle}).Serve(l) }()
 	for _, text := range o.Targets {
-		opts, err := o.target(text)
+		opts, err := o.parseTarget(text)
 		if err != nil {
 			return err
 		}
--- a/bluebellstand/src/options.go
+++ b/bluebellstand/src/options.go
@@ -36,8 +36,8 @@
 
 func (o *StoreOptions) check() []string {
 	bad := bbcli.CheckAddress("--store", o.Listen)
-	bad = append(bad, badNumber("--read-rate", o.ReadRate, 0)...)
-	bad = append(bad, badNumber("--write-rate", o.WriteRate, 0)...)
+	bad = append(bad, checkMin("--read-rate", o.ReadRate, 0)...)
+	bad = append(bad, checkMin("--write-rate", o.WriteRate, 0)...)
 	return append(bad, bbcli.CheckDuration("--progress", o.Progress)...)
 }
 
@@ -53,7 +53,7 @@
 }
 
 func (o *ListOptions) check() []string {
-	return append(bbcli.CheckAddress("--list", o.Listen), badNumber("--list-lag", o.Lag.Seconds(), 0)...)
+	return append(bbcli.CheckAddress("--list", o.Listen), checkMin("--list-lag", o.Lag.Seconds(), 0)...)
 }
 
 // PlatformOptions set both stand-ins of the platform.
@@ -106,16 +106,16 @@
 
 func (o *EngineOptions) check() []string {
 	bad := bbcli.CheckAddress("--listen", o.Listen)
-	bad = append(bad, badNumber("--slots", float64(o.Slots), 1)...)
-	bad = append(bad, badNumber("--queue", float64(o.Queue), 0)...)
+	bad = append(bad, checkMin("--slots", float64(o.Slots), 1)...)
+	bad = append(bad, checkMin("--queue", float64(o.Queue), 0)...)
 	bad = append(bad, bbcli.CheckDuration("--interval", o.Interval)...)
-	bad = append(bad, badNumber("--prefill", o.Prefill.Seconds(), 0)...)
-	bad = append(bad, badNumber("--answer", float64(o.Answer), 1)...)
-	bad = append(bad, badNumber("--load-lag", o.LoadLag.Seconds(), 0)...)
-	bad = append(bad, badNumber("--event-lag", o.EventLag.Seconds(), 0)...)
-	bad = append(bad, badNumber("--event-gap", float64(o.EventGap), 0)...)
-	bad = append(bad, badNumber("--cache", float64(o.Cache), 0)...)
-	return append(bad, badNumber("--linger", o.Linger.Seconds(), 0)...)
+	bad = append(bad, checkMin("--prefill", o.Prefill.Seconds(), 0)...)
+	bad = append(bad, checkMin("--answer", float64(o.Answer), 1)...)
+	bad = append(bad, checkMin("--load-lag", o.LoadLag.Seconds(), 0)...)
+	bad = append(bad, checkMin("--event-lag", o.EventLag.Seconds(), 0)...)
+	bad = append(bad, checkMin("--event-gap", float64(o.EventGap), 0)...)
+	bad = append(bad, checkMin("--cache", float64(o.Cache), 0)...)
+	return append(bad, checkMin("--linger", o.Linger.Seconds(), 0)...)
 }
 
 // PlainOptions set the stand-in of a plain service.
@@ -135,13 +135,13 @@
 
 func (o *PlainOptions) check() []string {
 	bad := bbcli.CheckAddress("--listen", o.Listen)
-	bad = append(bad, badNumber("--slots", float64(o.Slots), 1)...)
-	bad = append(bad, badNumber("--queue", float64(o.Queue), 0)...)
-	return append(bad, badNumber("--delay", o.Delay.Seconds(), 0)...)
+	bad = append(bad, checkMin("--slots", float64(o.Slots), 1)...)
+	bad = append(bad, checkMin("--queue", float64(o.Queue), 0)...)
+	return append(bad, checkMin("--delay", o.Delay.Seconds(), 0)...)
 }
 
-// badNumber returns a line when the flag's value is below least.
-func badNumber(flag string, v, least float64) []string {
+// checkMin returns a line when the flag's value is below least.
+func checkMin(flag string, v, least float64) []string {
 	if v < least {
 		return []string{fmt.Sprintf("%s: must be %v at least, is %v", flag, least, v)}
 	}
--- a/bluebellstand/src/plain.go
+++ b/bluebellstand/src/plain.go
@@ -11,17 +11,17 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-const headerKey = "Idempotency-Key"
+const headerIdempotencyKey = "Idempotency-Key"
 
-// PlainRan is one run of a request by a plain service.
-type PlainRan struct {
-	Request string `json:"request"`
-	Method  string `json:"method"`
-	Path    string `json:"path"`
-	Run     int    `json:"run"`
-	State   string `json:"state"`
-	// At is when the request came, in microseconds since the epoch.
-	At int64 `json:"at"`
+// PlainExecution is one run of a request by a plain service.
+type PlainExecution struct {
+	Request     string `json:"request"`
+	Method      string `json:"method"`
+	Path        string `json:"path"`
+	WriteNumber int    `json:"run"`
+	State       string `json:"state"`
+	// AcceptedAt is when the request came, in microseconds since the epoch.
+	AcceptedAt int64 `json:"at"`
 }
 
 // PlainAnswer is what a plain service answers: a function of the request, but
@@ -30,8 +30,8 @@
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	// Body is the hex SHA-256 of the request's body.
-	Body string `json:"body"`
-	Run  int    `json:"run,omitempty"`
+	Body        string `json:"body"`
+	WriteNumber int    `json:"run,omitempty"`
 }
 
 // PlainFault is the body of POST /admin/fault of a plain service.
@@ -40,48 +40,48 @@
 	Silent bool `json:"silent"`
 	// Leaving refuses new requests.
 	Leaving bool `json:"leaving"`
-	// Lose loses the answers of that many requests after they ran.
-	Lose int `json:"lose"`
-	// Fail answers that many requests with a 500 after they ran.
-	Fail    int `json:"fail"`
-	DelayMS int `json:"delayms"`
+	// LoseNextAnswers loses the answers of that many requests after they ran.
+	LoseNextAnswers int `json:"lose"`
+	// FailNextAnswers answers that many requests with a 500 after they ran.
+	FailNextAnswers int `json:"fail"`
+	DelayMS         int `json:"delayms"`
 }
 
-// plain is a service whose GET and HEAD may be repeated and whose other methods
+// plainService is a service whose GET and HEAD may be repeated and whose other methods
 // may not.
-type plain struct {
+type plainService struct {
 	opts PlainOptions
 
-	mu      sync.Mutex
-	slots   chan struct{}
-	waiting int
-	running int
-	ran     []PlainRan
-	writes  int
-	refused int
-	fault   PlainFault
+	mu         sync.Mutex
+	slots      chan struct{}
+	waiting    int
+	running    int
+	executions []PlainExecution
+	writes     int
+	refused    int
+	fault      PlainFault
 }
 
 func (o *PlainOptions) run(ctx context.Context, s streams) error {
-	p := newPlain(*o)
-	return serve(ctx, s, part{name: "plain", addr: o.Listen, mount: p.mount, stop: func() {}})
+	p := newPlainService(*o)
+	return serve(ctx, s, standIn{name: "plain", addr: o.Listen, mount: p.mount, stop: func() {}})
 }
 
-func newPlain(o PlainOptions) *plain {
-	return &plain{
+func newPlainService(o PlainOptions) *plainService {
+	return &plainService{
 		opts:  o,
 		slots: make(chan struct{}, o.Slots),
 		fault: PlainFault{DelayMS: int(o.Delay.Milliseconds())},
 	}
 }
 
-func (p *plain) mount(app *fiber.App, l *listener) {
+func (p *plainService) mount(app *fiber.App, l *listener) {
 	app.Get("/load", func(c *fiber.Ctx) error { return c.JSON(p.load()) })
-	app.Get("/admin/ran", func(c *fiber.Ctx) error { return c.JSON(p.list()) })
+	app.Get("/admin/ran", func(c *fiber.Ctx) error { return c.JSON(p.listExecutions()) })
 	app.Get("/admin/counts", func(c *fiber.Ctx) error { return c.JSON(p.counts()) })
 	app.Post("/admin/fault", func(c *fiber.Ctx) error {
 		f := PlainFault{DelayMS: int(p.opts.Delay.Milliseconds())}
-		if err := strict(c, &f); err != nil {
+		if err := decodeStrict(c, &f); err != nil {
 			return err
 		}
 		p.setFault(f)
@@ -90,35 +90,35 @@
 		}
 		return c.JSON(f)
 	})
-	app.All("/*", p.serve)
+	app.All("/*", p.handle)
 }
 
-func (p *plain) serve(c *fiber.Ctx) error {
+func (p *plainService) handle(c *fiber.Ctx) error {
 	came := time.Now()
-	if err := p.enter(); err != nil {
+	if err := p.admit(); err != nil {
 		return refuse(c, err)
 	}
 	p.slots <- struct{}{}
-	defer p.exit()
-	run, f := p.begin(c, came)
+	defer p.releaseSlot()
+	run, f := p.beginExecution(c, came)
 	time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
-	p.finish(run)
+	p.finishExecution(run)
 	switch {
-	case f.Lose > 0:
-		return hangUp(c)
-	case f.Fail > 0:
+	case f.LoseNextAnswers > 0:
+		return closeWithoutResponse(c)
+	case f.FailNextAnswers > 0:
 		return fiber.NewError(http.StatusInternalServerError, "failed after it ran")
 	}
-	return c.JSON(NewPlainAnswer(c.Method(), c.OriginalURL(), c.Body(), run.Run))
+	return c.JSON(NewPlainAnswer(c.Method(), c.OriginalURL(), c.Body(), run.WriteNumber))
 }
 
 // NewPlainAnswer returns what a plain service answers to the request.
 func NewPlainAnswer(method, path string, body []byte, run int) PlainAnswer {
 	sum := sha256.Sum256(body)
-	return PlainAnswer{Method: method, Path: path, Body: hex.EncodeToString(sum[:]), Run: run}
+	return PlainAnswer{Method: method, Path: path, Body: hex.EncodeToString(sum[:]), WriteNumber: run}
 }
 
-func (p *plain) enter() error {
+func (p *plainService) admit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fault.Leaving {
@@ -127,75 +127,75 @@
 	}
 	if p.waiting+p.running >= p.opts.Slots+p.opts.Queue {
 		p.refused++
-		return errFull
+		return errQueueFull
 	}
 	p.waiting++
 	return nil
 }
 
-// begin records the run and takes one of the counted faults.
-func (p *plain) begin(c *fiber.Ctx, came time.Time) (PlainRan, PlainFault) {
-	id := c.Get(headerKey)
+// beginExecution records the run and takes one of the counted faults.
+func (p *plainService) beginExecution(c *fiber.Ctx, came time.Time) (PlainExecution, PlainFault) {
+	id := c.Get(headerIdempotencyKey)
 	if id == "" {
-		id = c.Get(headerID)
+		id = c.Get(headerRequestID)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.waiting--
 	p.running++
-	r := PlainRan{Request: id, Method: c.Method(), Path: c.OriginalURL(), State: stateRunning, At: came.UnixMicro()}
+	r := PlainExecution{Request: id, Method: c.Method(), Path: c.OriginalURL(), State: stateRunning, AcceptedAt: came.UnixMicro()}
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		p.writes++
-		r.Run = p.writes
+		r.WriteNumber = p.writes
 	}
-	p.ran = append(p.ran, r)
+	p.executions = append(p.executions, r)
 	f := p.fault
-	p.fault.Lose = max(0, p.fault.Lose-1)
-	p.fault.Fail = max(0, p.fault.Fail-1)
+	p.fault.LoseNextAnswers = max(0, p.fault.LoseNextAnswers-1)
+	p.fault.FailNextAnswers = max(0, p.fault.FailNextAnswers-1)
 	return r, f
 }
 
-func (p *plain) finish(r PlainRan) {
+func (p *plainService) finishExecution(r PlainExecution) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := len(p.ran) - 1; i >= 0; i-- {
-		if p.ran[i] == r {
-			p.ran[i].State = stateDone
+	for i := len(p.executions) - 1; i >= 0; i-- {
+		if p.executions[i] == r {
+			p.executions[i].State = stateDone
 			return
 		}
 	}
 }
 
-func (p *plain) exit() {
+func (p *plainService) releaseSlot() {
 	<-p.slots
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running--
 }
 
-func (p *plain) setFault(f PlainFault) {
+func (p *plainService) setFault(f PlainFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 }
 
-func (p *plain) load() Load {
+func (p *plainService) load() TargetLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Load{
+	return TargetLoad{
 		Running: p.running, Waiting: p.waiting, Slots: p.opts.Slots,
 		Leaving: p.fault.Leaving, At: time.Now().UnixMilli(),
 	}
 }
 
-func (p *plain) list() []PlainRan {
+func (p *plainService) listExecutions() []PlainExecution {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]PlainRan{}, p.ran...)
+	return append([]PlainExecution{}, p.executions...)
 }
 
-func (p *plain) counts() TargetCounts {
+func (p *plainService) counts() TargetCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return TargetCounts{Ran: len(p.ran), Refused: p.refused, Waits: p.waiting, Runs: p.running}
+	return TargetCounts{Accepted: len(p.executions), Refused: p.refused, Waiting: p.waiting, Running: p.running}
 }
--- a/bluebellstand/src/serve.go
+++ b/bluebellstand/src/serve.go
@@ -16,11 +16,11 @@
 	"bluebellport.example/shared/bbserve"
 )
 
-// stopTime is how long open requests may take to end at a stop.
-const stopTime = 2 * time.Second
+// shutdownTimeout is how long open requests may take to end at a stop.
+const shutdownTimeout = 2 * time.Second
 
-// part is one stand-in at one address.
-type part struct {
+// standIn is one stand-in at one address.
+type standIn struct {
 	name string
 	addr string
 	// mount adds the part's routes.
@@ -30,7 +30,7 @@
 }
 
 // serve listens at each part's address and serves until ctx ends.
-func serve(ctx context.Context, s streams, parts ...part) error {
+func serve(ctx context.Context, s streams, parts ...standIn) error {
 	listeners := make([]*listener, len(parts))
 	for i, p := range parts {
 		l, err := listen(p.addr)
@@ -48,7 +48,7 @@
 			Immutable:             true,
 			UnescapePath:          true,
 			BodyLimit:             fasthttp.DefaultMaxRequestBodySize,
-			ErrorHandler:          answerError,
+			ErrorHandler:          respondError,
 		})
 		p.mount(app, listeners[i])
 		s.log.WithField("part", p.name).WithField("address", listeners[i].Addr().String()).Info("ready")
@@ -56,7 +56,7 @@
 		group.Go(func(ctx context.Context) error {
 			<-ctx.Done()
 			p.stop()
-			err := bbserve.Stop(app, listeners[i], stopTime)
+			err := bbserve.Stop(app, listeners[i], shutdownTimeout)
 			if errors.Is(err, context.DeadlineExceeded) {
 				return nil
 			}
@@ -68,26 +68,26 @@
 	return err
 }
 
-func answerError(c *fiber.Ctx, err error) error {
+func respondError(c *fiber.Ctx, err error) error {
 	status := http.StatusInternalServerError
 	var f *fiber.Error
 	if errors.As(err, &f) {
 		status = f.Code
 	}
-	return c.Status(status).JSON(errorAnswer{Error: errorText{Message: err.Error(), Type: http.StatusText(status)}})
+	return c.Status(status).JSON(errorResponse{Error: errorBody{Message: err.Error(), Type: http.StatusText(status)}})
 }
 
-type errorAnswer struct {
-	Error errorText `json:"error"`
+type errorResponse struct {
+	Error errorBody `json:"error"`
 }
 
-type errorText struct {
+type errorBody struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 }
 
-// strict reads the request's JSON body; an unknown field is an error.
-func strict(c *fiber.Ctx, v any) error {
+// decodeStrict reads the request's JSON body; an unknown field is an error.
+func decodeStrict(c *fiber.Ctx, v any) error {
 	d := json.NewDecoder(bytes.NewReader(c.Body()))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(c *fiber.Ctx) error {
+// closeWithoutResponse closes the connection without an answer.
+func closeWithoutResponse(c *fiber.Ctx) error {
 	c.Context().HijackSetNoResponse(true)
 	c.Context().Hijack(func(n net.Conn) { _ = n.Close() })
 	return nil
--- a/bluebellstand/src/store.go
+++ b/bluebellstand/src/store.go
@@ -12,14 +12,14 @@
 // StoreFault is the body of POST /admin/fault of the store: the faults that are
 // in force from then on. Times are in milliseconds.
 type StoreFault struct {
-	Down      bool    `json:"down"`
-	SlowMS    int     `json:"slowms"`
-	Lose      int     `json:"lose"`
-	LoseEvery int     `json:"loseevery"`
-	Drop      int     `json:"drop"`
-	LateMS    int     `json:"latems"`
-	ReadRate  float64 `json:"readrate"`
-	WriteRate float64 `json:"writerate"`
+	Down               bool    `json:"down"`
+	LatencyMS          int     `json:"slowms"`
+	LoseNextAnswers    int     `json:"lose"`
+	LoseEveryNthAnswer int     `json:"loseevery"`
+	DropNextWrites     int     `json:"drop"`
+	ApplyDelayMS       int     `json:"latems"`
+	ReadRate           float64 `json:"readrate"`
+	WriteRate          float64 `json:"writerate"`
 	// Silent silences the connections that are open now, for good.
 	Silent bool `json:"silent"`
 }
@@ -27,23 +27,23 @@
 func (f *StoreFault) faults() bbstore.Faults {
 	return bbstore.Faults{
 		Down:               f.Down,
-		Latency:            time.Duration(f.SlowMS) * time.Millisecond,
-		LoseNextAnswers:    f.Lose,
-		LoseEveryNthAnswer: f.LoseEvery,
-		DropNextWrites:     f.Drop,
-		ApplyDelay:         time.Duration(f.LateMS) * time.Millisecond,
+		Latency:            time.Duration(f.LatencyMS) * time.Millisecond,
+		LoseNextAnswers:    f.LoseNextAnswers,
+		LoseEveryNthAnswer: f.LoseEveryNthAnswer,
+		DropNextWrites:     f.DropNextWrites,
+		ApplyDelay:         time.Duration(f.ApplyDelayMS) * time.Millisecond,
 		ReadRate:           f.ReadRate,
 		WriteRate:          f.WriteRate,
 	}
 }
 
-func (o *StoreOptions) run(ctx context.Context, s streams) error { return serve(ctx, s, o.part()) }
+func (o *StoreOptions) run(ctx context.Context, s streams) error { return serve(ctx, s, o.standIn()) }
 
-func (o *StoreOptions) part() part {
+func (o *StoreOptions) standIn() standIn {
 	m := bbstore.NewMem()
 	m.SetFaults(bbstore.Faults{ReadRate: o.ReadRate, WriteRate: o.WriteRate})
 	server, stop := bbstore.NewServer(m, o.Progress)
-	return part{name: "store", addr: o.Listen, stop: stop, mount: func(app *fiber.App, l *listener) {
+	return standIn{name: "store", addr: o.Listen, stop: stop, mount: func(app *fiber.App, l *listener) {
 		app.Post("/v3/*", func(c *fiber.Ctx) error {
 			server.Handle(c.Context())
 			return nil
@@ -51,7 +51,7 @@
 		app.Get("/admin/counts", func(c *fiber.Ctx) error { return c.JSON(m.Counts()) })
 		app.Post("/admin/fault", func(c *fiber.Ctx) error {
 			f := StoreFault{ReadRate: o.ReadRate, WriteRate: o.WriteRate}
-			if err := strict(c, &f); err != nil {
+			if err := decodeStrict(c, &f); err != nil {
 				return err
 			}
 			if f.Silent {
@@ -64,5 +64,5 @@
 }
 
 func (o *PlatformOptions) run(ctx context.Context, s streams) error {
-	return serve(ctx, s, o.Store.part(), o.List.part())
+	return serve(ctx, s, o.Store.standIn(), o.List.standIn())
 }
--- a/bluebellstand/src/text.go
+++ b/bluebellstand/src/text.go
@@ -7,15 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// words are what answers are made of.
-var words = strings.Fields("street permit crew trench closure copy counter school month reading heat pipe till page desk map sign draft order date block line north south")
+// vocabulary are what answers are made of.
+var vocabulary = strings.Fields("street permit crew trench closure copy counter school month reading heat pipe till page desk map sign draft order date block line north south")
 
-// lengthWord, before a number in a prompt, sets how many tokens the answer has.
-const lengthWord = "--tokens"
+// tokensMarker, before a number in a prompt, sets how many tokens the answer has.
+const tokensMarker = "--tokens"
 
-// nameWord, before a word in a prompt, names the request in what an engine
+// nameMarker, before a word in a prompt, names the request in what an engine
 // records, whatever ids it had on its way.
-const nameWord = "--name"
+const nameMarker = "--name"
 
 // Message is one message of a chat.
 type Message struct {
@@ -40,12 +40,12 @@
 	n := usual
 	for _, m := range messages {
 		key += "\x00" + m.Role + "\x00" + m.Content
-		n = lengthOf(m.Content, n)
+		n = answerLength(m.Content, n)
 	}
 	out := make([]string, n)
 	for i := range out {
 		h := xxhash.Sum64String(key + "\x00" + strconv.Itoa(i))
-		out[i] = words[h%uint64(len(words))] + strconv.FormatUint(h>>32%1000, 10)
+		out[i] = vocabulary[h%uint64(len(vocabulary))] + strconv.FormatUint(h>>32%1000, 10)
 		if i > 0 {
 			out[i] = " " + out[i]
 		}
@@ -63,8 +63,8 @@
 	return strings.Join(tokens, "")
 }
 
-func lengthOf(text string, usual int) int {
-	if n, err := strconv.Atoi(wordAfter(text, lengthWord, "")); err == nil && n > 0 {
+func answerLength(text string, usual int) int {
+	if n, err := strconv.Atoi(wordAfter(text, tokensMarker, "")); err == nil && n > 0 {
 		return n
 	}
 	return usual
@@ -81,10 +81,10 @@
 	return none
 }
 
-// after returns the tokens that follow a partial answer, and false when the
+// remainingTokens returns the tokens that follow a partial answer, and false when the
 // partial answer is not how the answer begins. A token cut in two goes on with
 // its rest.
-func after(tokens []string, partial string) ([]string, bool) {
+func remainingTokens(tokens []string, partial string) ([]string, bool) {
 	for i, t := range tokens {
 		if len(partial) < len(t) {
 			if !strings.HasPrefix(t, partial) {
--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -114,17 +114,17 @@
 
 func (a *audit) readRuns(t *testing.T, x *target) {
 	if x.service == engineService {
-		var ran []bbstand.Ran
+		var ran []bbstand.EngineExecution
 		get(t, x.address, "/admin/ran", &ran)
 		for _, r := range ran {
-			a.runs[r.Name] = append(a.runs[r.Name], runOf{at: r.At})
+			a.runs[r.Name] = append(a.runs[r.Name], runOf{at: r.AcceptedAt})
 		}
 		return
 	}
-	var ran []bbstand.PlainRan
+	var ran []bbstand.PlainExecution
 	get(t, x.address, "/admin/ran", &ran)
 	for _, r := range ran {
-		a.runs[r.Request] = append(a.runs[r.Request], runOf{at: r.At, write: r.Run > 0})
+		a.runs[r.Request] = append(a.runs[r.Request], runOf{at: r.AcceptedAt, write: r.WriteNumber > 0})
 	}
 }
 
@@ -133,11 +133,11 @@
 	t.Helper()
 	for line := range strings.Lines(read(t, x.log)) {
 		var l struct {
-			Msg string      `json:"msg"`
-			Ran bbstand.Ran `json:"ran"`
+			Msg string                  `json:"msg"`
+			Ran bbstand.EngineExecution `json:"ran"`
 		}
-		if json.Unmarshal([]byte(line), &l) == nil && l.Msg == bbstand.LogCame {
-			a.runs[l.Ran.Name] = append(a.runs[l.Ran.Name], runOf{at: l.Ran.At})
+		if json.Unmarshal([]byte(line), &l) == nil && l.Msg == bbstand.LogAccepted {
+			a.runs[l.Ran.Name] = append(a.runs[l.Ran.Name], runOf{at: l.Ran.AcceptedAt})
 		}
 	}
 }
@@ -168,7 +168,7 @@
 }
 
 func (a *audit) key(r *bbstand.LoadResult) requestKey {
-	return requestKey{string(a.customers[r.Key].account), r.ID}
+	return requestKey{string(a.customers[r.KeyIndex].account), r.ID}
 }
 
 // unbilled counts the answered requests without a bill: those that stand in the
@@ -218,7 +218,7 @@
 	for i := range a.results {
 		if r := &a.results[i]; r.Outcome == "done" && len(a.bills[a.key(r)]) == 0 {
 			a.suspects = append(a.suspects, fmt.Sprintf("%s (%s) is not billed; due at %d, answered after %s, ran %v, record: %s; %s",
-				r.ID, r.Kind, r.Start, r.Total, a.runs[r.ID], a.others[a.key(r)], strings.Join(r.Told, "; ")))
+				r.ID, r.Kind, r.Start, r.Total, a.runs[r.ID], a.others[a.key(r)], strings.Join(r.AttemptErrors, "; ")))
 		}
 	}
 }
@@ -226,7 +226,7 @@
 // judge counts one result.
 func (a *audit) judge(r *bbstand.LoadResult, v *verdict) {
 	switch {
-	case r.Cut:
+	case r.Truncated:
 		v.cut++
 	case r.Outcome == "lost":
 		v.lost++
@@ -246,12 +246,12 @@
 	}
 	if writes > 1 {
 		v.ranTwice++
-		a.suspects = append(a.suspects, fmt.Sprintf("%s ran %v: %s", r.ID, a.runs[r.ID], strings.Join(r.Told, "; ")))
+		a.suspects = append(a.suspects, fmt.Sprintf("%s ran %v: %s", r.ID, a.runs[r.ID], strings.Join(r.AttemptErrors, "; ")))
 	}
-	for _, told := range r.NotRun {
+	for _, told := range r.NotRunAt {
 		if a.ranBefore(r.ID, told) {
 			v.wronglyNotRun++
-			a.suspects = append(a.suspects, fmt.Sprintf("%s (%s) ran %v and was told not-run at %v: %s", r.ID, r.Kind, a.runs[r.ID], r.NotRun, strings.Join(r.Told, "; ")))
+			a.suspects = append(a.suspects, fmt.Sprintf("%s (%s) ran %v and was told not-run at %v: %s", r.ID, r.Kind, a.runs[r.ID], r.NotRunAt, strings.Join(r.AttemptErrors, "; ")))
 			break
 		}
 	}
@@ -280,7 +280,7 @@
 	for k, c := range a.customers {
 		v.overspend += max(0, max(a.answered(k), a.billed(c))-int64(c.paid))
 		for i := range a.results {
-			if r := &a.results[i]; r.Key == k && r.Status == 402 && int64(c.paid)-a.costBefore(k, r.Start+r.Total.Milliseconds()) >= mostCost(r) {
+			if r := &a.results[i]; r.KeyIndex == k && r.Status == 402 && int64(c.paid)-a.costBefore(k, r.Start+r.Total.Milliseconds()) >= mostCost(r) {
 				v.falseRefusals++
 			}
 		}
@@ -298,7 +298,7 @@
 	var n int64
 	seen := map[string]bool{}
 	for i := range a.results {
-		if r := &a.results[i]; r.Key == key && r.Outcome == "done" && r.Start <= until && !seen[r.ID] {
+		if r := &a.results[i]; r.KeyIndex == key && r.Outcome == "done" && r.Start <= until && !seen[r.ID] {
 			seen[r.ID] = true
 			n += cost(r)
 		}
@@ -378,7 +378,7 @@
 		}
 		return out
 	}
-	refused := bbstand.LoadResult{ID: "a", Status: 402, Outcome: "not-run", Start: 100, NotRun: []int64{200}}
+	refused := bbstand.LoadResult{ID: "a", Status: 402, Outcome: "not-run", Start: 100, NotRunAt: []int64{200}}
 	kept := func(k bbwire.Record_Kind) *bbwire.Record { return &bbwire.Record{Kind: k} }
 	cases := []struct {
 		name   string
@@ -390,7 +390,7 @@
 	}{
 		{"sound", done("a", bbstand.LoadWrite, 0), []runOf{{150, true}}, bill(10), nil, verdict{done: 1}},
 		{"wrong answer", bbstand.LoadResult{ID: "a", Outcome: "done", Tokens: 5, Wrong: true}, nil, bill(5), nil, verdict{done: 1, wrong: 1}},
-		{"cut", bbstand.LoadResult{ID: "a", Outcome: "lost", Cut: true}, nil, nil, nil, verdict{cut: 1}},
+		{"cut", bbstand.LoadResult{ID: "a", Outcome: "lost", Truncated: true}, nil, nil, nil, verdict{cut: 1}},
 		{"answered above paid", done("a", bbstand.LoadWhole, 1005), nil, bill(5), nil, verdict{done: 1, overspend: 5}},
 		{"billed above paid", done("a", bbstand.LoadWhole, 5), nil, bill(1007), nil, verdict{done: 1, overspend: 7}},
 		{"billed twice", done("a", bbstand.LoadWhole, 5), nil, bill(5, 5), nil, verdict{done: 1, billedTwice: 1}},
--- a/e2e/bench_test.go
+++ b/e2e/bench_test.go
@@ -181,17 +181,17 @@
 	wg.Go(func() { h.send(t, f, f.instances[0].listen, "through", through) })
 	wg.Wait()
 	out := ""
-	line := func(way string, n int, s bbstand.Spread) {
+	line := func(way string, n int, s bbstand.Percentiles) {
 		out += fmt.Sprintf("| %s | %.0f | %s | %d | %.2f | %.2f | %.2f |\n", h.name, h.rate, way, n, s.P50, s.P95, s.P99)
 	}
 	a, b := straight.Latency, through.Latency
-	added := bbstand.Spread{P50: b.P50 - a.P50, P95: b.P95 - a.P95, P99: b.P99 - a.P99}
+	added := bbstand.Percentiles{P50: b.P50 - a.P50, P95: b.P95 - a.P95, P99: b.P99 - a.P99}
 	line("straight", straight.Done, a)
 	line("through", through.Done, b)
 	line("added", through.Done-straight.Done, added)
 	if h.kind == bbstand.LoadStream {
-		a, b := straight.First, through.First
-		line("added to the first byte", through.Done-straight.Done, bbstand.Spread{P50: b.P50 - a.P50, P95: b.P95 - a.P95, P99: b.P99 - a.P99})
+		a, b := straight.FirstByte, through.FirstByte
+		line("added to the first byte", through.Done-straight.Done, bbstand.Percentiles{P50: b.P50 - a.P50, P95: b.P95 - a.P95, P99: b.P99 - a.P99})
 	}
 	return out, time.Duration(added.P95 * float64(time.Millisecond))
 }
@@ -200,10 +200,10 @@
 	t.Helper()
 	o := f.load(h.rate/2, hopTime)
 	o.Instances, o.Prefix = []string{address}, fmt.Sprintf("%s-%.0f-%s", h.kind, h.rate, prefix)
-	o.Retries, o.PlainShare, o.WriteShare, o.Streamed = 0, 0, 0, 0
+	o.Retries, o.PlainShare, o.WriteShare, o.StreamedShare = 0, 0, 0, 0
 	switch h.kind {
 	case bbstand.LoadStream:
-		o.Streamed = 1
+		o.StreamedShare = 1
 	case bbstand.LoadRead:
 		o.PlainShare = 1
 	case bbstand.LoadWrite:
@@ -220,7 +220,7 @@
 		report.Add(r)
 	}
 	if bad > 0 {
-		t.Errorf("%s %s: %d requests were not answered: %+v", h.name, prefix, bad, report.Refused)
+		t.Errorf("%s %s: %d requests were not answered: %+v", h.name, prefix, bad, report.Refusals)
 	}
 }
 
@@ -364,7 +364,7 @@
 		report.Add(r)
 	}
 	if report.Done != len(results) {
-		t.Errorf("%d instances, %d budgets: %d of %d requests done: %+v", len(f.instances), budgets, report.Done, len(results), report.Refused)
+		t.Errorf("%d instances, %d budgets: %d of %d requests done: %+v", len(f.instances), budgets, report.Done, len(results), report.Refusals)
 	}
 	per := func(n int64) float64 { return float64(n) * 1000 / float64(len(results)) }
 	return fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %.0f | %.0f |\n", len(f.instances), budgets, len(results), report.Done, writeRate,
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -164,7 +164,7 @@
 		x.Title = fmt.Sprintf("%s (%s)", x.Title, x.Kind)
 		report.Add(x)
 	}
-	for _, x := range report.Refused {
+	for _, x := range report.Refusals {
 		r.t.Logf("refused %d times: %d %s, %s", x.Count, x.Status, x.Outcome, x.Title)
 	}
 	r.t.Logf("answers: p50 %.0f ms, p99 %.0f ms; retried: %d", report.Latency.P50, report.Latency.P99, report.Retried)
@@ -215,9 +215,11 @@
 
 func storeDown(r *faultRun) { r.storeFault(bbstand.StoreFault{Down: true}, 10*time.Second) }
 
-func storeSlow(r *faultRun) { r.storeFault(bbstand.StoreFault{SlowMS: 300}, 5*time.Second) }
+func storeSlow(r *faultRun) { r.storeFault(bbstand.StoreFault{LatencyMS: 300}, 5*time.Second) }
 
-func storeLosesAnswers(r *faultRun) { r.storeFault(bbstand.StoreFault{LoseEvery: 3}, 5*time.Second) }
+func storeLosesAnswers(r *faultRun) {
+	r.storeFault(bbstand.StoreFault{LoseEveryNthAnswer: 3}, 5*time.Second)
+}
 
 func storeSilent(r *faultRun) { r.storeFault(bbstand.StoreFault{Silent: true}, time.Second) }
 
@@ -349,7 +351,7 @@
 	get(r.t, x.address, "/admin/counts", &before)
 	time.Sleep(loadTime - faultAfter - 3*time.Second)
 	get(r.t, x.address, "/admin/counts", &after)
-	if n := after.Refused + after.Ran - before.Refused - before.Ran; n != 0 {
+	if n := after.Refused + after.Accepted - before.Refused - before.Accepted; n != 0 {
 		r.t.Errorf("%d requests were sent to a target that has been leaving for 3 s", n)
 	}
 }
@@ -363,8 +365,8 @@
 // mended it.
 func nothingCut(r *faultRun) {
 	for _, x := range r.results {
-		if x.Broken > 0 || x.Cut {
-			r.t.Errorf("%s: %d connections broke before the answer was whole", x.ID, x.Broken)
+		if x.BrokenAttempts > 0 || x.Truncated {
+			r.t.Errorf("%s: %d connections broke before the answer was whole", x.ID, x.BrokenAttempts)
 		}
 	}
 }
@@ -385,7 +387,7 @@
 func answersLost(r *faultRun) {
 	for _, x := range r.targets {
 		if x.service == plainService {
-			post(r.t, x.address, "/admin/fault", bbstand.PlainFault{Lose: 10, DelayMS: 20})
+			post(r.t, x.address, "/admin/fault", bbstand.PlainFault{LoseNextAnswers: 10, DelayMS: 20})
 		}
 	}
 }
@@ -423,7 +425,7 @@
 }
 
 func several(r *faultRun) {
-	post(r.t, r.store, "/admin/fault", bbstand.StoreFault{LoseEvery: 4, SlowMS: 50})
+	post(r.t, r.store, "/admin/fault", bbstand.StoreFault{LoseEveryNthAnswer: 4, LatencyMS: 50})
 	r.cutPeers()
 	time.Sleep(2 * time.Second)
 	killInstance(r)
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -221,7 +221,7 @@
 // load returns the settings of a load on all instances.
 func (f *fleet) load(rate float64, d time.Duration) bbstand.LoadOptions {
 	o := bbstand.LoadOptions{
-		Service: engineService, Plain: plainService, Streamed: 0.5, PlainShare: 0.4, WriteShare: 0.5,
+		Service: engineService, Plain: plainService, StreamedShare: 0.5, PlainShare: 0.4, WriteShare: 0.5,
 		Rate: rate, Concurrency: 500, Duration: d, Tokens: 20, Retries: 8, Timeout: 15 * time.Second,
 		Seed: 1, Prefix: "e2e",
 	}
