--- a/bluebellctl/src/bill.go
+++ b/bluebellctl/src/bill.go
@@ -15,17 +15,17 @@
 
 // billCommands declares the commands on records of requests.
 func billCommands(app *kingpin.Application, commands map[string]command) {
-	b := app.Command("bill", "Show bills, claims and unknown outcomes within their retention.")
+	cmd := app.Command("bill", "Show bills, claims and unknown outcomes within their retention.")
 	var account, request string
 	var unknown, totals bool
-	list := b.Command("list", "List records, oldest first.")
+	list := cmd.Command("list", "List records, oldest first.")
 	list.Flag("account", "Only those of this client account.").StringVar(&account)
 	list.Flag("unknown", "Only requests whose end was not seen.").BoolVar(&unknown)
 	list.Flag("totals", "One line a client account.").BoolVar(&totals)
 	commands[list.FullCommand()] = func(ctx context.Context, e *env) error {
 		return listBills(ctx, e, bbjournal.Filter{Account: bbunit.AccountID(account), Unknown: unknown}, totals)
 	}
-	show := b.Command("show", "Show the record of one request.")
+	show := cmd.Command("show", "Show the record of one request.")
 	show.Arg("request", "Request id, as the caller's Idempotency-Key names it.").Required().StringVar(&request)
 	show.Flag("account", "Client account of the request; without it all records are read.").StringVar(&account)
 	commands[show.FullCommand()] = func(ctx context.Context, e *env) error {
@@ -56,39 +56,39 @@
 }
 
 func listBills(ctx context.Context, e *env, f bbjournal.Filter, totals bool) error {
-	list, err := bbjournal.ListRecords(ctx, e.store, f)
+	records, err := bbjournal.ListRecords(ctx, e.store, f)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	if totals {
-		sums := bbjournal.Totals(list)
-		var cells [][]any
+		sums := bbjournal.Totals(records)
+		var rows [][]any
 		for _, t := range sums {
-			cells = append(cells, []any{t.Account, t.Bills, t.Amount, t.Claims, t.Unknown, t.Held})
+			rows = append(rows, []any{t.Account, t.Bills, t.Amount, t.Claims, t.Unknown, t.Held})
 		}
-		return e.render(sums, []string{"ACCOUNT", "BILLS", "TOKENS", "CLAIMS", "UNKNOWN", "HELD"}, cells)
+		return e.render(sums, []string{"ACCOUNT", "BILLS", "TOKENS", "CLAIMS", "UNKNOWN", "HELD"}, rows)
 	}
-	return e.renderRecords(list)
+	return e.renderRecords(records)
 }
 
 func showBill(ctx context.Context, e *env, f bbjournal.Filter) error {
-	list, err := bbjournal.ListRecords(ctx, e.store, f)
+	records, err := bbjournal.ListRecords(ctx, e.store, f)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if len(list) == 0 {
+	if len(records) == 0 {
 		return errors.WithType(errors.Errorf("request: no record: %q", f.Request), errUsage)
 	}
-	return e.renderRecords(list)
+	return e.renderRecords(records)
 }
 
-func (e *env) renderRecords(list []*bbwire.Record) error {
-	bills := make([]recordRow, 0, len(list))
+func (e *env) renderRecords(records []*bbwire.Record) error {
+	rows := make([]recordRow, 0, len(records))
 	var cells [][]any
-	for _, r := range list {
-		b := newRecordRow(r)
-		bills = append(bills, b)
-		cells = append(cells, []any{b.Made.Format(time.RFC3339), b.Kind, b.Account, b.Request, b.Service, b.Target, b.Budget, b.Tokens})
+	for _, r := range records {
+		row := newRecordRow(r)
+		rows = append(rows, row)
+		cells = append(cells, []any{row.Made.Format(time.RFC3339), row.Kind, row.Account, row.Request, row.Service, row.Target, row.Budget, row.Tokens})
 	}
-	return e.render(bills, []string{"MADE", "KIND", "ACCOUNT", "REQUEST", "SERVICE", "TARGET", "BUDGET", "TOKENS"}, cells)
+	return e.render(rows, []string{"MADE", "KIND", "ACCOUNT", "REQUEST", "SERVICE", "TARGET", "BUDGET", "TOKENS"}, cells)
 }
--- a/bluebellctl/src/budget.go
+++ b/bluebellctl/src/budget.go
@@ -16,16 +16,16 @@
 
 // budgetCommands declares the commands on budgets.
 func budgetCommands(app *kingpin.Application, commands map[string]command) {
-	b := app.Command("budget", "Show what is paid, drawn, spent and stuck; release what is stuck.")
+	cmd := app.Command("budget", "Show what is paid, drawn, spent and stuck; release what is stuck.")
 	var id, holder string
-	var detail bool
-	show := b.Command("show", "Show budgets.")
+	var withHolders bool
+	show := cmd.Command("show", "Show budgets.")
 	show.Arg("budget", "Id of the budget; none shows all.").StringVar(&id)
-	show.Flag("holders", "Show also who has drawn, and what is stuck and why.").BoolVar(&detail)
+	show.Flag("holders", "Show also who has drawn, and what is stuck and why.").BoolVar(&withHolders)
 	commands[show.FullCommand()] = func(ctx context.Context, e *env) error {
-		return showBudgets(ctx, e, bbunit.BudgetID(id), detail)
+		return showBudgets(ctx, e, bbunit.BudgetID(id), withHolders)
 	}
-	release := b.Command("release", "State that a holder's instance and those it granted to are gone for good, and give its money back.")
+	release := cmd.Command("release", "State that a holder's instance and those it granted to are gone for good, and give its money back.")
 	release.Arg("budget", "Id of the budget.").Required().StringVar(&id)
 	release.Arg("holder", "Id of the holder, as budget show --holders prints it.").Required().StringVar(&holder)
 	commands[release.FullCommand()] = func(ctx context.Context, e *env) error {
@@ -35,8 +35,8 @@
 
 // loadBudgets returns all budgets in force, sorted by id, with what the pages
 // say of them.
-func loadBudgets(ctx context.Context, e *env, only bbunit.BudgetID) ([]bbledger.BudgetStatus, error) {
-	s, err := bbticket.NewLog(e.store).Load(ctx)
+func loadBudgets(ctx context.Context, e *env, filter bbunit.BudgetID) ([]bbledger.BudgetStatus, error) {
+	state, err := bbticket.NewLog(e.store).Load(ctx)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -49,64 +49,64 @@
 		b := &list[i]
 		seen[b.Budget] = true
 		// A page learns of a ticket at its next draw.
-		if f := s.Budgets.Get(b.Budget); f.Number > b.TicketNumber {
+		if f := state.Budgets.Get(b.Budget); f.Number > b.TicketNumber {
 			b.Remaining += f.Object.Paid - b.Paid
 			b.Paid, b.TicketNumber = f.Object.Paid, f.Number
 		}
 	}
-	for id, b := range s.Budgets.All() {
+	for id, b := range state.Budgets.All() {
 		if !seen[id] && !b.Object.Deleted {
 			list = append(list, bbledger.BudgetStatus{Budget: id, Paid: b.Object.Paid, TicketNumber: b.Number, Remaining: b.Object.Paid})
 		}
 	}
-	if only != "" {
-		list = slices.DeleteFunc(list, func(b bbledger.BudgetStatus) bool { return b.Budget != only })
+	if filter != "" {
+		list = slices.DeleteFunc(list, func(b bbledger.BudgetStatus) bool { return b.Budget != filter })
 		if len(list) == 0 {
-			return nil, errors.WithType(errors.Errorf("budget: unknown: %q", only), errUsage)
+			return nil, errors.WithType(errors.Errorf("budget: unknown: %q", filter), errUsage)
 		}
 	}
 	slices.SortFunc(list, func(a, b bbledger.BudgetStatus) int { return cmp.Compare(a.Budget, b.Budget) })
 	return list, nil
 }
 
-func showBudgets(ctx context.Context, e *env, only bbunit.BudgetID, detail bool) error {
-	list, err := loadBudgets(ctx, e, only)
+func showBudgets(ctx context.Context, e *env, filter bbunit.BudgetID, withHolders bool) error {
+	list, err := loadBudgets(ctx, e, filter)
 	if err != nil {
 		return err
 	}
-	if detail && e.opts.Output == formatTable {
+	if withHolders && e.opts.Output == formatTable {
 		return e.render(list, []string{"BUDGET", "HOLDER", "DOMAIN", "DRAWN", "SPENT", "STUCK", "WITNESS OR REASON"}, holderRows(list))
 	}
-	var cells [][]any
+	var rows [][]any
 	for _, b := range list {
-		cells = append(cells, []any{b.Budget, b.Paid, b.Drawn, b.Spent, b.Stuck, b.Remaining, len(b.Holders)})
+		rows = append(rows, []any{b.Budget, b.Paid, b.Drawn, b.Spent, b.Stuck, b.Remaining, len(b.Holders)})
 	}
-	return e.render(list, []string{"BUDGET", "PAID", "DRAWN", "SPENT", "STUCK", "REST", "HOLDERS"}, cells)
+	return e.render(list, []string{"BUDGET", "PAID", "DRAWN", "SPENT", "STUCK", "REST", "HOLDERS"}, rows)
 }
 
 // holderRows lists each holder and each stuck amount.
 func holderRows(list []bbledger.BudgetStatus) [][]any {
-	var cells [][]any
+	var rows [][]any
 	for _, b := range list {
 		for _, h := range b.Holders {
-			cells = append(cells, []any{b.Budget, h.Holder, h.Domain, h.Drawn, h.Spent, "", h.Witness})
+			rows = append(rows, []any{b.Budget, h.Holder, h.Domain, h.Drawn, h.Spent, "", h.Witness})
 		}
-		for _, x := range b.StuckGrants {
-			cells = append(cells, []any{b.Budget, x.Holder, "", "", "", x.Amount, x.Reason})
+		for _, stuck := range b.StuckGrants {
+			rows = append(rows, []any{b.Budget, stuck.Holder, "", "", "", stuck.Amount, stuck.Reason})
 		}
 	}
-	return cells
+	return rows
 }
 
-func releaseBudget(ctx context.Context, e *env, b bbunit.BudgetID, h bbunit.HolderID) error {
-	n, err := bbledger.Release(ctx, e.store, b, h)
+func releaseBudget(ctx context.Context, e *env, budget bbunit.BudgetID, holder bbunit.HolderID) error {
+	tokens, err := bbledger.Release(ctx, e.store, budget, holder)
 	if errors.Is(err, bbledger.ErrNoHolder) {
 		return errors.WithType(err, errUsage)
 	}
 	if err != nil {
 		return errors.Trace(err)
 	}
-	fmt.Fprintf(e.stderr, "budget %s: %d tokens given back\n", b, n)
+	fmt.Fprintf(e.stderr, "budget %s: %d tokens given back\n", budget, tokens)
 	return nil
 }
 
--- a/bluebellctl/src/cause.go
+++ b/bluebellctl/src/cause.go
@@ -8,15 +8,15 @@
 
 // cause says in a sentence why a request ended as it did, as far as its last
 // steps tell.
-func (s *timeline) cause() string {
-	last := s.Steps[len(s.Steps)-1]
+func (t *timeline) cause() string {
+	last := t.Steps[len(t.Steps)-1]
 	switch last.Line.Msg {
 	case "refused":
-		why := explainRefusal(&last)
-		if n := len(s.Steps) - 2; n >= 0 && s.Steps[n].Line.Msg == "attempt failed" {
-			why += "; " + explainFailure(&s.Steps[n].Line)
+		reason := explainRefusal(&last)
+		if previous := len(t.Steps) - 2; previous >= 0 && t.Steps[previous].Line.Msg == "attempt failed" {
+			reason += "; " + explainFailure(&t.Steps[previous].Line)
 		}
-		return why
+		return reason
 	case "attempt failed":
 		return explainFailure(&last.Line)
 	case "request cut":
@@ -30,22 +30,22 @@
 // explainRefusal explains an answer of the fleet's own.
 func explainRefusal(s *step) string {
 	l := &s.Line
-	known := ""
+	balanceAge := ""
 	if age := l.number("age"); age > 0 {
-		known = fmt.Sprintf(", known %s before", milliseconds(age))
+		balanceAge = fmt.Sprintf(", known %s before", milliseconds(age))
 	}
-	_, money := l.Fields["account"]
-	lost, away := s.findStateLine("store-lost")
+	_, isBudgetRefusal := l.Fields["account"]
+	storeLost, isStoreLost := s.findStateLine("store-lost")
 	switch status := int(l.number("status")); {
-	case money && status == http.StatusPaymentRequired:
+	case isBudgetRefusal && status == http.StatusPaymentRequired:
 		return fmt.Sprintf("the balance of account %s does not cover %.0f tokens: %.0f here, %.0f free, %.0f at other instances%s",
-			l.text("account"), l.number("tokens"), l.number("here"), l.number("free"), l.number("others"), known)
-	case money && away:
+			l.text("account"), l.number("tokens"), l.number("here"), l.number("free"), l.number("others"), balanceAge)
+	case isBudgetRefusal && isStoreLost:
 		return fmt.Sprintf("the instance had lost the store %s before, and its share of account %s, %.0f tokens, does not cover %.0f",
-			l.Time.Sub(lost.Time), l.text("account"), l.number("here"), l.number("tokens"))
-	case money:
+			l.Time.Sub(storeLost.Time), l.text("account"), l.number("here"), l.number("tokens"))
+	case isBudgetRefusal:
 		return fmt.Sprintf("no share of account %s covers %.0f tokens: %.0f here, %.0f free, %.0f at other instances%s",
-			l.text("account"), l.number("tokens"), l.number("here"), l.number("free"), l.number("others"), known)
+			l.text("account"), l.number("tokens"), l.number("here"), l.number("free"), l.number("others"), balanceAge)
 	case status == http.StatusNotFound || status == http.StatusUnauthorized:
 		if plan, ok := s.findStateLine("plan"); ok {
 			return fmt.Sprintf("%s in plan %.0f, in force there for %s", l.text("reason"), plan.number("version"), l.Time.Sub(plan.Time))
@@ -56,20 +56,20 @@
 
 // explainFailure explains an attempt that brought no answer.
 func explainFailure(l *logLine) string {
-	why := l.text("error")
-	if why != "" {
-		why = ": " + why
+	reason := l.text("error")
+	if reason != "" {
+		reason = ": " + reason
 	}
-	target, after := l.text("target"), milliseconds(l.number("ms"))
+	target, elapsed := l.text("target"), milliseconds(l.number("ms"))
 	switch l.text("end") {
 	case "unsent":
-		return fmt.Sprintf("target %s could not be reached; nothing was sent%s", target, why)
+		return fmt.Sprintf("target %s could not be reached; nothing was sent%s", target, reason)
 	case "not-run":
-		return fmt.Sprintf("target %s says that it did not run the request%s", target, why)
+		return fmt.Sprintf("target %s says that it did not run the request%s", target, reason)
 	case "late":
-		return fmt.Sprintf("the time was over %s after the request came, at target %s%s", after, target, why)
+		return fmt.Sprintf("the time was over %s after the request came, at target %s%s", elapsed, target, reason)
 	}
-	return fmt.Sprintf("target %s gave no usable answer, %s after the request came; it may have run%s", target, after, why)
+	return fmt.Sprintf("target %s gave no usable answer, %s after the request came; it may have run%s", target, elapsed, reason)
 }
 
 func milliseconds(n float64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/bluebellctl/src/core_test.go
+++ b/bluebellctl/src/core_test.go
@@ -47,18 +47,18 @@
 }
 
 // run runs the command and returns its exit code and outputs.
-func (d *cliFixture) run(args ...string) (int, string, string) {
-	var out, errs bytes.Buffer
-	code := Main(append([]string{"--store", d.storeAddr, "--timeout", "3s"}, args...), &out, &errs)
-	return code, out.String(), strings.ReplaceAll(errs.String(), d.dir+"/", "")
+func (f *cliFixture) run(args ...string) (int, string, string) {
+	var stdout, stderr bytes.Buffer
+	code := Main(append([]string{"--store", f.storeAddr, "--timeout", "3s"}, args...), &stdout, &stderr)
+	return code, stdout.String(), strings.ReplaceAll(stderr.String(), f.dir+"/", "")
 }
 
-func (d *cliFixture) writeFile(name, body string) string {
-	p := filepath.Join(d.dir, name)
-	if err := os.WriteFile(p, []byte(body), 0o600); err != nil {
-		d.t.Fatal(err)
+func (f *cliFixture) writeFile(name, body string) string {
+	path := filepath.Join(f.dir, name)
+	if err := os.WriteFile(path, []byte(body), 0o600); err != nil {
+		f.t.Fatal(err)
 	}
-	return p
+	return path
 }
 
 const keyHash = "sha256:0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
@@ -75,9 +75,9 @@
 
 // TestCommandOutput holds what the commands print, for people and for programs.
 func TestCommandOutput(t *testing.T) {
-	d := newCLIFixture(t)
-	first := d.writeFile("1.yaml", firstTicket)
-	second := d.writeFile("2.yaml", "number: 2\nnote: top-up\nbudgets: [{id: b, account: a, paid: 5000}]\n")
+	f := newCLIFixture(t)
+	first := f.writeFile("1.yaml", firstTicket)
+	second := f.writeFile("2.yaml", "number: 2\nnote: top-up\nbudgets: [{id: b, account: a, paid: 5000}]\n")
 	for _, c := range []struct {
 		name string
 		args []string
@@ -99,15 +99,15 @@
 		{"budgets-json", []string{"-o", "json", "budget", "show"}, bbcli.ExitOK},
 		{"budget-unknown", []string{"budget", "show", "none"}, bbcli.ExitUsage},
 		{"release-unknown", []string{"budget", "release", "b", "nobody"}, bbcli.ExitUsage},
-		{"no-file", []string{"ticket", "apply", d.dir + "/none.yaml"}, bbcli.ExitUsage},
+		{"no-file", []string{"ticket", "apply", f.dir + "/none.yaml"}, bbcli.ExitUsage},
 		{"bad-output", []string{"-o", "xml", "ticket", "list"}, bbcli.ExitUsage},
 		{"status-alone", []string{"status"}, bbcli.ExitUsage},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			code, out, errs := d.run(c.args...)
+			code, stdout, stderr := f.run(c.args...)
 			is.Equal(code, c.code)
-			got := "stdout:\n" + out + "stderr:\n" + errs
+			got := "stdout:\n" + stdout + "stderr:\n" + stderr
 			goldie.New(t).Assert(t, "output/"+c.name, []byte(timestampPattern.ReplaceAllString(got, "TIME")))
 		})
 	}
@@ -117,25 +117,25 @@
 // names the figure, and a refused ticket leaves no cap behind.
 func TestLowerBudget(t *testing.T) {
 	is := is.New(t)
-	d := newCLIFixture(t)
-	code, _, _ := d.run("ticket", "apply", d.writeFile("1.yaml", firstTicket))
+	f := newCLIFixture(t)
+	code, _, _ := f.run("ticket", "apply", f.writeFile("1.yaml", firstTicket))
 	is.Equal(code, bbcli.ExitOK)
-	writeDrawnPage(t, d.store, "b", 1000, 600)
+	writeDrawnPage(t, f.store, "b", 1000, 600)
 
-	code, _, errs := d.run("ticket", "apply", d.writeFile("2.yaml", "number: 2\nbudgets: [{id: b, account: a, paid: 500}]\n"))
+	code, _, stderr := f.run("ticket", "apply", f.writeFile("2.yaml", "number: 2\nbudgets: [{id: b, account: a, paid: 500}]\n"))
 	is.Equal(code, bbcli.ExitFailed)
-	is.True(strings.Contains(errs, "600 tokens"))
-	code, _, _ = d.run("ticket", "apply", d.writeFile("3.yaml", "number: 7\nbudgets: [{id: b, account: a, paid: 700}]\n"))
+	is.True(strings.Contains(stderr, "600 tokens"))
+	code, _, _ = f.run("ticket", "apply", f.writeFile("3.yaml", "number: 7\nbudgets: [{id: b, account: a, paid: 700}]\n"))
 	is.Equal(code, bbcli.ExitFailed) // another number
-	list, err := bbledger.ListBudgets(context.Background(), d.store)
+	list, err := bbledger.ListBudgets(context.Background(), f.store)
 	is.NoErr(err)
 	is.Equal(list[0].Capped, false)
 	is.Equal(list[0].Remaining, list[0].Paid-600)
 
-	code, _, errs = d.run("ticket", "apply", d.writeFile("4.yaml", "number: 2\nbudgets: [{id: b, account: a, paid: 700}]\n"))
-	is.Equal(errs, "ticket 2 is accepted\n")
+	code, _, stderr = f.run("ticket", "apply", f.writeFile("4.yaml", "number: 2\nbudgets: [{id: b, account: a, paid: 700}]\n"))
+	is.Equal(stderr, "ticket 2 is accepted\n")
 	is.Equal(code, bbcli.ExitOK)
-	list, err = bbledger.ListBudgets(context.Background(), d.store)
+	list, err = bbledger.ListBudgets(context.Background(), f.store)
 	is.NoErr(err)
 	is.Equal(int64(list[0].Remaining), int64(100))
 }
@@ -143,23 +143,23 @@
 // TestStoreDown: commands end with a message and exit code 1.
 func TestStoreDown(t *testing.T) {
 	is := is.New(t)
-	var out, errs bytes.Buffer
-	code := Main([]string{"--store", "127.0.0.1:1", "--timeout", "2s", "ticket", "list"}, &out, &errs)
+	var stdout, stderr bytes.Buffer
+	code := Main([]string{"--store", "127.0.0.1:1", "--timeout", "2s", "ticket", "list"}, &stdout, &stderr)
 	is.Equal(code, bbcli.ExitFailed)
-	is.True(strings.Contains(errs.String(), "key-value service unavailable"))
+	is.True(strings.Contains(stderr.String(), "key-value service unavailable"))
 }
 
 // writeDrawnPage writes a page as if a holder had drawn from the budget.
-func writeDrawnPage(t *testing.T, mem *bbstore.Mem, b bbunit.BudgetID, paid, drawn int64) {
+func writeDrawnPage(t *testing.T, store *bbstore.Mem, b bbunit.BudgetID, paid, drawn int64) {
 	t.Helper()
-	v, err := bbledger.EncodePage(&bbwire.Page{Entries: []*bbwire.Entry{{
+	page, err := bbledger.EncodePage(&bbwire.Page{Entries: []*bbwire.Entry{{
 		Budget: string(b), Paid: paid, Number: 1,
 		Holders: []*bbwire.Holder{{Holder: "i1/1/1", Instance: "i1", Domain: "d", Drawn: drawn, Seq: 1}},
 	}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := mem.CAS(context.Background(), bbledger.PageKey(bbledger.PageOf(b)), v, 0, 0); err != nil {
+	if _, err := store.CAS(context.Background(), bbledger.PageKey(bbledger.PageOf(b)), page, 0, 0); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/bluebellctl/src/explain.go
+++ b/bluebellctl/src/explain.go
@@ -17,44 +17,44 @@
 func explainCommands(app *kingpin.Application, commands map[string]command) {
 	var request string
 	var files []string
-	x := app.Command("explain", "Tell from log lines what became of a request, and what the instances believed then.")
-	x.Arg("request", "Id of the request, as the caller sent it.").Required().StringVar(&request)
-	x.Arg("log", "Log files of instances, in any order; without any, standard input is read.").StringsVar(&files)
-	commands[x.FullCommand()] = func(_ context.Context, e *env) error { return explain(e, request, files) }
+	cmd := app.Command("explain", "Tell from log lines what became of a request, and what the instances believed then.")
+	cmd.Arg("request", "Id of the request, as the caller sent it.").Required().StringVar(&request)
+	cmd.Arg("log", "Log files of instances, in any order; without any, standard input is read.").StringsVar(&files)
+	commands[cmd.FullCommand()] = func(_ context.Context, e *env) error { return explain(e, request, files) }
 }
 
 func explain(e *env, request string, files []string) error {
-	s := newTimeline(request)
+	t := newTimeline(request)
 	if len(files) == 0 {
-		if err := s.readLog(e.stdin); err != nil {
+		if err := t.readLog(e.stdin); err != nil {
 			return errors.Annotate(err, "standard input")
 		}
 	}
 	for _, name := range files {
-		if err := s.readLogFile(name); err != nil {
+		if err := t.readLogFile(name); err != nil {
 			return errors.WithType(err, errUsage)
 		}
 	}
-	s.sortSteps()
-	if len(s.Steps) == 0 {
+	t.sortSteps()
+	if len(t.Steps) == 0 {
 		return errors.WithType(errors.Errorf("request: no line of %q in %s (%d lines read, %d of them not of an instance); of the requests that were served only some are logged",
-			request, sourceNames(files), s.LinesRead, s.LinesSkipped), errUsage)
+			request, sourceNames(files), t.LinesRead, t.LinesSkipped), errUsage)
 	}
 	if e.opts.Output == formatJSON {
-		return e.render(s, nil, nil)
+		return e.render(t, nil, nil)
 	}
-	fmt.Fprintf(e.stderr, "%d lines read, %d of them not of an instance\n", s.LinesRead, s.LinesSkipped)
-	fmt.Fprintln(e.stdout, "cause:", s.cause())
-	return e.render(nil, []string{"TIME", "INSTANCE", "AGE", "LINE", "DETAIL"}, s.rows())
+	fmt.Fprintf(e.stderr, "%d lines read, %d of them not of an instance\n", t.LinesRead, t.LinesSkipped)
+	fmt.Fprintln(e.stdout, "cause:", t.cause())
+	return e.render(nil, []string{"TIME", "INSTANCE", "AGE", "LINE", "DETAIL"}, t.rows())
 }
 
-func (s *timeline) readLogFile(name string) error {
+func (t *timeline) readLogFile(name string) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer func() { _ = f.Close() }()
-	return errors.Annotate(s.readLog(f), name)
+	return errors.Annotate(t.readLog(f), name)
 }
 
 func sourceNames(files []string) string {
@@ -66,13 +66,13 @@
 
 // rows are the steps, each after what its instance believed, with the age of
 // that.
-func (s *timeline) rows() [][]any {
+func (t *timeline) rows() [][]any {
 	var rows [][]any
-	for i := range s.Steps {
-		st := &s.Steps[i]
+	for i := range t.Steps {
+		st := &t.Steps[i]
 		for j := range st.InstanceState {
-			b := &st.InstanceState[j]
-			rows = append(rows, []any{b.Time.Format(time.RFC3339Nano), b.Instance, st.Line.Time.Sub(b.Time), "believed: " + b.Msg, b.detail()})
+			state := &st.InstanceState[j]
+			rows = append(rows, []any{state.Time.Format(time.RFC3339Nano), state.Instance, st.Line.Time.Sub(state.Time), "believed: " + state.Msg, state.detail()})
 		}
 		rows = append(rows, []any{st.Line.Time.Format(time.RFC3339Nano), st.Line.Instance, "", st.Line.Msg, st.Line.detail()})
 	}
@@ -81,7 +81,7 @@
 
 // detail is what a line says besides its head, by name.
 func (l *logLine) detail() string {
-	var out []string
+	var fields []string
 	for name, v := range l.Fields {
 		switch name {
 		case "time", "instance", "msg", "event", "request", "level":
@@ -91,8 +91,8 @@
 		if err != nil {
 			continue // what was read as JSON can be written as JSON
 		}
-		out = append(out, name+"="+string(value))
+		fields = append(fields, name+"="+string(value))
 	}
-	slices.Sort(out)
-	return strings.Join(out, " ")
+	slices.Sort(fields)
+	return strings.Join(fields, " ")
 }
--- a/bluebellctl/src/explain_test.go
+++ b/bluebellctl/src/explain_test.go
@@ -20,43 +20,43 @@
 // A request is told over all instances, whatever the order of their files, with
 // what each believed then.
 func TestExplain(t *testing.T) {
-	d := newCLIFixture(t)
+	f := newCLIFixture(t)
 	for _, request := range []string{"r1", "r2", "r3", "r4", "r5"} {
 		t.Run(request, func(t *testing.T) {
 			is := is.New(t)
-			code, out, errs := d.run("explain", request, logTwo, logOne)
+			code, stdout, stderr := f.run("explain", request, logTwo, logOne)
 			is.Equal(code, bbcli.ExitOK)
-			is.Equal(errs, "15 lines read, 2 of them not of an instance\n")
-			goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "explain-"+request, []byte(out))
-			_, again, _ := d.run("explain", request, logOne, logTwo)
-			is.Equal(again, out)
+			is.Equal(stderr, "15 lines read, 2 of them not of an instance\n")
+			goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "explain-"+request, []byte(stdout))
+			_, swapped, _ := f.run("explain", request, logOne, logTwo)
+			is.Equal(swapped, stdout)
 		})
 	}
 }
 
 func TestExplainNamesSearchedFiles(t *testing.T) {
 	is := is.New(t)
-	d := newCLIFixture(t)
-	code, _, errs := d.run("explain", "r9", logOne, logTwo)
+	f := newCLIFixture(t)
+	code, _, stderr := f.run("explain", "r9", logOne, logTwo)
 	is.Equal(code, bbcli.ExitUsage)
-	is.True(strings.Contains(errs, `no line of "r9" in `+logOne+", "+logTwo+" (15 lines read, 2 of them not of an instance)"))
-	code, _, errs = d.run("explain", "r1", "testdata/none.log")
+	is.True(strings.Contains(stderr, `no line of "r9" in `+logOne+", "+logTwo+" (15 lines read, 2 of them not of an instance)"))
+	code, _, stderr = f.run("explain", "r1", "testdata/none.log")
 	is.Equal(code, bbcli.ExitUsage)
-	is.True(strings.Contains(errs, "none.log"))
+	is.True(strings.Contains(stderr, "none.log"))
 }
 
 // Without files standard input is read; a life of an instance knows nothing of
 // the one before.
 func TestExplainStandardInput(t *testing.T) {
 	is := is.New(t)
-	lines, err := os.ReadFile(logOne)
+	firstRun, err := os.ReadFile(logOne)
 	is.NoErr(err)
 	restart := `{"event":"start","instance":"edge-a-1","msg":"serving","time":"2026-12-04T01:01:00Z"}
 {"after":0.5,"instance":"edge-a-1","msg":"refused","reason":"nothing is in force here yet","request":"r6","status":503,"time":"2026-12-04T01:01:01Z"}
 `
-	var out, info bytes.Buffer
-	e := &env{opts: &Options{Output: formatJSON}, stdin: strings.NewReader(string(lines) + restart), stdout: &out, stderr: &info}
+	var stdout, stderr bytes.Buffer
+	e := &env{opts: &Options{Output: formatJSON}, stdin: strings.NewReader(string(firstRun) + restart), stdout: &stdout, stderr: &stderr}
 	is.NoErr(explain(e, "r6", nil))
-	is.True(strings.Contains(out.String(), "nothing is in force here yet"))
-	is.True(!strings.Contains(out.String(), "plan in force"))
+	is.True(strings.Contains(stdout.String(), "nothing is in force here yet"))
+	is.True(!strings.Contains(stdout.String(), "plan in force"))
 }
--- a/bluebellctl/src/order.go
+++ b/bluebellctl/src/order.go
@@ -12,12 +12,12 @@
 
 // orderCommands declares the command that gives targets orders.
 func orderCommands(app *kingpin.Application, commands map[string]command) {
-	var ask orderRequest
-	o := app.Command("order", "Order a target to load a model, adapter or version, or to change its role.")
-	o.Arg("target", "Id of the target.").Required().StringVar(&ask.Target)
-	o.Arg("action", "What to do, in the target's own words, such as load.").Required().StringVar(&ask.Action)
-	o.Arg("model", "Model, adapter, version or role that the action is about.").StringVar(&ask.Model)
-	commands[o.FullCommand()] = func(_ context.Context, e *env) error { return sendOrder(e, ask) }
+	var order orderRequest
+	cmd := app.Command("order", "Order a target to load a model, adapter or version, or to change its role.")
+	cmd.Arg("target", "Id of the target.").Required().StringVar(&order.Target)
+	cmd.Arg("action", "What to do, in the target's own words, such as load.").Required().StringVar(&order.Action)
+	cmd.Arg("model", "Model, adapter, version or role that the action is about.").StringVar(&order.Model)
+	commands[cmd.FullCommand()] = func(_ context.Context, e *env) error { return sendOrder(e, order) }
 }
 
 // orderRequest is an order as an instance takes it.
@@ -34,11 +34,11 @@
 }
 
 // sendOrder has the first instance named by --admin give the order.
-func sendOrder(e *env, ask orderRequest) error {
+func sendOrder(e *env, order orderRequest) error {
 	if len(e.opts.Admins) == 0 {
 		return errors.WithType(errors.New("order needs --admin"), errUsage)
 	}
-	body, err := json.Marshal(ask)
+	body, err := json.Marshal(order)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -51,16 +51,16 @@
 	if err := fasthttp.DoTimeout(req, resp, e.opts.Timeout); err != nil {
 		return errors.Annotate(err, e.opts.Admins[0])
 	}
-	var tell orderResponse
-	if err := json.Unmarshal(resp.Body(), &tell); err != nil {
+	var result orderResponse
+	if err := json.Unmarshal(resp.Body(), &result); err != nil {
 		return errors.Annotatef(err, "%s answered %d", e.opts.Admins[0], resp.StatusCode())
 	}
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
-		fmt.Fprintf(e.stderr, "target %s took the order under fencing number %d\n", ask.Target, tell.Fence)
+		fmt.Fprintf(e.stderr, "target %s took the order under fencing number %d\n", order.Target, result.Fence)
 		return nil
 	case fasthttp.StatusBadRequest, fasthttp.StatusNotFound:
-		return errors.WithType(errors.New(tell.Error), errUsage)
+		return errors.WithType(errors.New(result.Error), errUsage)
 	}
-	return errors.Errorf("order under fencing number %d is not acknowledged: %s", tell.Fence, tell.Error)
+	return errors.Errorf("order under fencing number %d is not acknowledged: %s", result.Fence, result.Error)
 }
--- a/bluebellctl/src/status.go
+++ b/bluebellctl/src/status.go
@@ -21,20 +21,20 @@
 
 // statusCommands declares the commands on running instances.
 func statusCommands(app *kingpin.Application, commands map[string]command) {
-	s := app.Command("status", "Show what each instance has in force.")
-	commands[s.FullCommand()] = showStatus
+	cmd := app.Command("status", "Show what each instance has in force.")
+	commands[cmd.FullCommand()] = showStatus
 }
 
 func showStatus(_ context.Context, e *env) error {
 	if len(e.opts.Admins) == 0 {
 		return errors.WithType(errors.New("status needs --admin"), errUsage)
 	}
-	list := make([]instanceStatus, len(e.opts.Admins))
-	var cells [][]any
+	statuses := make([]instanceStatus, len(e.opts.Admins))
+	var rows [][]any
 	failed := false
-	for i, a := range e.opts.Admins {
-		list[i] = fetchStatus(a, e.opts.Timeout)
-		s := &list[i]
+	for i, admin := range e.opts.Admins {
+		statuses[i] = fetchStatus(admin, e.opts.Timeout)
+		s := &statuses[i]
 		state := "ready"
 		switch {
 		case s.Error != "":
@@ -44,9 +44,9 @@
 		case !s.Ready:
 			state = "not ready"
 		}
-		cells = append(cells, []any{a, s.Instance, s.Domain, s.Number, state, s.Open, len(s.Members), s.Version})
+		rows = append(rows, []any{admin, s.Instance, s.Domain, s.Number, state, s.Open, len(s.Members), s.Version})
 	}
-	if err := e.render(list, []string{"ADMIN", "INSTANCE", "DOMAIN", "TICKET", "STATE", "OPEN", "SEES", "VERSION"}, cells); err != nil {
+	if err := e.render(statuses, []string{"ADMIN", "INSTANCE", "DOMAIN", "TICKET", "STATE", "OPEN", "SEES", "VERSION"}, rows); err != nil {
 		return err
 	}
 	if failed {
--- a/bluebellctl/src/table.go
+++ b/bluebellctl/src/table.go
@@ -10,14 +10,14 @@
 )
 
 // render prints v as JSON for programs, or the rows as a table for people.
-func (e *env) render(v any, heads []string, rows [][]any) error {
+func (e *env) render(v any, columns []string, rows [][]any) error {
 	if e.opts.Output == formatJSON {
 		enc := json.NewEncoder(e.stdout)
 		enc.SetIndent("", "  ")
 		return errors.Trace(enc.Encode(v))
 	}
 	w := tabwriter.NewWriter(e.stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, strings.Join(heads, "\t"))
+	fmt.Fprintln(w, strings.Join(columns, "\t"))
 	for _, r := range rows {
 		cells := make([]string, len(r))
 		for i, c := range r {
--- a/bluebellctl/src/ticket.go
+++ b/bluebellctl/src/ticket.go
@@ -18,23 +18,23 @@
 
 // ticketCommands declares the commands on change tickets.
 func ticketCommands(app *kingpin.Application, commands map[string]command) {
-	t := app.Command("ticket", "Check, apply and read change tickets.")
+	cmd := app.Command("ticket", "Check, apply and read change tickets.")
 	var file string
 	var number uint64
-	check := t.Command("check", "Tell whether a ticket could be applied now; nothing is written.")
+	check := cmd.Command("check", "Tell whether a ticket could be applied now; nothing is written.")
 	check.Arg("file", "Ticket in YAML; - reads standard input.").Required().StringVar(&file)
 	commands[check.FullCommand()] = func(ctx context.Context, e *env) error { return checkTicket(ctx, e, file) }
-	apply := t.Command("apply", "Put a ticket in force.")
+	apply := cmd.Command("apply", "Put a ticket in force.")
 	apply.Arg("file", "Ticket in YAML; - reads standard input.").Required().StringVar(&file)
 	commands[apply.FullCommand()] = func(ctx context.Context, e *env) error { return applyTicket(ctx, e, file) }
-	list := t.Command("list", "List the tickets that the log still holds.")
+	list := cmd.Command("list", "List the tickets that the log still holds.")
 	commands[list.FullCommand()] = listTickets
-	show := t.Command("show", "Print a ticket of the log, or all that is in force.")
+	show := cmd.Command("show", "Print a ticket of the log, or all that is in force.")
 	show.Arg("number", "Number of the ticket; none prints what is in force.").Uint64Var(&number)
 	commands[show.FullCommand()] = func(ctx context.Context, e *env) error {
 		return showTicket(ctx, e, bbunit.TicketNumber(number))
 	}
-	diff := t.Command("diff", "Show how a ticket's objects differ from what is in force.")
+	diff := cmd.Command("diff", "Show how a ticket's objects differ from what is in force.")
 	diff.Arg("file", "Ticket in YAML; - reads standard input.").Required().StringVar(&file)
 	commands[diff.FullCommand()] = func(ctx context.Context, e *env) error { return diffTicket(ctx, e, file) }
 }
@@ -123,15 +123,15 @@
 }
 
 func listTickets(ctx context.Context, e *env) error {
-	h, _, err := bbticket.NewLog(e.store).Head(ctx)
+	head, _, err := bbticket.NewLog(e.store).Head(ctx)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	rows := []ticketRow{}
 	var cells [][]any
-	for _, a := range h.Tail {
-		t := a.Ticket
-		r := ticketRow{t.Number, a.At, len(t.Accounts) + len(t.Budgets) + len(t.Services) + len(t.Targets), t.Note}
+	for _, accepted := range head.Tail {
+		t := accepted.Ticket
+		r := ticketRow{t.Number, accepted.At, len(t.Accounts) + len(t.Budgets) + len(t.Services) + len(t.Targets), t.Note}
 		rows = append(rows, r)
 		cells = append(cells, []any{r.Number, r.At.Format(time.RFC3339), r.Objects, r.Note})
 	}
@@ -139,27 +139,27 @@
 }
 
 func showTicket(ctx context.Context, e *env, n bbunit.TicketNumber) error {
-	l := bbticket.NewLog(e.store)
+	log := bbticket.NewLog(e.store)
 	if n == 0 {
-		s, err := l.Load(ctx)
+		s, err := log.Load(ctx)
 		if err != nil {
 			return errors.Trace(err)
 		}
 		return e.printTicket(s.Ticket())
 	}
-	h, _, err := l.Head(ctx)
+	head, _, err := log.Head(ctx)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	for _, a := range h.Tail {
-		if a.Ticket.Number == n {
-			return e.printTicket(a.Ticket)
+	for _, accepted := range head.Tail {
+		if accepted.Ticket.Number == n {
+			return e.printTicket(accepted.Ticket)
 		}
 	}
-	if n <= h.SnapshotNumber {
-		return errors.WithType(errors.Errorf("ticket %d: no longer in the log, which starts at %d", n, h.SnapshotNumber+1), errUsage)
+	if n <= head.SnapshotNumber {
+		return errors.WithType(errors.Errorf("ticket %d: no longer in the log, which starts at %d", n, head.SnapshotNumber+1), errUsage)
 	}
-	return errors.WithType(errors.Errorf("ticket %d: not in the log, which ends at %d", n, h.Number), errUsage)
+	return errors.WithType(errors.Errorf("ticket %d: not in the log, which ends at %d", n, head.Number), errUsage)
 }
 
 // printTicket writes a ticket as YAML, or as JSON for programs.
--- a/bluebellctl/src/timeline.go
+++ b/bluebellctl/src/timeline.go
@@ -30,17 +30,17 @@
 // object. It tells whether the line is one of an instance.
 func parseLine(raw []byte) (logLine, bool) {
 	var l logLine
-	at := bytes.IndexByte(raw, '{')
-	if at < 0 || json.Unmarshal(raw[at:], &l.Fields) != nil {
+	start := bytes.IndexByte(raw, '{')
+	if start < 0 || json.Unmarshal(raw[start:], &l.Fields) != nil {
 		return l, false
 	}
-	word := func(name string) string {
+	textField := func(name string) string {
 		s, _ := l.Fields[name].(string)
 		return s
 	}
-	l.Instance, l.Msg, l.Event, l.Request = word("instance"), word("msg"), word("event"), word("request")
-	when, err := time.Parse(time.RFC3339Nano, word("time"))
-	l.Time = when
+	l.Instance, l.Msg, l.Event, l.Request = textField("instance"), textField("msg"), textField("event"), textField("request")
+	parsed, err := time.Parse(time.RFC3339Nano, textField("time"))
+	l.Time = parsed
 	return l, err == nil && l.Instance != "" && l.Msg != ""
 }
 
@@ -95,53 +95,53 @@
 
 // readLog takes log lines. The lines of one instance come in the order in which it
 // wrote them; those of several may be mixed or come one instance after the other.
-func (s *timeline) readLog(r io.Reader) error {
-	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLineBytes)
-	for lines.Scan() {
-		s.LinesRead++
-		l, ours := parseLine(lines.Bytes())
-		if !ours {
-			s.LinesSkipped++
+func (t *timeline) readLog(r io.Reader) error {
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
+	for scanner.Scan() {
+		t.LinesRead++
+		l, ok := parseLine(scanner.Bytes())
+		if !ok {
+			t.LinesSkipped++
 			continue
 		}
-		s.add(l)
+		t.add(l)
 	}
-	return errors.Trace(lines.Err())
+	return errors.Trace(scanner.Err())
 }
 
-func (s *timeline) add(l logLine) {
-	b := s.instanceStates[l.Instance]
-	if b == nil {
-		b = map[string]logLine{}
-		s.instanceStates[l.Instance] = b
+func (tl *timeline) add(l logLine) {
+	state := tl.instanceStates[l.Instance]
+	if state == nil {
+		state = map[string]logLine{}
+		tl.instanceStates[l.Instance] = state
 	}
 	if l.Event == "start" {
-		clear(b) // a new life knows nothing of the one before
+		clear(state) // a new life knows nothing of the one before
 	}
-	if t := l.stateKey(); t != "" {
-		b[t] = l
+	if key := l.stateKey(); key != "" {
+		state[key] = l
 	}
-	if l.Request == s.Request {
-		s.Steps = append(s.Steps, step{Line: l, InstanceState: relevantState(b, l)})
+	if l.Request == tl.Request {
+		tl.Steps = append(tl.Steps, step{Line: l, InstanceState: relevantState(state, l)})
 	}
 }
 
 // relevantState returns the beliefs that matter to a line, oldest first.
-func relevantState(b map[string]logLine, l logLine) []logLine {
-	var out []logLine
-	for _, t := range []string{"life", "plan", "store", "crowded", "reload", "target " + l.text("target")} {
-		if belief, ok := b[t]; ok {
-			out = append(out, belief)
+func relevantState(state map[string]logLine, l logLine) []logLine {
+	var lines []logLine
+	for _, key := range []string{"life", "plan", "store", "crowded", "reload", "target " + l.text("target")} {
+		if line, ok := state[key]; ok {
+			lines = append(lines, line)
 		}
 	}
-	slices.SortStableFunc(out, func(x, y logLine) int { return x.Time.Compare(y.Time) })
-	return out
+	slices.SortStableFunc(lines, func(x, y logLine) int { return x.Time.Compare(y.Time) })
+	return lines
 }
 
 // sortSteps sorts the steps once all lines are read.
-func (s *timeline) sortSteps() {
-	slices.SortStableFunc(s.Steps, func(a, b step) int {
+func (t *timeline) sortSteps() {
+	slices.SortStableFunc(t.Steps, func(a, b step) int {
 		return cmp.Or(a.Line.Time.Compare(b.Line.Time), cmp.Compare(a.Line.Instance, b.Line.Instance))
 	})
 }
--- a/bluebellstand/src/ask.go
+++ b/bluebellstand/src/ask.go
@@ -68,10 +68,10 @@
 	}
 	sender, stop := newSender([]string{o.Instance}, o.Timeout)
 	defer stop()
-	out := sender.sendWithRetries(r, 0, time.Now())
-	fmt.Fprintf(s.out, "%s: status %d, %s, %d tokens: %s\n", r.id, out.Status, out.Outcome, out.Tokens, out.text)
-	if out.Outcome != "done" {
-		return errors.Errorf("%s: %s", out.Outcome, out.Title)
+	result := sender.sendWithRetries(r, 0, time.Now())
+	fmt.Fprintf(s.out, "%s: status %d, %s, %d tokens: %s\n", r.id, result.Status, result.Outcome, result.Tokens, result.text)
+	if result.Outcome != "done" {
+		return errors.Errorf("%s: %s", result.Outcome, result.Title)
 	}
 	return nil
 }
@@ -82,5 +82,5 @@
 		r.kind, r.method, r.body = LoadWrite, http.MethodPost, []byte(r.id)
 	}
 	r.path = "/services/" + o.Plain + o.Text
-	r.wantPlain = NewPlainAnswer(r.method, o.Text, r.body, 0)
+	r.wantPlain = NewPlainResponse(r.method, o.Text, r.body, 0)
 }
--- a/bluebellstand/src/core.go
+++ b/bluebellstand/src/core.go
@@ -38,13 +38,13 @@
 func Main(args []string, stdout, stderr io.Writer) int {
 	app := bbcli.New("bluebellstand", "Stand-ins for the platform and the targets, and a load generator.", stdout, stderr)
 	commands := newCommands(app)
-	chosen := func() []string {
+	checkSelected := func() []string {
 		if c := commands[selectedCommand(app, args)]; c != nil {
 			return c.check()
 		}
 		return nil
 	}
-	name, code, ok := bbcli.Parse(app, args, stderr, chosen)
+	name, code, ok := bbcli.Parse(app, args, stderr, checkSelected)
 	if !ok {
 		return code
 	}
--- a/bluebellstand/src/core_test.go
+++ b/bluebellstand/src/core_test.go
@@ -31,9 +31,9 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	busy, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = busy.Close() }()
 	cases := []struct {
 		args string
 		code int
@@ -45,15 +45,15 @@
 		{"plain --delay=-1s --queue=-1", bbcli.ExitUsage, []string{"--delay", "--queue"}},
 		{"plain --delay soon", bbcli.ExitUsage, []string{"soon"}},
 		{"bogus", bbcli.ExitUsage, []string{"bogus"}},
-		{"plain --listen " + taken.Addr().String(), bbcli.ExitFailed, []string{"address already in use"}},
+		{"plain --listen " + busy.Addr().String(), bbcli.ExitFailed, []string{"address already in use"}},
 	}
 	for _, c := range cases {
 		t.Run(c.args, func(t *testing.T) {
 			is := is.New(t)
-			var out, errs bytes.Buffer
-			is.Equal(Main(strings.Fields(c.args), &out, &errs), c.code)
+			var stdout, stderr bytes.Buffer
+			is.Equal(Main(strings.Fields(c.args), &stdout, &stderr), c.code)
 			for _, w := range c.want {
-				is.True(strings.Contains(errs.String(), w))
+				is.True(strings.Contains(stderr.String(), w))
 			}
 		})
 	}
--- a/bluebellstand/src/engine.go
+++ b/bluebellstand/src/engine.go
@@ -143,8 +143,8 @@
 	if !ok {
 		return nil, errPrefixMismatch
 	}
-	if most := r.maxAnswerTokens(); most > 0 && most < len(j.answerTokens) {
-		j.answerTokens, j.truncated = j.answerTokens[:most], true
+	if limit := r.maxAnswerTokens(); limit > 0 && limit < len(j.answerTokens) {
+		j.answerTokens, j.truncated = j.answerTokens[:limit], true
 	}
 	j.acceptedAt = time.Now()
 	j.changed = make(chan struct{})
@@ -195,8 +195,8 @@
 // sleep waits, longer while the engine is frozen; false when ctx ended.
 func (e *engine) sleep(ctx context.Context, d time.Duration) bool {
 	e.mu.Lock()
-	if f := time.Until(e.frozenUntil); f > d {
-		d = f
+	if frozen := time.Until(e.frozenUntil); frozen > d {
+		d = frozen
 	}
 	e.mu.Unlock()
 	select {
@@ -223,8 +223,8 @@
 	if j.state == stateRunning {
 		e.running--
 	}
-	for i, w := range e.waiting {
-		if w == j {
+	for i, queued := range e.waiting {
+		if queued == j {
 			e.waiting = append(e.waiting[:i:i], e.waiting[i+1:]...)
 			break
 		}
--- a/bluebellstand/src/engine_admin.go
+++ b/bluebellstand/src/engine_admin.go
@@ -58,9 +58,9 @@
 func (e *engine) counts() TargetCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := TargetCounts{Accepted: len(e.accepted), Refused: e.refused, Waiting: len(e.waiting), Running: e.running, HighestFence: e.orders.highestFence}
+	counts := TargetCounts{Accepted: len(e.accepted), Refused: e.refused, Waiting: len(e.waiting), Running: e.running, HighestFence: e.orders.highestFence}
 	for _, j := range e.accepted {
-		n.GeneratedTokens += j.generated
+		counts.GeneratedTokens += j.generated
 	}
-	return n
+	return counts
 }
--- a/bluebellstand/src/engine_http.go
+++ b/bluebellstand/src/engine_http.go
@@ -154,10 +154,10 @@
 			return fiber.NewError(http.StatusServiceUnavailable, "cancelled")
 		}
 		if p.finished {
-			a := j.newResponse("chat.completion")
-			a.Choices = []chatChoice{{Message: &Message{Role: "assistant", Content: strings.Join(p.tokens, "")}, FinishReason: j.finishReason()}}
-			a.Usage = j.usage(p.generated)
-			return c.JSON(a)
+			response := j.newResponse("chat.completion")
+			response.Choices = []chatChoice{{Message: &Message{Role: "assistant", Content: strings.Join(p.tokens, "")}, FinishReason: j.finishReason()}}
+			response.Usage = j.usage(p.generated)
+			return c.JSON(response)
 		}
 		<-p.changed
 	}
@@ -171,9 +171,9 @@
 		defer e.removeReader(j)
 		for {
 			p := e.readProgress(j, from)
-			for _, t := range p.tokens {
+			for _, token := range p.tokens {
 				from++
-				if j.writeEvent(w, from, []chatChoice{{Delta: tokenDelta(from, t)}}, nil) != nil {
+				if j.writeEvent(w, from, []chatChoice{{Delta: tokenDelta(from, token)}}, nil) != nil {
 					return
 				}
 			}
@@ -203,10 +203,10 @@
 }
 
 // writeEvent writes one numbered event of the request.
-func (j *job) writeEvent(w *bufio.Writer, n int, choices []chatChoice, u *chatUsage) error {
-	a := j.newResponse("chat.completion.chunk")
-	a.Choices, a.Usage = choices, u
-	b, err := json.Marshal(a)
+func (j *job) writeEvent(w *bufio.Writer, n int, choices []chatChoice, usage *chatUsage) error {
+	response := j.newResponse("chat.completion.chunk")
+	response.Choices, response.Usage = choices, usage
+	b, err := json.Marshal(response)
 	if err != nil {
 		return err
 	}
--- a/bluebellstand/src/engine_state.go
+++ b/bluebellstand/src/engine_state.go
@@ -43,15 +43,15 @@
 
 // lagged returns the load as it was lag ago.
 func (h *loadHistory) lagged(now time.Time, idle TargetLoad) TargetLoad {
-	out := idle
-	for _, n := range h.samples {
-		if now.Sub(n.at) < h.lag {
+	load := idle
+	for _, sample := range h.samples {
+		if now.Sub(sample.at) < h.lag {
 			break
 		}
-		out = n.load
+		load = sample.load
 	}
-	out.At = now.Add(-h.lag).UnixMilli()
-	return out
+	load.At = now.Add(-h.lag).UnixMilli()
+	return load
 }
 
 // CacheEvent tells that a prompt's prefix came into the cache or left it.
@@ -74,19 +74,19 @@
 // prefixHash names the part of a prompt that others may share: the model and
 // all messages but the last.
 func prefixHash(model string, messages []Message) string {
-	d := xxhash.New()
-	_, _ = d.WriteString(model)
+	digest := xxhash.New()
+	_, _ = digest.WriteString(model)
 	for _, m := range messages[:max(0, len(messages)-1)] {
-		_, _ = d.WriteString("\x00" + m.Role + "\x00" + m.Content)
+		_, _ = digest.WriteString("\x00" + m.Role + "\x00" + m.Content)
 	}
-	return strconv.FormatUint(d.Sum64(), 16)
+	return strconv.FormatUint(digest.Sum64(), 16)
 }
 
 // touch puts the prompt's prefix into the cache and tells whether it was there.
 func (p *prefixCache) touch(model string, messages []Message, now time.Time) bool {
 	hash := prefixHash(model, messages)
-	for i, h := range p.prefixes {
-		if h == hash {
+	for i, cached := range p.prefixes {
+		if cached == hash {
 			p.prefixes = append(append(p.prefixes[:i:i], p.prefixes[i+1:]...), hash)
 			return true
 		}
@@ -112,10 +112,10 @@
 }
 
 // eventsAfter returns the events with a higher number that are old enough.
-func (p *prefixCache) eventsAfter(seq int, old time.Time) []CacheEvent {
+func (p *prefixCache) eventsAfter(seq int, until time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range p.events {
-		if e.Seq > seq && e.At <= old.UnixMilli() {
+		if e.Seq > seq && e.At <= until.UnixMilli() {
 			out = append(out, e)
 		}
 	}
@@ -138,11 +138,11 @@
 	accepted     []Order
 }
 
-func (o *orderLog) accept(r Order) error {
-	if o.rejectStale && r.Fence < o.highestFence {
-		return errors.Annotatef(errStaleFence, "%d below %d", r.Fence, o.highestFence)
+func (o *orderLog) accept(order Order) error {
+	if o.rejectStale && order.Fence < o.highestFence {
+		return errors.Annotatef(errStaleFence, "%d below %d", order.Fence, o.highestFence)
 	}
-	o.highestFence = max(o.highestFence, r.Fence)
-	o.accepted = append(o.accepted, r)
+	o.highestFence = max(o.highestFence, order.Fence)
+	o.accepted = append(o.accepted, order)
 	return nil
 }
--- a/bluebellstand/src/engine_test.go
+++ b/bluebellstand/src/engine_test.go
@@ -13,10 +13,10 @@
 	"github.com/matryer/is"
 )
 
-func startTestEngine(t *testing.T, change func(*EngineOptions)) (*engine, string) {
+func startTestEngine(t *testing.T, configure func(*EngineOptions)) (*engine, string) {
 	o := EngineOptions{Slots: 2, Queue: 1, Interval: time.Millisecond, Answer: 5, Linger: time.Minute, Cache: 1}
-	if change != nil {
-		change(&o)
+	if configure != nil {
+		configure(&o)
 	}
 	e, stop := newEngine(o)
 	url := startStandIn(t, e.mount)
@@ -27,10 +27,10 @@
 // sendRequest sends a request and returns the status, the headers and the body.
 func sendRequest(t *testing.T, method, url, id, body string) (int, http.Header, string) {
 	is := is.New(t)
-	r, err := http.NewRequest(method, url, strings.NewReader(body))
+	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	is.NoErr(err)
-	r.Header.Set(headerRequestID, id)
-	resp, err := http.DefaultClient.Do(r)
+	req.Header.Set(headerRequestID, id)
+	resp, err := http.DefaultClient.Do(req)
 	is.NoErr(err)
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
@@ -38,16 +38,16 @@
 	return resp.StatusCode, resp.Header, string(b)
 }
 
-func chatBody(prompt, more string) string {
-	return fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}]%s}`, prompt, more)
+func chatBody(prompt, extraFields string) string {
+	return fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}]%s}`, prompt, extraFields)
 }
 
 func userMessage(prompt string) []Message { return []Message{{Role: "user", Content: prompt}} }
 
 func decodeAnswer(t *testing.T, body string) (string, chatUsage, string) {
-	var a chatResponse
-	is.New(t).NoErr(json.Unmarshal([]byte(body), &a))
-	return a.Choices[0].Message.Content, *a.Usage, *a.Choices[0].FinishReason
+	var response chatResponse
+	is.New(t).NoErr(json.Unmarshal([]byte(body), &response))
+	return response.Choices[0].Message.Content, *response.Usage, *response.Choices[0].FinishReason
 }
 
 func TestEngineWholeAnswer(t *testing.T) {
@@ -70,13 +70,13 @@
 func TestEngineContinuesPartialAnswer(t *testing.T) {
 	_, url := startTestEngine(t, nil)
 	whole := AnswerText("m", userMessage("hi"), 5, 0)
-	for cut := 0; cut <= len(whole); cut++ {
+	for split := 0; split <= len(whole); split++ {
 		is := is.New(t)
-		b, err := json.Marshal(chatRequest{Model: "m", ContinueFinalMessage: true, Messages: append(userMessage("hi"), Message{"assistant", whole[:cut]})})
+		b, err := json.Marshal(chatRequest{Model: "m", ContinueFinalMessage: true, Messages: append(userMessage("hi"), Message{"assistant", whole[:split]})})
 		is.NoErr(err)
 		_, _, body := sendRequest(t, "POST", url+"/v1/chat/completions", "", string(b))
 		text, _, _ := decodeAnswer(t, body)
-		is.Equal(whole[:cut]+text, whole)
+		is.Equal(whole[:split]+text, whole)
 	}
 	b, _ := json.Marshal(chatRequest{Model: "m", ContinueFinalMessage: true, Messages: append(userMessage("hi"), Message{"assistant", "other"})})
 	status, _, _ := sendRequest(t, "POST", url+"/v1/chat/completions", "", string(b))
@@ -167,10 +167,10 @@
 	_, url := startTestEngine(t, nil)
 	status, _, _ := sendRequest(t, "POST", url+"/admin/fault", "", `{"leaving":true}`)
 	is.Equal(status, 200)
-	status, h, _ := sendRequest(t, "POST", url+"/v1/chat/completions", "", chatBody("x", ""))
+	status, header, _ := sendRequest(t, "POST", url+"/v1/chat/completions", "", chatBody("x", ""))
 	is.Equal(status, 503)
-	is.Equal(h.Get(headerLeaving), "1")
-	is.Equal(h.Get(headerRetryAfter), "1")
+	is.Equal(header.Get(headerLeaving), "1")
+	is.Equal(header.Get(headerRetryAfter), "1")
 	_, _, body := sendRequest(t, "GET", url+"/load", "", "")
 	is.True(strings.Contains(body, `"leaving":true`))
 }
@@ -213,24 +213,24 @@
 
 func TestPrefixCacheEvents(t *testing.T) {
 	is := is.New(t)
-	p := prefixCache{size: 1, dropEvery: 3}
+	cache := prefixCache{size: 1, dropEvery: 3}
 	now := time.Unix(10, 0)
-	is.True(!p.touch("m", userMessage("a"), now))
-	is.True(p.touch("m", userMessage("b"), now)) // the last message is not in the prefix
-	is.True(!p.touch("n", userMessage("a"), now))
-	is.Equal(len(p.eventsAfter(0, now.Add(-time.Second))), 0) // late
-	e := p.eventsAfter(0, now)
-	is.Equal(len(e), 2) // the third is lost
-	is.Equal(e[1].Seq, 2)
+	is.True(!cache.touch("m", userMessage("a"), now))
+	is.True(cache.touch("m", userMessage("b"), now)) // the last message is not in the prefix
+	is.True(!cache.touch("n", userMessage("a"), now))
+	is.Equal(len(cache.eventsAfter(0, now.Add(-time.Second))), 0) // late
+	events := cache.eventsAfter(0, now)
+	is.Equal(len(events), 2) // the third is lost
+	is.Equal(events[1].Seq, 2)
 }
 
 func TestLoadReportLag(t *testing.T) {
 	is := is.New(t)
-	h := loadHistory{lag: time.Second}
-	t0 := time.Unix(10, 0)
-	h.record(t0, TargetLoad{Running: 1})
-	h.record(t0.Add(500*time.Millisecond), TargetLoad{Running: 2})
-	is.Equal(h.lagged(t0.Add(900*time.Millisecond), TargetLoad{}).Running, 0)
-	is.Equal(h.lagged(t0.Add(1100*time.Millisecond), TargetLoad{}).Running, 1)
-	is.Equal(h.lagged(t0.Add(1600*time.Millisecond), TargetLoad{}).Running, 2)
+	history := loadHistory{lag: time.Second}
+	start := time.Unix(10, 0)
+	history.record(start, TargetLoad{Running: 1})
+	history.record(start.Add(500*time.Millisecond), TargetLoad{Running: 2})
+	is.Equal(history.lagged(start.Add(900*time.Millisecond), TargetLoad{}).Running, 0)
+	is.Equal(history.lagged(start.Add(1100*time.Millisecond), TargetLoad{}).Running, 1)
+	is.Equal(history.lagged(start.Add(1600*time.Millisecond), TargetLoad{}).Running, 2)
 }
--- a/bluebellstand/src/list.go
+++ b/bluebellstand/src/list.go
@@ -62,13 +62,13 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	byID := map[string]Instance{}
-	for _, c := range i.changes {
+	for _, change := range i.changes {
 		switch {
-		case c.at.After(t):
-		case c.removed:
-			delete(byID, c.inst.ID)
+		case change.at.After(t):
+		case change.removed:
+			delete(byID, change.inst.ID)
 		default:
-			byID[c.inst.ID] = c.inst
+			byID[change.inst.ID] = change.inst
 		}
 	}
 	out := make([]Instance, 0, len(byID))
--- a/bluebellstand/src/listener.go
+++ b/bluebellstand/src/listener.go
@@ -30,11 +30,11 @@
 
 // Accept waits for the next connection.
 func (l *listener) Accept() (net.Conn, error) {
-	n, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: n, l: l}
+	c := &conn{Conn: accepted, l: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = true
@@ -43,11 +43,11 @@
 
 // mute silences the open connections, idle ones included, but not the one that
 // asks for it.
-func (l *listener) mute(asker net.Conn) {
+func (l *listener) mute(except net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if net.Conn(c) != asker {
+		if net.Conn(c) != except {
 			c.muted.Store(true)
 		}
 	}
--- a/bluebellstand/src/load.go
+++ b/bluebellstand/src/load.go
@@ -127,27 +127,27 @@
 // Generate sends requests until the duration has passed, the count is reached
 // or ctx ends, and returns when all have ended. It calls done, at several times
 // at once, with the end of each.
-func Generate(ctx context.Context, o LoadOptions, done func(LoadResult)) {
+func Generate(ctx context.Context, o LoadOptions, onResult func(LoadResult)) {
 	sender, stop := newSender(o.Instances, o.Timeout)
 	defer stop()
-	random := rand.New(rand.NewPCG(o.Seed, 0))
+	rng := rand.New(rand.NewPCG(o.Seed, 0))
 	workers := pool.New().WithMaxGoroutines(o.Concurrency)
 	defer workers.Wait()
 	start := time.Now()
 	for n := 0; o.Count == 0 || n < o.Count; n++ {
-		due := time.Now()
+		scheduledAt := time.Now()
 		if o.Rate > 0 {
-			due = start.Add(time.Duration(float64(n) / o.Rate * float64(time.Second)))
+			scheduledAt = start.Add(time.Duration(float64(n) / o.Rate * float64(time.Second)))
 		}
-		if due.Sub(start) >= o.Duration {
+		if scheduledAt.Sub(start) >= o.Duration {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(due)):
+		case <-time.After(time.Until(scheduledAt)):
 		}
-		r := o.newRequest(n, random)
-		workers.Go(func() { done(sender.sendWithRetries(r, o.Retries, due)) })
+		r := o.newRequest(n, rng)
+		workers.Go(func() { onResult(sender.sendWithRetries(r, o.Retries, scheduledAt)) })
 	}
 }
--- a/bluebellstand/src/load_report.go
+++ b/bluebellstand/src/load_report.go
@@ -45,8 +45,8 @@
 
 // NewLoadReport returns an empty report.
 func NewLoadReport() *LoadReport {
-	most := time.Hour.Microseconds()
-	return &LoadReport{Refusals: []RefusalCount{}, latencyHistogram: hdrhistogram.New(1, most, 3), firstByteHistogram: hdrhistogram.New(1, most, 3)}
+	maxMicroseconds := time.Hour.Microseconds()
+	return &LoadReport{Refusals: []RefusalCount{}, latencyHistogram: hdrhistogram.New(1, maxMicroseconds, 3), firstByteHistogram: hdrhistogram.New(1, maxMicroseconds, 3)}
 }
 
 // Add counts one result.
@@ -75,9 +75,9 @@
 
 func (l *LoadReport) addRefusal(r LoadResult) {
 	for i := range l.Refusals {
-		f := &l.Refusals[i]
-		if f.Status == r.Status && f.Outcome == r.Outcome && f.Title == r.Title {
-			f.Count++
+		refusal := &l.Refusals[i]
+		if refusal.Status == r.Status && refusal.Outcome == r.Outcome && refusal.Title == r.Title {
+			refusal.Count++
 			return
 		}
 	}
@@ -97,13 +97,13 @@
 	if format == "json" {
 		return json.NewEncoder(w).Encode(l)
 	}
-	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(t, "SENT\tDONE\tRETRIED\tLOST\tCUT\tWRONG\tTOKENS\n%d\t%d\t%d\t%d\t%d\t%d\t%d\n", l.Sent, l.Done, l.Retried, l.Lost, l.Truncated, l.Wrong, l.Tokens)
+	table := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
+	fmt.Fprintf(table, "SENT\tDONE\tRETRIED\tLOST\tCUT\tWRONG\tTOKENS\n%d\t%d\t%d\t%d\t%d\t%d\t%d\n", l.Sent, l.Done, l.Retried, l.Lost, l.Truncated, l.Wrong, l.Tokens)
 	for _, r := range l.Refusals {
-		fmt.Fprintf(t, "refused\t%d\t%s\t%s\t%d\n", r.Status, r.Outcome, r.Title, r.Count)
+		fmt.Fprintf(table, "refused\t%d\t%s\t%s\t%d\n", r.Status, r.Outcome, r.Title, r.Count)
 	}
-	fmt.Fprintf(t, "TIME (MS)\tP50\tP95\tP99\n")
-	fmt.Fprintf(t, "answer\t%.1f\t%.1f\t%.1f\n", l.Latency.P50, l.Latency.P95, l.Latency.P99)
-	fmt.Fprintf(t, "first byte\t%.1f\t%.1f\t%.1f\n", l.FirstByte.P50, l.FirstByte.P95, l.FirstByte.P99)
-	return t.Flush()
+	fmt.Fprintf(table, "TIME (MS)\tP50\tP95\tP99\n")
+	fmt.Fprintf(table, "answer\t%.1f\t%.1f\t%.1f\n", l.Latency.P50, l.Latency.P95, l.Latency.P99)
+	fmt.Fprintf(table, "first byte\t%.1f\t%.1f\t%.1f\n", l.FirstByte.P50, l.FirstByte.P95, l.FirstByte.P99)
+	return table.Flush()
 }
--- a/bluebellstand/src/load_request.go
+++ b/bluebellstand/src/load_request.go
@@ -37,14 +37,14 @@
 	// wantText is the text of a chat's answer.
 	wantText string
 	// wantPlain is the answer of a plain service, without its run.
-	wantPlain PlainAnswer
+	wantPlain PlainResponse
 }
 
 // newRequest makes the n-th request.
-func (o *LoadOptions) newRequest(n int, random *rand.Rand) *loadRequest {
-	r := &loadRequest{n: n, id: fmt.Sprintf("%s-%d-%d", o.Prefix, o.Seed, n), keyIndex: random.IntN(len(o.Keys))}
+func (o *LoadOptions) newRequest(n int, rng *rand.Rand) *loadRequest {
+	r := &loadRequest{n: n, id: fmt.Sprintf("%s-%d-%d", o.Prefix, o.Seed, n), keyIndex: rng.IntN(len(o.Keys))}
 	r.apiKey = o.Keys[r.keyIndex]
-	plain, write, stream := random.Float64() < o.PlainShare, random.Float64() < o.WriteShare, random.Float64() < o.StreamedShare
+	plain, write, stream := rng.Float64() < o.PlainShare, rng.Float64() < o.WriteShare, rng.Float64() < o.StreamedShare
 	switch {
 	case plain && write:
 		r.kind, r.method, r.body = LoadWrite, http.MethodPost, []byte("close the street for "+r.id)
@@ -56,7 +56,7 @@
 	if plain {
 		path := "/closures/" + r.id
 		r.path = "/services/" + o.Plain + path
-		r.wantPlain = NewPlainAnswer(r.method, path, r.body, 0)
+		r.wantPlain = NewPlainResponse(r.method, path, r.body, 0)
 		return r
 	}
 	prompt := fmt.Sprintf("Draft a permit %s %s %s %d", nameMarker, r.id, tokensMarker, o.Tokens)
@@ -77,12 +77,12 @@
 }
 
 // setChat makes r a chat with the prompt.
-func (r *loadRequest) setChat(service, prompt string, most int) {
-	c := loadChat{Model: service, Messages: []Message{{Role: "user", Content: prompt}}, MaxTokens: most}
+func (r *loadRequest) setChat(service, prompt string, maxTokens int) {
+	chat := loadChat{Model: service, Messages: []Message{{Role: "user", Content: prompt}}, MaxTokens: maxTokens}
 	if r.kind == LoadStream {
-		c.Stream, c.Options = true, &streamOptions{Usage: true}
+		chat.Stream, chat.Options = true, &streamOptions{Usage: true}
 	}
 	r.method, r.path = http.MethodPost, "/v1/chat/completions"
-	r.body, _ = json.Marshal(c)
-	r.wantText = AnswerText(service, c.Messages, 1, most)
+	r.body, _ = json.Marshal(chat)
+	r.wantText = AnswerText(service, chat.Messages, 1, maxTokens)
 }
--- a/bluebellstand/src/load_send.go
+++ b/bluebellstand/src/load_send.go
@@ -92,26 +92,26 @@
 
 // sendWithRetries sends the request, again to the next instance while that can help and
 // retries are left, and returns how it ended.
-func (s *sender) sendWithRetries(r *loadRequest, retries int, due time.Time) LoadResult {
-	out := LoadResult{ID: r.id, Kind: r.kind, KeyIndex: r.keyIndex, Start: due.UnixMilli()}
-	for out.Attempts = 1; ; out.Attempts++ {
-		s.sendOnce(s.clients[(r.n+out.Attempts-1)%len(s.clients)], r, &out, due)
-		if out.Outcome == outcomeLost && !errors.Is(out.err, errDial) {
-			out.BrokenAttempts++
+func (s *sender) sendWithRetries(r *loadRequest, retries int, scheduledAt time.Time) LoadResult {
+	result := LoadResult{ID: r.id, Kind: r.kind, KeyIndex: r.keyIndex, Start: scheduledAt.UnixMilli()}
+	for result.Attempts = 1; ; result.Attempts++ {
+		s.sendOnce(s.clients[(r.n+result.Attempts-1)%len(s.clients)], r, &result, scheduledAt)
+		if result.Outcome == outcomeLost && !errors.Is(result.err, errDial) {
+			result.BrokenAttempts++
 		}
-		if out.Outcome != "done" {
-			out.AttemptErrors = append(out.AttemptErrors, fmt.Sprintf("%d %s: %s", out.Status, out.Outcome, out.Title))
+		if result.Outcome != "done" {
+			result.AttemptErrors = append(result.AttemptErrors, fmt.Sprintf("%d %s: %s", result.Status, result.Outcome, result.Title))
 		}
-		if out.Outcome == "not-run" {
-			out.NotRunAt = append(out.NotRunAt, time.Now().UnixMicro())
+		if result.Outcome == "not-run" {
+			result.NotRunAt = append(result.NotRunAt, time.Now().UnixMicro())
 		}
-		if !out.shouldRetry() || out.Attempts > retries {
+		if !result.shouldRetry() || result.Attempts > retries {
 			break
 		}
-		time.Sleep(out.retryDelay)
+		time.Sleep(result.retryDelay)
 	}
-	out.Total = time.Since(due)
-	return out
+	result.Total = time.Since(scheduledAt)
+	return result
 }
 
 // shouldRetry tells whether sending the request once more can help.
@@ -120,13 +120,13 @@
 }
 
 // sendOnce sends the request once and sets out by the answer.
-func (s *sender) sendOnce(c *fasthttp.HostClient, r *loadRequest, out *LoadResult, due time.Time) {
-	out.Status, out.Outcome, out.Title, out.Truncated, out.Wrong, out.Tokens, out.text, out.retryDelay, out.err = 0, outcomeLost, "", false, false, 0, "", 0, nil
+func (s *sender) sendOnce(client *fasthttp.HostClient, r *loadRequest, result *LoadResult, scheduledAt time.Time) {
+	result.Status, result.Outcome, result.Title, result.Truncated, result.Wrong, result.Tokens, result.text, result.retryDelay, result.err = 0, outcomeLost, "", false, false, 0, "", 0, nil
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(r.method)
-	req.SetRequestURI("http://" + c.Addr + r.path)
+	req.SetRequestURI("http://" + client.Addr + r.path)
 	req.Header.Set("Authorization", "Bearer "+r.apiKey)
 	req.Header.Set(headerIdempotencyKey, r.id)
 	req.Header.Set("X-Request-Deadline-Ms", strconv.FormatInt(s.timeout.Milliseconds(), 10))
@@ -134,17 +134,17 @@
 		req.Header.SetContentType("application/json")
 		req.SetBody(r.body)
 	}
-	if err := c.DoTimeout(req, resp, s.timeout); err != nil {
-		out.err, out.Title, out.retryDelay = err, err.Error(), 100*time.Millisecond
+	if err := client.DoTimeout(req, resp, s.timeout); err != nil {
+		result.err, result.Title, result.retryDelay = err, err.Error(), 100*time.Millisecond
 		return
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
-	out.Status = resp.StatusCode()
-	out.readResponse(r, resp, due)
+	result.Status = resp.StatusCode()
+	result.readResponse(r, resp, scheduledAt)
 }
 
-func (l *LoadResult) readResponse(r *loadRequest, resp *fasthttp.Response, due time.Time) {
-	body := &firstByteTimer{r: resp.BodyStream(), due: due}
+func (l *LoadResult) readResponse(r *loadRequest, resp *fasthttp.Response, scheduledAt time.Time) {
+	body := &firstByteTimer{r: resp.BodyStream(), scheduledAt: scheduledAt}
 	if resp.BodyStream() == nil {
 		body.r = bytes.NewReader(resp.Body())
 	}
@@ -152,8 +152,8 @@
 	switch {
 	case l.Status != http.StatusOK:
 		err = l.readProblem(body)
-		if s, e := strconv.Atoi(string(resp.Header.Peek(headerRetryAfter))); e == nil {
-			l.retryDelay = time.Duration(s) * time.Second
+		if seconds, parseErr := strconv.Atoi(string(resp.Header.Peek(headerRetryAfter))); parseErr == nil {
+			l.retryDelay = time.Duration(seconds) * time.Second
 		}
 		if l.Outcome == "unknown" && l.retryDelay == 0 {
 			l.retryDelay = time.Second
@@ -178,16 +178,16 @@
 
 // firstByteTimer notes when the first byte came.
 type firstByteTimer struct {
-	r       io.Reader
-	due     time.Time
-	elapsed time.Duration
+	r           io.Reader
+	scheduledAt time.Time
+	elapsed     time.Duration
 }
 
 // Read reads on.
 func (f *firstByteTimer) Read(b []byte) (int, error) {
 	n, err := f.r.Read(b)
 	if n > 0 && f.elapsed == 0 {
-		f.elapsed = time.Since(f.due)
+		f.elapsed = time.Since(f.scheduledAt)
 	}
 	return n, err
 }
@@ -216,46 +216,46 @@
 	if err != nil {
 		return err
 	}
-	var a chatResponse
-	if err := json.Unmarshal(b, &a); err != nil {
+	var response chatResponse
+	if err := json.Unmarshal(b, &response); err != nil {
 		return err
 	}
-	if len(a.Choices) == 1 && a.Choices[0].Message != nil {
-		l.text = a.Choices[0].Message.Content
+	if len(response.Choices) == 1 && response.Choices[0].Message != nil {
+		l.text = response.Choices[0].Message.Content
 	}
-	if a.Usage != nil {
-		l.Tokens = a.Usage.Total
+	if response.Usage != nil {
+		l.Tokens = response.Usage.Total
 	}
 	return nil
 }
 
 // readStream reads server-sent events up to [DONE].
 func (l *LoadResult) readStream(r io.Reader) error {
-	s := bufio.NewScanner(r)
-	s.Buffer(nil, 1<<20)
-	for s.Scan() {
-		data, ok := strings.CutPrefix(s.Text(), "data: ")
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, 1<<20)
+	for scanner.Scan() {
+		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
 			return nil
 		}
-		var a chatResponse
-		if err := json.Unmarshal([]byte(data), &a); err != nil {
+		var chunk chatResponse
+		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 			return err
 		}
-		for _, c := range a.Choices {
+		for _, c := range chunk.Choices {
 			if c.Delta != nil {
 				l.text += c.Delta.Content
 			}
 		}
-		if a.Usage != nil {
-			l.Tokens = a.Usage.Total
+		if chunk.Usage != nil {
+			l.Tokens = chunk.Usage.Total
 		}
 	}
-	if s.Err() != nil {
-		return s.Err()
+	if scanner.Err() != nil {
+		return scanner.Err()
 	}
 	return errors.New("stream ended early")
 }
@@ -266,12 +266,12 @@
 	if err != nil {
 		return err
 	}
-	var a PlainAnswer
-	if err := json.Unmarshal(b, &a); err != nil {
+	var response PlainResponse
+	if err := json.Unmarshal(b, &response); err != nil {
 		return err
 	}
-	ran := a.WriteNumber
-	a.WriteNumber = 0
-	l.text, l.Wrong = string(b), a != r.wantPlain || (r.kind == LoadWrite) != (ran > 0)
+	writeNumber := response.WriteNumber
+	response.WriteNumber = 0
+	l.text, l.Wrong = string(b), response != r.wantPlain || (r.kind == LoadWrite) != (writeNumber > 0)
 	return nil
 }
--- a/bluebellstand/src/load_test.go
+++ b/bluebellstand/src/load_test.go
@@ -26,15 +26,15 @@
 
 func runLoad(o LoadOptions) (*LoadReport, []LoadResult) {
 	var mu sync.Mutex
-	var all []LoadResult
+	var results []LoadResult
 	report := NewLoadReport()
 	Generate(context.Background(), o, func(r LoadResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		report.Add(r)
-		all = append(all, r)
+		results = append(results, r)
 	})
-	return report, all
+	return report, results
 }
 
 func TestLoadAgainstEngine(t *testing.T) {
@@ -51,7 +51,7 @@
 
 func TestLoadClassifiesAnswers(t *testing.T) {
 	const chunk = `{"choices":[{"delta":{"content":"%s"}}]}`
-	whole := func(text string) string { return fmt.Sprintf(`{"choices":[{"message":{"content":%q}}]}`, text) }
+	wholeAnswer := func(text string) string { return fmt.Sprintf(`{"choices":[{"message":{"content":%q}}]}`, text) }
 	cases := []struct {
 		name   string
 		kind   LoadKind
@@ -59,8 +59,8 @@
 		body   string
 		want   LoadResult
 	}{
-		{"right", LoadWhole, 200, whole("right"), LoadResult{Status: 200, Outcome: "done"}},
-		{"crossed", LoadWhole, 200, whole("other"), LoadResult{Status: 200, Outcome: "done", Wrong: true}},
+		{"right", LoadWhole, 200, wholeAnswer("right"), LoadResult{Status: 200, Outcome: "done"}},
+		{"crossed", LoadWhole, 200, wholeAnswer("other"), LoadResult{Status: 200, Outcome: "done", Wrong: true}},
 		{"not JSON", LoadWhole, 200, `{"cho`, LoadResult{Status: 200, Outcome: outcomeLost, Truncated: true}},
 		{"stream", LoadStream, 200, "data: " + fmt.Sprintf(chunk, "right") + "\n\ndata: [DONE]\n\n", LoadResult{Status: 200, Outcome: "done"}},
 		{"stream cut", LoadStream, 200, "data: " + fmt.Sprintf(chunk, "right") + "\n\n", LoadResult{Status: 200, Outcome: outcomeLost, Truncated: true}},
@@ -77,7 +77,7 @@
 			defer stop()
 			r := &loadRequest{kind: c.kind, method: http.MethodPost, path: "/", wantText: "right"}
 			if c.kind == LoadWrite {
-				r.wantText, r.wantPlain = "", PlainAnswer{Path: "/mine"}
+				r.wantText, r.wantPlain = "", PlainResponse{Path: "/mine"}
 			}
 			got := s.sendWithRetries(r, 0, time.Now())
 			is.Equal(got.Status, c.want.Status)
@@ -95,11 +95,11 @@
 	_, url := startTestEngine(t, nil)
 	o := testLoadOptions(broken, url)
 	o.Count, o.Retries = 4, 1
-	report, all := runLoad(o)
+	report, results := runLoad(o)
 	is.Equal(report.Done, 4)
 	is.Equal(report.Retried, 2)
 	o.Retries = 0
 	report, _ = runLoad(o)
 	is.Equal(report.Lost, 2)
-	is.Equal(len(all), 4)
+	is.Equal(len(results), 4)
 }
--- a/bluebellstand/src/native.go
+++ b/bluebellstand/src/native.go
@@ -59,12 +59,12 @@
 }
 
 // parseTarget reads one --target.
-func (o *NativeOptions) parseTarget(text string) (bbplatformstand.TargetOptions, error) {
-	id, rest, ok := strings.Cut(text, "=")
-	service, domain, ok2 := strings.Cut(rest, "@")
+func (o *NativeOptions) parseTarget(spec string) (bbplatformstand.TargetOptions, error) {
+	id, rest, hasService := strings.Cut(spec, "=")
+	service, domain, hasDomain := strings.Cut(rest, "@")
 	domain, kind, _ := strings.Cut(domain, ":")
-	if !ok || !ok2 || id == "" || service == "" || domain == "" || kind != "" && kind != "engine" {
-		return bbplatformstand.TargetOptions{}, errors.Errorf("not ID=SERVICE@DOMAIN: %q", text)
+	if !hasService || !hasDomain || id == "" || service == "" || domain == "" || kind != "" && kind != "engine" {
+		return bbplatformstand.TargetOptions{}, errors.Errorf("not ID=SERVICE@DOMAIN: %q", spec)
 	}
 	return bbplatformstand.TargetOptions{
 		ID: id, Service: service, Domain: domain, Engine: kind == "engine", EventCount: o.Events, Pause: o.Pause,
@@ -89,20 +89,22 @@
 	}
 	defer func() { _ = l.Close() }()
 	go func() { _ = (&fasthttp.Server{Handler: store.Handle}).Serve(l) }()
-	for _, text := range o.Targets {
-		opts, err := o.parseTarget(text)
+	for _, spec := range o.Targets {
+		opts, err := o.parseTarget(spec)
 		if err != nil {
 			return err
 		}
-		t, end, err := bbplatformstand.NewTarget(opts)
+		target, stopTarget, err := bbplatformstand.NewTarget(opts)
 		if err != nil {
 			return err
 		}
-		defer end()
-		if err := t.Register(ctx, mem, "ready"); err != nil {
+		defer stopTarget()
+		if err := target.Register(ctx, mem, "ready"); err != nil {
 			return err
 		}
-		defer func() { s.log.WithFields(logrus.Fields{"target": opts.ID, "runs": len(t.Executions())}).Info("ran") }()
+		defer func() {
+			s.log.WithFields(logrus.Fields{"target": opts.ID, "runs": len(target.Executions())}).Info("ran")
+		}()
 	}
 	s.log.WithField("address", l.Addr().String()).Info("ready")
 	<-ctx.Done()
--- a/bluebellstand/src/native_call.go
+++ b/bluebellstand/src/native_call.go
@@ -52,42 +52,42 @@
 // run sends the requests and prints how many got which status, and the last
 // answer.
 func (o *NativeCallOptions) run(ctx context.Context, s streams) error {
-	got := map[string]int{}
-	last := ""
+	countByStatus := map[string]int{}
+	lastBody := ""
 	for range o.Count {
 		status, body := o.send(ctx)
-		got[status]++
-		last = body
+		countByStatus[status]++
+		lastBody = body
 	}
-	for status, n := range got {
+	for status, n := range countByStatus {
 		_, _ = fmt.Fprintf(s.out, "%d x %s\n", n, status)
 	}
-	_, err := fmt.Fprintf(s.out, "last answer: %s\n", strings.TrimSpace(last))
+	_, err := fmt.Fprintf(s.out, "last answer: %s\n", strings.TrimSpace(lastBody))
 	return err
 }
 
 func (o *NativeCallOptions) send(ctx context.Context) (status, body string) {
 	ctx, cancel := context.WithTimeout(ctx, o.Deadline)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.Address+o.Path, strings.NewReader("body"))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.Address+o.Path, strings.NewReader("body"))
 	if err != nil {
 		return err.Error(), ""
 	}
-	r.Host = o.Host
-	r.Header.Set(bbplatform.HeaderAttemptID, uuid.NewString())
-	r.Header.Set(bbplatform.HeaderAPIKey, o.Key)
-	r.Header.Set(bbplatform.HeaderDeadline, fmt.Sprint(o.Deadline.Milliseconds()))
+	req.Host = o.Host
+	req.Header.Set(bbplatform.HeaderAttemptID, uuid.NewString())
+	req.Header.Set(bbplatform.HeaderAPIKey, o.Key)
+	req.Header.Set(bbplatform.HeaderDeadline, fmt.Sprint(o.Deadline.Milliseconds()))
 	if o.Usage != "" {
-		r.Header.Set(bbplatform.HeaderTokenUsage, o.Usage)
+		req.Header.Set(bbplatform.HeaderTokenUsage, o.Usage)
 	}
-	resp, err := http.DefaultTransport.RoundTrip(r)
+	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
 		return err.Error(), ""
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, err := io.ReadAll(resp.Body)
+	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return err.Error(), ""
 	}
-	return resp.Status, string(text)
+	return resp.Status, string(answer)
 }
--- a/bluebellstand/src/options.go
+++ b/bluebellstand/src/options.go
@@ -141,9 +141,9 @@
 }
 
 // checkMin returns a line when the flag's value is below least.
-func checkMin(flag string, v, least float64) []string {
-	if v < least {
-		return []string{fmt.Sprintf("%s: must be %v at least, is %v", flag, least, v)}
+func checkMin(flag string, v, minimum float64) []string {
+	if v < minimum {
+		return []string{fmt.Sprintf("%s: must be %v at least, is %v", flag, minimum, v)}
 	}
 	return nil
 }
--- a/bluebellstand/src/plain.go
+++ b/bluebellstand/src/plain.go
@@ -24,9 +24,9 @@
 	AcceptedAt int64 `json:"at"`
 }
 
-// PlainAnswer is what a plain service answers: a function of the request, but
+// PlainResponse is what a plain service answers: a function of the request, but
 // for Run, which counts the runs that are not reads.
-type PlainAnswer struct {
+type PlainResponse struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	// Body is the hex SHA-256 of the request's body.
@@ -94,28 +94,28 @@
 }
 
 func (p *plainService) handle(c *fiber.Ctx) error {
-	came := time.Now()
+	receivedAt := time.Now()
 	if err := p.admit(); err != nil {
 		return refuse(c, err)
 	}
 	p.slots <- struct{}{}
 	defer p.releaseSlot()
-	run, f := p.beginExecution(c, came)
-	time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
-	p.finishExecution(run)
+	execution, fault := p.beginExecution(c, receivedAt)
+	time.Sleep(time.Duration(fault.DelayMS) * time.Millisecond)
+	p.finishExecution(execution)
 	switch {
-	case f.LoseNextAnswers > 0:
+	case fault.LoseNextAnswers > 0:
 		return closeWithoutResponse(c)
-	case f.FailNextAnswers > 0:
+	case fault.FailNextAnswers > 0:
 		return fiber.NewError(http.StatusInternalServerError, "failed after it ran")
 	}
-	return c.JSON(NewPlainAnswer(c.Method(), c.OriginalURL(), c.Body(), run.WriteNumber))
+	return c.JSON(NewPlainResponse(c.Method(), c.OriginalURL(), c.Body(), execution.WriteNumber))
 }
 
-// NewPlainAnswer returns what a plain service answers to the request.
-func NewPlainAnswer(method, path string, body []byte, run int) PlainAnswer {
+// NewPlainResponse returns what a plain service answers to the request.
+func NewPlainResponse(method, path string, body []byte, writeNumber int) PlainResponse {
 	sum := sha256.Sum256(body)
-	return PlainAnswer{Method: method, Path: path, Body: hex.EncodeToString(sum[:]), WriteNumber: run}
+	return PlainResponse{Method: method, Path: path, Body: hex.EncodeToString(sum[:]), WriteNumber: writeNumber}
 }
 
 func (p *plainService) admit() error {
@@ -134,7 +134,7 @@
 }
 
 // beginExecution records the run and takes one of the counted faults.
-func (p *plainService) beginExecution(c *fiber.Ctx, came time.Time) (PlainExecution, PlainFault) {
+func (p *plainService) beginExecution(c *fiber.Ctx, receivedAt time.Time) (PlainExecution, PlainFault) {
 	id := c.Get(headerIdempotencyKey)
 	if id == "" {
 		id = c.Get(headerRequestID)
@@ -143,23 +143,23 @@
 	defer p.mu.Unlock()
 	p.waiting--
 	p.running++
-	r := PlainExecution{Request: id, Method: c.Method(), Path: c.OriginalURL(), State: stateRunning, AcceptedAt: came.UnixMicro()}
-	if r.Method != http.MethodGet && r.Method != http.MethodHead {
+	execution := PlainExecution{Request: id, Method: c.Method(), Path: c.OriginalURL(), State: stateRunning, AcceptedAt: receivedAt.UnixMicro()}
+	if execution.Method != http.MethodGet && execution.Method != http.MethodHead {
 		p.writes++
-		r.WriteNumber = p.writes
+		execution.WriteNumber = p.writes
 	}
-	p.executions = append(p.executions, r)
-	f := p.fault
+	p.executions = append(p.executions, execution)
+	fault := p.fault
 	p.fault.LoseNextAnswers = max(0, p.fault.LoseNextAnswers-1)
 	p.fault.FailNextAnswers = max(0, p.fault.FailNextAnswers-1)
-	return r, f
+	return execution, fault
 }
 
-func (p *plainService) finishExecution(r PlainExecution) {
+func (p *plainService) finishExecution(execution PlainExecution) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := len(p.executions) - 1; i >= 0; i-- {
-		if p.executions[i] == r {
+		if p.executions[i] == execution {
 			p.executions[i].State = stateDone
 			return
 		}
--- a/bluebellstand/src/serve.go
+++ b/bluebellstand/src/serve.go
@@ -70,9 +70,9 @@
 
 func respondError(c *fiber.Ctx, err error) error {
 	status := http.StatusInternalServerError
-	var f *fiber.Error
-	if errors.As(err, &f) {
-		status = f.Code
+	var fiberErr *fiber.Error
+	if errors.As(err, &fiberErr) {
+		status = fiberErr.Code
 	}
 	return c.Status(status).JSON(errorResponse{Error: errorBody{Message: err.Error(), Type: http.StatusText(status)}})
 }
@@ -88,9 +88,9 @@
 
 // decodeStrict reads the request's JSON body; an unknown field is an error.
 func decodeStrict(c *fiber.Ctx, v any) error {
-	d := json.NewDecoder(bytes.NewReader(c.Body()))
-	d.DisallowUnknownFields()
-	if err := d.Decode(v); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(c.Body()))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
 	return nil
@@ -99,6 +99,6 @@
 // closeWithoutResponse closes the connection without an answer.
 func closeWithoutResponse(c *fiber.Ctx) error {
 	c.Context().HijackSetNoResponse(true)
-	c.Context().Hijack(func(n net.Conn) { _ = n.Close() })
+	c.Context().Hijack(func(conn net.Conn) { _ = conn.Close() })
 	return nil
 }
--- a/bluebellstand/src/text.go
+++ b/bluebellstand/src/text.go
@@ -35,50 +35,50 @@
 // AnswerTokens returns the whole answer to the messages, token by token: a
 // function of model and messages alone. usual is its length when the last
 // message has no "--tokens N".
-func AnswerTokens(model string, messages []Message, usual int) []string {
+func AnswerTokens(model string, messages []Message, defaultLength int) []string {
 	key := model
-	n := usual
+	n := defaultLength
 	for _, m := range messages {
 		key += "\x00" + m.Role + "\x00" + m.Content
 		n = answerLength(m.Content, n)
 	}
-	out := make([]string, n)
-	for i := range out {
+	tokens := make([]string, n)
+	for i := range tokens {
 		h := xxhash.Sum64String(key + "\x00" + strconv.Itoa(i))
-		out[i] = vocabulary[h%uint64(len(vocabulary))] + strconv.FormatUint(h>>32%1000, 10)
+		tokens[i] = vocabulary[h%uint64(len(vocabulary))] + strconv.FormatUint(h>>32%1000, 10)
 		if i > 0 {
-			out[i] = " " + out[i]
+			tokens[i] = " " + tokens[i]
 		}
 	}
-	return out
+	return tokens
 }
 
 // AnswerText returns the answer to the messages, cut after most tokens when
 // most is above 0.
-func AnswerText(model string, messages []Message, usual, most int) string {
-	tokens := AnswerTokens(model, messages, usual)
-	if most > 0 && most < len(tokens) {
-		tokens = tokens[:most]
+func AnswerText(model string, messages []Message, defaultLength, limit int) string {
+	tokens := AnswerTokens(model, messages, defaultLength)
+	if limit > 0 && limit < len(tokens) {
+		tokens = tokens[:limit]
 	}
 	return strings.Join(tokens, "")
 }
 
-func answerLength(text string, usual int) int {
+func answerLength(text string, defaultLength int) int {
 	if n, err := strconv.Atoi(wordAfter(text, tokensMarker, "")); err == nil && n > 0 {
 		return n
 	}
-	return usual
+	return defaultLength
 }
 
 // wordAfter returns the word that follows mark in the text, or none.
-func wordAfter(text, mark, none string) string {
-	f := strings.Fields(text)
-	for i := 0; i+1 < len(f); i++ {
-		if f[i] == mark {
-			return f[i+1]
+func wordAfter(text, marker, fallback string) string {
+	fields := strings.Fields(text)
+	for i := 0; i+1 < len(fields); i++ {
+		if fields[i] == marker {
+			return fields[i+1]
 		}
 	}
-	return none
+	return fallback
 }
 
 // remainingTokens returns the tokens that follow a partial answer, and false when the
