--- a/bluebellctl/main.go
+++ b/bluebellctl/main.go
@@ -1,5 +1,5 @@
-// Command bluebellctl is the operators' side of the fleet: change tickets,
-// budgets, bills and status.
+// Command bluebellctl is the operators' command-line client. It applies change
+// tickets and shows budgets, bills and the status of instances.
 package main
 
 import (
--- a/bluebellctl/src/bill.go
+++ b/bluebellctl/src/bill.go
@@ -13,7 +13,7 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// billCommands declares the commands on records of requests.
+// billCommands declares the commands that read request records.
 func billCommands(app *kingpin.Application, commands map[string]command) {
 	cmd := app.Command("bill", "Show bills, claims and unknown outcomes within their retention.")
 	var account, request string
@@ -33,7 +33,7 @@
 	}
 }
 
-// recordRow is one record, as operators read it.
+// recordRow is the printed form of a request record.
 type recordRow struct {
 	Kind    string           `json:"kind"`
 	Made    time.Time        `json:"made"`
--- a/bluebellctl/src/budget.go
+++ b/bluebellctl/src/budget.go
@@ -14,7 +14,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// budgetCommands declares the commands on budgets.
+// budgetCommands declares the commands that show budgets and release stuck
+// amounts.
 func budgetCommands(app *kingpin.Application, commands map[string]command) {
 	cmd := app.Command("budget", "Show what is paid, drawn, spent and stuck; release what is stuck.")
 	var id, holder string
@@ -33,8 +34,9 @@
 	}
 }
 
-// loadBudgets returns all budgets in force, sorted by id, with what the pages
-// say of them.
+// loadBudgets returns the status of every budget in force, sorted by id. It
+// combines the tickets with the budget pages. A filter that is not empty selects
+// one budget, and errUsage is returned if that budget does not exist.
 func loadBudgets(ctx context.Context, e *env, filter bbunit.BudgetID) ([]bbledger.BudgetStatus, error) {
 	state, err := bbticket.NewLog(e.store).Load(ctx)
 	if err != nil {
@@ -48,7 +50,8 @@
 	for i := range list {
 		b := &list[i]
 		seen[b.Budget] = true
-		// A page learns of a ticket at its next draw.
+		// A page is updated to a new ticket only when a holder next draws from
+		// the budget. Until then the paid amount is taken from the ticket.
 		if f := state.Budgets.Get(b.Budget); f.Number > b.TicketNumber {
 			b.Remaining += f.Object.Paid - b.Paid
 			b.Paid, b.TicketNumber = f.Object.Paid, f.Number
@@ -84,7 +87,7 @@
 	return e.render(list, []string{"BUDGET", "PAID", "DRAWN", "SPENT", "STUCK", "REST", "HOLDERS"}, rows)
 }
 
-// holderRows lists each holder and each stuck amount.
+// holderRows returns one row for each holder and one for each stuck amount.
 func holderRows(list []bbledger.BudgetStatus) [][]any {
 	var rows [][]any
 	for _, b := range list {
@@ -110,15 +113,16 @@
 	return nil
 }
 
-// capBudgets keeps the budgets that the ticket lowers, by the state s, from being drawn above
-// what it will leave, before the ticket is accepted. The function it returns
-// takes the caps back, for a ticket that was refused.
+// capBudgets caps every budget that the ticket lowers below its paid amount in
+// s, so that holders cannot draw more than the ticket will leave while it is
+// being accepted. The returned function removes the caps; call it if the ticket
+// is refused.
 func capBudgets(ctx context.Context, e *env, s *bbticket.State, t bbticket.Ticket, nonce string) (func(), error) {
 	var capped []bbunit.BudgetID
 	undo := func() {
 		for _, id := range capped {
 			if err := bbledger.Uncap(context.WithoutCancel(ctx), e.store, id, t.Number, nonce); err != nil {
-				fmt.Fprintf(e.stderr, "budget %s: the cap of refused ticket %d stands until a ticket sets the budget: %s\n", id, t.Number, err)
+				fmt.Fprintf(e.stderr, "budget %s: the cap of the refused ticket %d was not removed and stays until a later ticket sets the budget: %s\n", id, t.Number, err)
 			}
 		}
 	}
--- a/bluebellctl/src/cause.go
+++ b/bluebellctl/src/cause.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// cause says in a sentence why a request ended as it did, as far as its last
-// steps tell.
+// cause explains in one sentence why the request ended as it did, judging from
+// its last two steps.
 func (t *timeline) cause() string {
 	last := t.Steps[len(t.Steps)-1]
 	switch last.Line.Msg {
@@ -20,14 +20,14 @@
 	case "attempt failed":
 		return explainFailure(&last.Line)
 	case "request cut":
-		return fmt.Sprintf("the instance stopped %s after the request came; target %q had not answered whole", milliseconds(last.Line.number("ms")), last.Line.text("target"))
+		return fmt.Sprintf("the instance stopped %s after the request arrived; target %q had not completed its answer", milliseconds(last.Line.number("ms")), last.Line.text("target"))
 	case "served":
 		return fmt.Sprintf("answered by target %s after %.0f ms and %.0f sends", last.Line.text("target"), last.Line.number("ms"), last.Line.number("sends"))
 	}
 	return last.Line.Msg
 }
 
-// explainRefusal explains an answer of the fleet's own.
+// explainRefusal explains why the instance refused a request.
 func explainRefusal(s *step) string {
 	l := &s.Line
 	balanceAge := ""
@@ -54,7 +54,7 @@
 	return l.text("reason")
 }
 
-// explainFailure explains an attempt that brought no answer.
+// explainFailure explains why an attempt at a target got no answer.
 func explainFailure(l *logLine) string {
 	reason := l.text("error")
 	if reason != "" {
--- a/bluebellctl/src/core.go
+++ b/bluebellctl/src/core.go
@@ -1,5 +1,6 @@
-// Package bbctl is the operators' command: it puts change tickets in force and
-// shows what is in force, drawn, spent and billed.
+// Package bbctl implements the operators' command. It applies change tickets,
+// sends orders to targets, and shows tickets, budgets, bills, the status of
+// instances and what their logs say about a request.
 package bbctl
 
 import (
@@ -15,19 +16,20 @@
 	"bluebellport.example/shared/bbticket"
 )
 
-// errUsage marks input that the operator has to mend.
+// errUsage marks errors in the operator's input. They set the exit code
+// bbcli.ExitUsage.
 const errUsage = errors.ConstError("bad input")
 
-// command is one parsed command, ready to run.
+// command runs one subcommand with the arguments that were parsed for it.
 type command func(ctx context.Context, e *env) error
 
-// env is what commands work with.
+// env holds the settings, the store client and the streams of a command.
 type env struct {
 	opts   *Options
 	store  bbstore.Store
 	stdin  io.Reader
 	stdout io.Writer
-	stderr io.Writer // progress, for people
+	stderr io.Writer // progress messages for a human reader
 }
 
 // Main runs the program with the arguments and returns its exit code:
@@ -55,7 +57,7 @@
 	return exitCode(commands[name](ctx, &env{opts: opts, store: store, stdin: os.Stdin, stdout: stdout, stderr: stderr}), stderr)
 }
 
-// exitCode prints the error and returns the exit code for it.
+// exitCode prints err, if any, and returns the exit code for it.
 func exitCode(err error, stderr io.Writer) int {
 	if err == nil {
 		return bbcli.ExitOK
--- a/bluebellctl/src/core_test.go
+++ b/bluebellctl/src/core_test.go
@@ -21,7 +21,7 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// cliFixture is an operator's place: a key-value service and the command.
+// cliFixture runs the command against an in-memory key-value service.
 type cliFixture struct {
 	t         *testing.T
 	storeAddr string
@@ -46,13 +46,15 @@
 	return &cliFixture{t: t, storeAddr: ln.Addr().String(), store: mem, dir: t.TempDir()}
 }
 
-// run runs the command and returns its exit code and outputs.
+// run runs the command and returns its exit code, stdout and stderr. Paths in
+// stderr are shortened to file names, as the directory differs in every run.
 func (f *cliFixture) run(args ...string) (int, string, string) {
 	var stdout, stderr bytes.Buffer
 	code := Main(append([]string{"--store", f.storeAddr, "--timeout", "3s"}, args...), &stdout, &stderr)
 	return code, stdout.String(), strings.ReplaceAll(stderr.String(), f.dir+"/", "")
 }
 
+// writeFile writes a file to the fixture's directory and returns its path.
 func (f *cliFixture) writeFile(name, body string) string {
 	path := filepath.Join(f.dir, name)
 	if err := os.WriteFile(path, []byte(body), 0o600); err != nil {
@@ -73,7 +75,8 @@
 
 var timestampPattern = regexp.MustCompile(`20\d\d-\d\d-\d\dT[0-9:.]+Z`)
 
-// TestCommandOutput holds what the commands print, for people and for programs.
+// TestCommandOutput compares the output of the commands, as tables and as JSON,
+// with golden files.
 func TestCommandOutput(t *testing.T) {
 	f := newCLIFixture(t)
 	first := f.writeFile("1.yaml", firstTicket)
@@ -113,8 +116,9 @@
 	}
 }
 
-// TestLowerBudget: a budget cannot be lowered below what is drawn, the refusal
-// names the figure, and a refused ticket leaves no cap behind.
+// TestLowerBudget checks that a budget cannot be lowered below the amount drawn,
+// that the refusal names this amount, and that a refused ticket leaves no cap on
+// the budget.
 func TestLowerBudget(t *testing.T) {
 	is := is.New(t)
 	f := newCLIFixture(t)
@@ -126,7 +130,7 @@
 	is.Equal(code, bbcli.ExitFailed)
 	is.True(strings.Contains(stderr, "600 tokens"))
 	code, _, _ = f.run("ticket", "apply", f.writeFile("3.yaml", "number: 7\nbudgets: [{id: b, account: a, paid: 700}]\n"))
-	is.Equal(code, bbcli.ExitFailed) // another number
+	is.Equal(code, bbcli.ExitFailed) // number 7 is not the next ticket number
 	list, err := bbledger.ListBudgets(context.Background(), f.store)
 	is.NoErr(err)
 	is.Equal(list[0].Capped, false)
@@ -140,7 +144,8 @@
 	is.Equal(int64(list[0].Remaining), int64(100))
 }
 
-// TestStoreDown: commands end with a message and exit code 1.
+// TestStoreDown checks that a command fails with a message and exit code 1 if the
+// key-value service cannot be reached.
 func TestStoreDown(t *testing.T) {
 	is := is.New(t)
 	var stdout, stderr bytes.Buffer
@@ -149,7 +154,8 @@
 	is.True(strings.Contains(stderr.String(), "key-value service unavailable"))
 }
 
-// writeDrawnPage writes a page as if a holder had drawn from the budget.
+// writeDrawnPage stores a budget page on which one holder has drawn from the
+// budget.
 func writeDrawnPage(t *testing.T, store *bbstore.Mem, b bbunit.BudgetID, paid, drawn int64) {
 	t.Helper()
 	page, err := bbledger.EncodePage(&bbwire.Page{Entries: []*bbwire.Entry{{
--- a/bluebellctl/src/explain.go
+++ b/bluebellctl/src/explain.go
@@ -13,7 +13,7 @@
 	"github.com/juju/errors"
 )
 
-// explainCommands declares the command that finds a request in logs.
+// explainCommands declares the command that explains a request from log lines.
 func explainCommands(app *kingpin.Application, commands map[string]command) {
 	var request string
 	var files []string
@@ -23,6 +23,8 @@
 	commands[cmd.FullCommand()] = func(_ context.Context, e *env) error { return explain(e, request, files) }
 }
 
+// explain reads the logs, or standard input if there are none, and prints the
+// cause of the request's outcome and its timeline.
 func explain(e *env, request string, files []string) error {
 	t := newTimeline(request)
 	if len(files) == 0 {
@@ -57,6 +59,7 @@
 	return errors.Annotate(t.readLog(f), name)
 }
 
+// sourceNames names what was read, for error messages.
 func sourceNames(files []string) string {
 	if len(files) == 0 {
 		return "standard input"
@@ -64,8 +67,9 @@
 	return strings.Join(files, ", ")
 }
 
-// rows are the steps, each after what its instance believed, with the age of
-// that.
+// rows returns the table rows of the timeline. Each step follows the rows for
+// the state of its instance at that time. The third column is the age of the
+// state at the step.
 func (t *timeline) rows() [][]any {
 	var rows [][]any
 	for i := range t.Steps {
@@ -79,7 +83,8 @@
 	return rows
 }
 
-// detail is what a line says besides its head, by name.
+// detail returns the fields that have no column of their own as NAME=JSON,
+// sorted by name.
 func (l *logLine) detail() string {
 	var fields []string
 	for name, v := range l.Fields {
@@ -89,7 +94,7 @@
 		}
 		value, err := json.Marshal(v)
 		if err != nil {
-			continue // what was read as JSON can be written as JSON
+			continue // cannot happen, as v was decoded from JSON
 		}
 		fields = append(fields, name+"="+string(value))
 	}
--- a/bluebellctl/src/explain_test.go
+++ b/bluebellctl/src/explain_test.go
@@ -17,8 +17,9 @@
 	logTwo = "testdata/explain-two.log"
 )
 
-// A request is told over all instances, whatever the order of their files, with
-// what each believed then.
+// TestExplain checks that the timeline of a request covers all instances, shows
+// the state that each of them had at the time, and does not depend on the order
+// of the log files.
 func TestExplain(t *testing.T) {
 	f := newCLIFixture(t)
 	for _, request := range []string{"r1", "r2", "r3", "r4", "r5"} {
@@ -34,6 +35,8 @@
 	}
 }
 
+// TestExplainNamesSearchedFiles checks that an error names the files that were
+// searched without result, or the file that cannot be read.
 func TestExplainNamesSearchedFiles(t *testing.T) {
 	is := is.New(t)
 	f := newCLIFixture(t)
@@ -45,8 +48,9 @@
 	is.True(strings.Contains(stderr, "none.log"))
 }
 
-// Without files standard input is read; a life of an instance knows nothing of
-// the one before.
+// TestExplainStandardInput checks that standard input is read if no files are
+// given, and that the state of an instance from before its restart is not shown
+// for a request after it.
 func TestExplainStandardInput(t *testing.T) {
 	is := is.New(t)
 	firstRun, err := os.ReadFile(logOne)
--- a/bluebellctl/src/options.go
+++ b/bluebellctl/src/options.go
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// Options are the settings that all commands share.
+// Options holds the settings that all commands share.
 type Options struct {
 	Store   string
 	Admins  []string
@@ -16,7 +16,7 @@
 	Timeout time.Duration
 }
 
-// formats of output.
+// Output formats.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
@@ -29,7 +29,7 @@
 	app.Flag("timeout", "Longest time that a command may take.").Envar("BLUEBELLCTL_TIMEOUT").Default("15s").DurationVar(&o.Timeout)
 }
 
-// Check returns one line for each bad setting.
+// Check returns one line for each invalid setting.
 func (o *Options) Check() []string {
 	var bad []string
 	if _, _, err := net.SplitHostPort(o.Store); err != nil {
--- a/bluebellctl/src/order.go
+++ b/bluebellctl/src/order.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// orderCommands declares the command that gives targets orders.
+// orderCommands declares the command that sends an order to a target.
 func orderCommands(app *kingpin.Application, commands map[string]command) {
 	var order orderRequest
 	cmd := app.Command("order", "Order a target to load a model, adapter or version, or to change its role.")
@@ -20,20 +20,21 @@
 	commands[cmd.FullCommand()] = func(_ context.Context, e *env) error { return sendOrder(e, order) }
 }
 
-// orderRequest is an order as an instance takes it.
+// orderRequest is the body of POST /order of an instance.
 type orderRequest struct {
 	Target string `json:"target"`
 	Action string `json:"action"`
 	Model  string `json:"model"`
 }
 
-// orderResponse is what became of an order.
+// orderResponse is the answer to POST /order. Error is empty if the target
+// acknowledged the order.
 type orderResponse struct {
 	Fence uint64 `json:"fence"`
 	Error string `json:"error"`
 }
 
-// sendOrder has the first instance named by --admin give the order.
+// sendOrder sends the order through the first instance named by --admin.
 func sendOrder(e *env, order orderRequest) error {
 	if len(e.opts.Admins) == 0 {
 		return errors.WithType(errors.New("order needs --admin"), errUsage)
@@ -53,7 +54,7 @@
 	}
 	var result orderResponse
 	if err := json.Unmarshal(resp.Body(), &result); err != nil {
-		return errors.Annotatef(err, "%s answered %d", e.opts.Admins[0], resp.StatusCode())
+		return errors.Annotatef(err, "%s: decode answer with status %d", e.opts.Admins[0], resp.StatusCode())
 	}
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
--- a/bluebellctl/src/status.go
+++ b/bluebellctl/src/status.go
@@ -12,19 +12,22 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// instanceStatus is what one instance tells of itself, and where it was asked.
+// instanceStatus is the status of the instance at one admin address. Error is
+// set if no status could be read from it.
 type instanceStatus struct {
 	bbunit.Status
 	Admin string `json:"admin"`
 	Error string `json:"error,omitempty"`
 }
 
-// statusCommands declares the commands on running instances.
+// statusCommands declares the command that shows the status of instances.
 func statusCommands(app *kingpin.Application, commands map[string]command) {
 	cmd := app.Command("status", "Show what each instance has in force.")
 	commands[cmd.FullCommand()] = showStatus
 }
 
+// showStatus prints the status of the instance at each --admin address. It fails
+// after printing if one of them did not answer.
 func showStatus(_ context.Context, e *env) error {
 	if len(e.opts.Admins) == 0 {
 		return errors.WithType(errors.New("status needs --admin"), errUsage)
@@ -50,12 +53,13 @@
 		return err
 	}
 	if failed {
-		return errors.New("an instance did not answer")
+		return errors.New("at least one instance did not answer with its status")
 	}
 	return nil
 }
 
-// fetchStatus asks one instance; what goes wrong stands in Error.
+// fetchStatus gets the status of one instance. A failure is reported in the Error
+// field of the result.
 func fetchStatus(admin string, timeout time.Duration) instanceStatus {
 	s := instanceStatus{Admin: admin}
 	code, body, err := fasthttp.GetTimeout(nil, "http://"+admin+"/status", timeout)
--- a/bluebellctl/src/table.go
+++ b/bluebellctl/src/table.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// render prints v as JSON for programs, or the rows as a table for people.
+// render prints v as JSON, or the rows as a table, as --output says.
 func (e *env) render(v any, columns []string, rows [][]any) error {
 	if e.opts.Output == formatJSON {
 		enc := json.NewEncoder(e.stdout)
--- a/bluebellctl/src/ticket.go
+++ b/bluebellctl/src/ticket.go
@@ -16,7 +16,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// ticketCommands declares the commands on change tickets.
+// ticketCommands declares the commands that check, apply and show change
+// tickets.
 func ticketCommands(app *kingpin.Application, commands map[string]command) {
 	cmd := app.Command("ticket", "Check, apply and read change tickets.")
 	var file string
@@ -39,7 +40,8 @@
 	commands[diff.FullCommand()] = func(ctx context.Context, e *env) error { return diffTicket(ctx, e, file) }
 }
 
-// readTicket reads and parses a ticket.
+// readTicket reads and parses the ticket in the file, or on standard input for
+// "-".
 func readTicket(file string) (bbticket.Ticket, error) {
 	var src []byte
 	var err error
@@ -71,7 +73,8 @@
 	return nil
 }
 
-// loadBaseState returns the state in force, if the ticket may follow it.
+// loadBaseState returns the state in force and checks that the ticket can be
+// applied to it. A ticket without the next number is a *bbticket.NumberError.
 func loadBaseState(ctx context.Context, e *env, t bbticket.Ticket) (*bbticket.State, error) {
 	s, err := bbticket.NewLog(e.store).Load(ctx)
 	if err != nil {
@@ -96,8 +99,11 @@
 	return nil
 }
 
-// acceptTicket has the ticket accepted. A budget that it lowers is capped first;
-// where more is drawn, the ticket is refused with the figure.
+// acceptTicket appends the ticket to the log. Budgets that the ticket lowers are
+// capped first. If more is already drawn, the ticket is refused with an error
+// that names the amount. The caps are removed only after an error which means
+// that the ticket is not in the log. After any other error it may have been
+// accepted, so they stay.
 func acceptTicket(ctx context.Context, e *env, t bbticket.Ticket, nonce string) error {
 	s, err := loadBaseState(ctx, e, t)
 	if err != nil {
@@ -114,7 +120,7 @@
 	return err
 }
 
-// ticketRow is one line of the list of tickets.
+// ticketRow is one row of the list of tickets.
 type ticketRow struct {
 	Number  bbunit.TicketNumber `json:"number"`
 	At      time.Time           `json:"at"`
@@ -138,6 +144,7 @@
 	return e.render(rows, []string{"NUMBER", "AT", "OBJECTS", "NOTE"}, cells)
 }
 
+// showTicket prints ticket n, or all that is in force if n is 0.
 func showTicket(ctx context.Context, e *env, n bbunit.TicketNumber) error {
 	log := bbticket.NewLog(e.store)
 	if n == 0 {
@@ -162,7 +169,7 @@
 	return errors.WithType(errors.Errorf("ticket %d: not in the log, which ends at %d", n, head.Number), errUsage)
 }
 
-// printTicket writes a ticket as YAML, or as JSON for programs.
+// printTicket prints a ticket as YAML, or as JSON if --output says so.
 func (e *env) printTicket(t bbticket.Ticket) error {
 	if e.opts.Output == formatJSON {
 		return e.render(t, nil, nil)
--- a/bluebellctl/src/timeline.go
+++ b/bluebellctl/src/timeline.go
@@ -12,22 +12,22 @@
 	"github.com/juju/errors"
 )
 
-// maxLineBytes is the longest log line that is read, in bytes.
+// maxLineBytes is the length of the longest log line that can be read.
 const maxLineBytes = 4 << 20
 
-// logLine is one log line of an instance.
+// logLine is one line of an instance's log.
 type logLine struct {
 	Time     time.Time `json:"time"`
 	Instance string    `json:"instance"`
 	Msg      string    `json:"msg"`
 	Event    string    `json:"event,omitempty"`
 	Request  string    `json:"request,omitempty"`
-	// Fields are all that the line says, those above included.
+	// Fields holds all fields of the line, including those above.
 	Fields map[string]any `json:"fields"`
 }
 
-// parseLine reads a line; a collector may have put its own words before the
-// object. It tells whether the line is one of an instance.
+// parseLine parses a log line. Text before the JSON object, as log collectors
+// add it, is ignored. It returns false if no instance wrote the line.
 func parseLine(raw []byte) (logLine, bool) {
 	var l logLine
 	start := bytes.IndexByte(raw, '{')
@@ -44,19 +44,22 @@
 	return l, err == nil && l.Instance != "" && l.Msg != ""
 }
 
-// number returns a field that holds a number, 0 when it does not.
+// number returns the value of a numeric field, or 0 if the line has none of that
+// name.
 func (l *logLine) number(name string) float64 {
 	n, _ := l.Fields[name].(float64)
 	return n
 }
 
+// text returns the value of a string field, or "" if the line has none of that
+// name.
 func (l *logLine) text(name string) string {
 	s, _ := l.Fields[name].(string)
 	return s
 }
 
-// stateKey is what a line changes in the beliefs of its instance, empty for none.
-// The newest line of a topic holds.
+// stateKey returns the part of its instance's state that the line changes, or ""
+// if it changes none. A newer line replaces an older one with the same key.
 func (l *logLine) stateKey() string {
 	switch l.Event {
 	case "store-lost", "store-back", "watch-handed":
@@ -71,30 +74,33 @@
 	return ""
 }
 
-// step is one line of a request, and what its instance believed then.
+// step is a log line of the request, with the lines that show the state of the
+// instance at that time.
 type step struct {
 	Line          logLine   `json:"line"`
 	InstanceState []logLine `json:"beliefs"`
 }
 
-// timeline is what logs tell of one request.
+// timeline collects the log lines of one request from all instances.
 type timeline struct {
 	Request string `json:"request"`
 	Steps   []step `json:"steps"`
-	// LinesRead counts the lines, Foreign those among them that no instance wrote.
+	// LinesRead counts all lines, LinesSkipped those of them that no instance
+	// wrote.
 	LinesRead    int `json:"read"`
 	LinesSkipped int `json:"foreign"`
 
-	instanceStates map[string]map[string]logLine // by instance and topic
+	instanceStates map[string]map[string]logLine // by instance and state key
 }
 
-// newTimeline returns the empty story of a request.
+// newTimeline returns an empty timeline of the request.
 func newTimeline(request string) *timeline {
 	return &timeline{Request: request, instanceStates: map[string]map[string]logLine{}}
 }
 
-// readLog takes log lines. The lines of one instance come in the order in which it
-// wrote them; those of several may be mixed or come one instance after the other.
+// readLog adds the lines of a log. Lines of the same instance must be in the
+// order in which they were written. Lines of different instances may be
+// interleaved in any way.
 func (t *timeline) readLog(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -117,7 +123,7 @@
 		tl.instanceStates[l.Instance] = state
 	}
 	if l.Event == "start" {
-		clear(state) // a new life knows nothing of the one before
+		clear(state) // a restarted instance has none of its earlier state
 	}
 	if key := l.stateKey(); key != "" {
 		state[key] = l
@@ -127,7 +133,7 @@
 	}
 }
 
-// relevantState returns the beliefs that matter to a line, oldest first.
+// relevantState returns the lines of state that can explain l, oldest first.
 func relevantState(state map[string]logLine, l logLine) []logLine {
 	var lines []logLine
 	for _, key := range []string{"life", "plan", "store", "crowded", "reload", "target " + l.text("target")} {
@@ -139,14 +145,16 @@
 	return lines
 }
 
-// sortSteps sorts the steps once all lines are read.
+// sortSteps sorts the steps by time and instance. It is called once, after all
+// logs are read.
 func (t *timeline) sortSteps() {
 	slices.SortStableFunc(t.Steps, func(a, b step) int {
 		return cmp.Or(a.Line.Time.Compare(b.Line.Time), cmp.Compare(a.Line.Instance, b.Line.Instance))
 	})
 }
 
-// findStateLine returns the newest line of an event in force at the step.
+// findStateLine returns the state line with the event, if the instance's state at
+// the step has one.
 func (s *step) findStateLine(event string) (logLine, bool) {
 	for _, b := range s.InstanceState {
 		if b.Event == event {
--- a/bluebellstand/main.go
+++ b/bluebellstand/main.go
@@ -1,5 +1,5 @@
-// Command bluebellstand runs small stand-ins for what surrounds the fleet, and
-// a load generator.
+// Command bluebellstand runs a load generator, and stand-ins for the services
+// that a fleet of instances depends on.
 package main
 
 import (
--- a/bluebellstand/src/ask.go
+++ b/bluebellstand/src/ask.go
@@ -13,7 +13,7 @@
 	"bluebellport.example/shared/bbcli"
 )
 
-// AskOptions set one request.
+// AskOptions configures the ask command, which sends one request.
 type AskOptions struct {
 	Instance string
 	Key      string
@@ -76,6 +76,7 @@
 	return nil
 }
 
+// preparePlain makes r a request to the plain service.
 func (o *AskOptions) preparePlain(r *loadRequest) {
 	r.kind, r.method = LoadRead, http.MethodGet
 	if o.Write {
--- a/bluebellstand/src/core.go
+++ b/bluebellstand/src/core.go
@@ -1,6 +1,6 @@
-// Package bbstand holds small stand-ins for what surrounds the fleet: the
-// key-value service, the list of instances, a model engine and a plain service;
-// and a load generator that checks every answer.
+// Package bbstand implements stand-ins for the services that a fleet of instances
+// depends on (the key-value service, the list of instances, a model engine and a
+// plain service) and a load generator that checks every answer.
 package bbstand
 
 import (
@@ -16,17 +16,18 @@
 	"bluebellport.example/shared/bbcli"
 )
 
-// command is one subcommand with its settings.
+// command is a subcommand with its settings.
 type command interface {
 	// flags declares the command's flags and environment variables.
 	flags(cmd *kingpin.CmdClause)
-	// check returns one line for each bad value, naming flag and value.
+	// check returns one line for each invalid setting, with the flag and the
+	// value.
 	check() []string
-	// run works until it is done or ctx ends.
+	// run executes the command until it is complete or ctx is done.
 	run(ctx context.Context, io streams) error
 }
 
-// streams are where a command writes to.
+// streams holds the outputs of a command.
 type streams struct {
 	out io.Writer
 	log *logrus.Logger
@@ -34,7 +35,7 @@
 
 // Main runs the program with the arguments and returns its exit code.
 //
-//	arguments -> options -> check -> parts -> listeners -> ready ... SIGTERM -> stop
+//	arguments -> options -> check -> stand-ins -> listeners -> ready ... SIGTERM -> stop
 func Main(args []string, stdout, stderr io.Writer) int {
 	app := bbcli.New("bluebellstand", "Stand-ins for the platform and the targets, and a load generator.", stdout, stderr)
 	commands := newCommands(app)
@@ -58,7 +59,8 @@
 	return bbcli.ExitOK
 }
 
-// selectedCommand returns the command that the arguments choose, or "".
+// selectedCommand returns the name of the command that the arguments select, or
+// "" if they cannot be parsed.
 func selectedCommand(app *kingpin.Application, args []string) string {
 	ctx, err := app.ParseContext(args)
 	if err != nil || ctx.SelectedCommand == nil {
--- a/bluebellstand/src/core_test.go
+++ b/bluebellstand/src/core_test.go
@@ -15,7 +15,7 @@
 	"bluebellport.example/shared/bbserve"
 )
 
-// startStandIn serves a part on loopback and returns its base URL.
+// startStandIn serves the routes on a loopback port and returns the base URL.
 func startStandIn(t *testing.T, mount func(*fiber.App, *listener)) string {
 	l, err := listen("127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -59,7 +59,8 @@
 	}
 }
 
-// A stop may come before the server has registered its listener.
+// TestStopBeforeListenerIsRegistered checks that a server ends if it is stopped
+// immediately after its start, when it may not yet have registered its listener.
 func TestStopBeforeListenerIsRegistered(t *testing.T) {
 	for range 300 {
 		l, err := listen("127.0.0.1:0")
@@ -74,7 +75,7 @@
 		select {
 		case <-served:
 		case <-time.After(5 * time.Second):
-			t.Fatal("the server did not end")
+			t.Fatal("the server still runs 5 s after it was stopped")
 		}
 	}
 }
--- a/bluebellstand/src/engine.go
+++ b/bluebellstand/src/engine.go
@@ -12,13 +12,14 @@
 	"github.com/sourcegraph/conc"
 )
 
+// Reasons to refuse a request. Callers get the text.
 const (
 	errLeaving        = errors.ConstError("leaving")
 	errQueueFull      = errors.ConstError("queue full")
 	errPrefixMismatch = errors.ConstError("the last message is not how the answer begins")
 )
 
-// exitCodeCrash is the exit code of an engine that a prompt crashed.
+// exitCodeCrash is the exit code of an engine after a prompt with the crash word.
 const exitCodeCrash = 70
 
 // States of a request.
@@ -29,30 +30,31 @@
 	stateCancelled = "cancelled"
 )
 
-// EngineExecution is one run of a request.
+// EngineExecution is one execution of a request by an engine.
 type EngineExecution struct {
 	Request string `json:"request"`
-	// Name is what the prompt has after "--name".
+	// Name is the word after "--name" in the prompt.
 	Name string `json:"name"`
-	// GeneratedTokens is how many were generated so far.
+	// GeneratedTokens is the number of tokens generated so far.
 	GeneratedTokens int    `json:"tokens"`
 	PromptTokens    int    `json:"prompt"`
 	State           string `json:"state"`
-	// AcceptedAt is when the request came, in microseconds since the epoch.
+	// AcceptedAt is when the request was accepted, in microseconds since the
+	// epoch.
 	AcceptedAt int64 `json:"at"`
 }
 
-// job is one request in an engine.
+// job is a request that an engine has accepted.
 type job struct {
 	id           string
 	name         string
 	model        string
-	promptTokens int // tokens
+	promptTokens int
 	priority     int
 	crash        bool
 	prefixCached bool
-	answerTokens []string // all that will be generated
-	truncated    bool     // max_tokens ends it
+	answerTokens []string // the whole answer, generated one by one
+	truncated    bool     // max_tokens cuts the answer
 
 	generated   int
 	state       string
@@ -64,12 +66,12 @@
 	ctx         context.Context
 }
 
-// engine runs requests by continuous batching: each of the running ones gets a
-// token each interval, and a waiting one starts as soon as a slot is free.
+// engine simulates continuous batching: every running request generates one token
+// per interval, and a waiting request starts as soon as a slot is free.
 type engine struct {
 	opts EngineOptions
 	exit func(int)
-	// onAccepted is told of each request that is taken, before it runs.
+	// onAccepted is called for each accepted request before it runs.
 	onAccepted func(EngineExecution)
 
 	mu          sync.Mutex
@@ -87,7 +89,8 @@
 	wg          conc.WaitGroup
 }
 
-// newEngine returns an engine, and a function that stops what it runs.
+// newEngine returns an engine and a function that cancels its requests and waits
+// for them to end.
 func newEngine(o EngineOptions) (*engine, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &engine{opts: o, exit: os.Exit, onAccepted: func(EngineExecution) {}, jobs: map[string]*job{}, ctx: ctx}
@@ -100,7 +103,8 @@
 	}
 }
 
-// submit queues a request, or tells why not.
+// submit queues a request. It returns errLeaving, errQueueFull or
+// errPrefixMismatch if the request is refused.
 func (e *engine) submit(id string, priority int, r *chatRequest) (*job, error) {
 	j, err := e.newJob(id, priority, r)
 	if err != nil {
@@ -153,7 +157,8 @@
 	return j, nil
 }
 
-// assignSlots gives free slots to the first of the waiting; e.mu is held.
+// assignSlots gives the free slots to the requests at the head of the queue. The
+// caller holds e.mu.
 func (e *engine) assignSlots() {
 	for e.running < e.opts.Slots && len(e.waiting) > 0 {
 		j := e.waiting[0]
@@ -165,7 +170,8 @@
 	e.loadHistory.record(time.Now(), e.load())
 }
 
-// runJob runs one request to its end.
+// runJob waits for a slot and generates the answer until it is complete or the
+// request is cancelled.
 func (e *engine) runJob(j *job) {
 	defer j.cancel()
 	select {
@@ -192,7 +198,8 @@
 	e.releaseSlot(j)
 }
 
-// sleep waits, longer while the engine is frozen; false when ctx ended.
+// sleep waits for d, or until the engine is no longer frozen if that is later. It
+// returns false if ctx was done first.
 func (e *engine) sleep(ctx context.Context, d time.Duration) bool {
 	e.mu.Lock()
 	if frozen := time.Until(e.frozenUntil); frozen > d {
@@ -207,7 +214,7 @@
 	}
 }
 
-// releaseSlot frees the request's slot.
+// releaseSlot ends a request that has a slot.
 func (e *engine) releaseSlot(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -215,8 +222,8 @@
 	e.finish(j)
 }
 
-// abandon takes a request that has no slot out of the queue, or frees the slot
-// that it was given meanwhile.
+// abandon ends a request that was cancelled while it waited for a slot. It frees
+// the slot if the request got one in the meantime.
 func (e *engine) abandon(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -232,6 +239,7 @@
 	e.finish(j)
 }
 
+// finish sets the final state of the request. The caller holds e.mu.
 func (e *engine) finish(j *job) {
 	j.state = stateDone
 	if j.generated < len(j.answerTokens) {
@@ -241,13 +249,14 @@
 	e.assignSlots()
 }
 
-// notifyReaders tells the readers that the request has moved on; engine.mu is held.
+// notifyReaders wakes the readers after a change. The caller holds engine.mu.
 func (j *job) notifyReaders() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
-// progress is what a reader sees of a request.
+// progress is a snapshot of a request for a reader. The channel changed is closed
+// at the next change.
 type progress struct {
 	tokens    []string
 	generated int
@@ -256,7 +265,8 @@
 	changed   <-chan struct{}
 }
 
-// readProgress returns the tokens made after the first from ones.
+// readProgress returns the progress of the request, with the tokens generated
+// after the first from tokens.
 func (e *engine) readProgress(j *job, from int) progress {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -268,14 +278,15 @@
 	return p
 }
 
-// addReader counts a reader of the request's stream.
+// addReader registers a reader of the request's stream.
 func (e *engine) addReader(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	j.readers++
 }
 
-// removeReader counts a reader out; a request that stays without one is cancelled.
+// removeReader removes a reader of the request's stream. The request is cancelled
+// if it has no reader after the linger time.
 func (e *engine) removeReader(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -292,13 +303,15 @@
 	})
 }
 
+// findJob returns the request with the id, or nil.
 func (e *engine) findJob(id string) *job {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.jobs[id]
 }
 
-// executions returns all that ran since the start, oldest first.
+// executions returns all requests accepted since the engine started, oldest
+// first.
 func (e *engine) executions() []EngineExecution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -309,7 +322,7 @@
 	return out
 }
 
-// execution returns how far the request has come; engine.mu is held.
+// execution returns the current state of the request. The caller holds engine.mu.
 func (j *job) execution() EngineExecution {
 	return EngineExecution{Request: j.id, Name: j.name, GeneratedTokens: j.generated, PromptTokens: j.promptTokens, State: j.state, AcceptedAt: j.acceptedAt.UnixMicro()}
 }
--- a/bluebellstand/src/engine_admin.go
+++ b/bluebellstand/src/engine_admin.go
@@ -8,15 +8,16 @@
 
 // EngineFault is the body of POST /admin/fault of an engine.
 type EngineFault struct {
-	// Silent silences the connections that are open now, for good.
+	// Silent makes the connections that are now open silent for good.
 	Silent bool `json:"silent"`
-	// Leaving refuses new requests.
+	// Leaving makes the engine refuse new requests.
 	Leaving bool `json:"leaving"`
-	// FreezeMS stops all generation for that many milliseconds.
+	// FreezeMS stops all generation for this number of milliseconds.
 	FreezeMS int `json:"freezems"`
 }
 
-// TargetCounts tells how many requests a target took and refused.
+// TargetCounts holds the request counts of a target. The engine alone sets
+// GeneratedTokens and HighestFence.
 type TargetCounts struct {
 	Accepted        int    `json:"ran"`
 	Refused         int    `json:"refused"`
@@ -26,6 +27,8 @@
 	HighestFence    uint64 `json:"fence"`
 }
 
+// mountAdmin adds the routes that tests use to inspect the engine and to inject
+// faults.
 func (e *engine) mountAdmin(app *fiber.App, l *listener) {
 	app.Get("/admin/ran", func(c *fiber.Ctx) error { return c.JSON(e.executions()) })
 	app.Get("/admin/counts", func(c *fiber.Ctx) error { return c.JSON(e.counts()) })
--- a/bluebellstand/src/engine_http.go
+++ b/bluebellstand/src/engine_http.go
@@ -22,21 +22,24 @@
 	headerRetryAfter = "Retry-After"
 	requestsPath     = "/v1/requests/"
 	streamSuffix     = "/stream"
-	// LogAccepted is the message of the log line for each request that an engine takes.
+	// LogAccepted is the message of the log line that an engine writes for each
+	// request it accepts.
 	LogAccepted = "came"
 )
 
-// chatRequest is what a chat completion asks for.
+// chatRequest is the body of a chat completion request.
 type chatRequest struct {
 	Model               string    `json:"model"`
 	Messages            []Message `json:"messages"`
 	Stream              bool      `json:"stream"`
 	MaxTokens           int       `json:"max_tokens"`
 	MaxCompletionTokens int       `json:"max_completion_tokens"`
-	// ContinueFinalMessage tells that the last message is how the answer begins.
+	// ContinueFinalMessage means that the last message is the beginning of the
+	// answer, and that only the rest is wanted.
 	ContinueFinalMessage bool `json:"continue_final_message"`
 }
 
+// maxAnswerTokens returns the requested limit of the answer's tokens, 0 for none.
 func (r *chatRequest) maxAnswerTokens() int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
@@ -58,7 +61,7 @@
 	return nil
 }
 
-// chatUsage counts the tokens of a request.
+// chatUsage is the token usage of a request.
 type chatUsage struct {
 	Prompt     int `json:"prompt_tokens"`
 	Completion int `json:"completion_tokens"`
@@ -77,7 +80,7 @@
 	Content string `json:"content,omitempty"`
 }
 
-// chatResponse is a whole answer or one chunk of a stream.
+// chatResponse is a whole chat completion, or one chunk of a streamed one.
 type chatResponse struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -87,7 +90,7 @@
 	Usage   *chatUsage   `json:"usage,omitempty"`
 }
 
-// requestState is the answer of GET /v1/requests/{id}.
+// requestState is the body that answers GET and DELETE of /v1/requests/{id}.
 type requestState struct {
 	ID    string    `json:"id"`
 	State string    `json:"state"`
@@ -135,6 +138,7 @@
 	return e.respondWhole(c, j)
 }
 
+// refuse answers a request that the target does not accept.
 func refuse(c *fiber.Ctx, err error) error {
 	switch {
 	case errors.Is(err, errLeaving):
@@ -146,7 +150,7 @@
 	return fiber.NewError(http.StatusServiceUnavailable, err.Error())
 }
 
-// respondWhole waits for the end of the request and answers with all of it.
+// respondWhole waits until the answer is complete and sends it as one response.
 func (e *engine) respondWhole(c *fiber.Ctx, j *job) error {
 	for {
 		p := e.readProgress(j, 0)
@@ -163,7 +167,7 @@
 	}
 }
 
-// respondStream answers with the request's events after the first from ones.
+// respondStream sends the events of the request after the first from events.
 func (e *engine) respondStream(c *fiber.Ctx, j *job, from int) error {
 	c.Set("Content-Type", "text/event-stream")
 	e.addReader(j)
@@ -194,6 +198,7 @@
 	return nil
 }
 
+// tokenDelta returns the delta of the n-th token. The first one has the role.
 func tokenDelta(n int, token string) *chatDelta {
 	d := &chatDelta{Content: token}
 	if n == 1 {
@@ -202,7 +207,7 @@
 	return d
 }
 
-// writeEvent writes one numbered event of the request.
+// writeEvent writes the n-th server-sent event of the request and flushes it.
 func (j *job) writeEvent(w *bufio.Writer, n int, choices []chatChoice, usage *chatUsage) error {
 	response := j.newResponse("chat.completion.chunk")
 	response.Choices, response.Usage = choices, usage
@@ -224,6 +229,7 @@
 	return &chatUsage{Prompt: j.promptTokens, Completion: made, Total: j.promptTokens + made}
 }
 
+// finishReason returns the finish_reason of the complete answer.
 func (j *job) finishReason() *string {
 	reason := "stop"
 	if j.truncated {
@@ -232,7 +238,7 @@
 	return &reason
 }
 
-// getRequest tells the state of a request, or resumes its stream.
+// getRequest answers with the state of a request, or resumes its stream.
 func (e *engine) getRequest(c *fiber.Ctx) error {
 	id, resume := strings.CutSuffix(c.Params("+"), streamSuffix)
 	j := e.findJob(id)
@@ -250,7 +256,8 @@
 	return c.JSON(requestState{ID: id, State: p.state, Usage: *j.usage(p.generated)})
 }
 
-// cancelRequest cancels a request; one that has ended stays as it is.
+// cancelRequest cancels a request and waits for its end. A request that has
+// already ended keeps its state.
 func (e *engine) cancelRequest(c *fiber.Ctx) error {
 	j := e.findJob(c.Params("+"))
 	if j == nil {
--- a/bluebellstand/src/engine_state.go
+++ b/bluebellstand/src/engine_state.go
@@ -8,22 +8,23 @@
 	"github.com/juju/errors"
 )
 
-// TargetLoad is what a target reports of itself.
+// TargetLoad is the load that a target reports.
 type TargetLoad struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
 	Slots   int  `json:"slots"`
 	Leaving bool `json:"leaving"`
-	// At is when the load was so, in milliseconds since the epoch.
+	// At is when the load was measured, in milliseconds since the epoch.
 	At int64 `json:"at"`
 }
 
-// load returns the load of now; e.mu is held.
+// load returns the current load. The caller holds e.mu.
 func (e *engine) load() TargetLoad {
 	return TargetLoad{Running: e.running, Waiting: len(e.waiting), Slots: e.opts.Slots, Leaving: e.leaving}
 }
 
-// loadHistory keeps the loads of the last lag, so that reports come late.
+// loadHistory keeps the loads of the last lag, so that the engine can report an
+// outdated load.
 type loadHistory struct {
 	lag     time.Duration
 	samples []loadSample
@@ -41,7 +42,7 @@
 	}
 }
 
-// lagged returns the load as it was lag ago.
+// lagged returns the load as it was lag ago, or idle if none is known from then.
 func (h *loadHistory) lagged(now time.Time, idle TargetLoad) TargetLoad {
 	load := idle
 	for _, sample := range h.samples {
@@ -54,7 +55,8 @@
 	return load
 }
 
-// CacheEvent tells that a prompt's prefix came into the cache or left it.
+// CacheEvent reports that a prompt prefix was added to the cache or removed from
+// it.
 type CacheEvent struct {
 	Seq  int    `json:"seq"`
 	Type string `json:"type"` // "stored" or "removed"
@@ -62,17 +64,17 @@
 	At   int64  `json:"at"` // in milliseconds since the epoch
 }
 
-// prefixCache remembers the first messages of the last prompts.
+// prefixCache is an LRU cache of prompt prefixes with a log of its changes.
 type prefixCache struct {
 	size      int
-	dropEvery int
-	prefixes  []string // least recently used first
+	dropEvery int      // every n-th event is missing in the log; 0 drops none
+	prefixes  []string // hashes, least recently used first
 	events    []CacheEvent
 	seq       int
 }
 
-// prefixHash names the part of a prompt that others may share: the model and
-// all messages but the last.
+// prefixHash returns the hash of the part of a prompt that other prompts can
+// share: the model and all messages but the last.
 func prefixHash(model string, messages []Message) string {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model)
@@ -82,7 +84,8 @@
 	return strconv.FormatUint(digest.Sum64(), 16)
 }
 
-// touch puts the prompt's prefix into the cache and tells whether it was there.
+// touch makes the prompt's prefix the most recently used one and reports whether
+// it was already cached.
 func (p *prefixCache) touch(model string, messages []Message, now time.Time) bool {
 	hash := prefixHash(model, messages)
 	for i, cached := range p.prefixes {
@@ -111,7 +114,8 @@
 	p.events = append(p.events, CacheEvent{Seq: p.seq, Type: kind, Hash: hash, At: now.UnixMilli()})
 }
 
-// eventsAfter returns the events with a higher number that are old enough.
+// eventsAfter returns the events with a number above seq that are not newer than
+// until.
 func (p *prefixCache) eventsAfter(seq int, until time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range p.events {
@@ -122,7 +126,8 @@
 	return out
 }
 
-// Order is an order to an engine.
+// Order is an order to an engine, such as to load a model. Fence is its fencing
+// number.
 type Order struct {
 	Fence  uint64 `json:"fence"`
 	Action string `json:"action"`
@@ -131,7 +136,8 @@
 
 const errStaleFence = errors.ConstError("old fencing number")
 
-// orderLog records the orders that were obeyed.
+// orderLog records the accepted orders. If rejectStale is set, it rejects an
+// order with a fencing number below the highest one seen.
 type orderLog struct {
 	rejectStale  bool
 	highestFence uint64
--- a/bluebellstand/src/engine_test.go
+++ b/bluebellstand/src/engine_test.go
@@ -24,7 +24,8 @@
 	return e, url
 }
 
-// sendRequest sends a request and returns the status, the headers and the body.
+// sendRequest sends a request with the id and returns the status, the headers and
+// the body.
 func sendRequest(t *testing.T, method, url, id, body string) (int, http.Header, string) {
 	is := is.New(t)
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -44,6 +45,7 @@
 
 func userMessage(prompt string) []Message { return []Message{{Role: "user", Content: prompt}} }
 
+// decodeAnswer returns the text, usage and finish reason of a whole answer.
 func decodeAnswer(t *testing.T, body string) (string, chatUsage, string) {
 	var response chatResponse
 	is.New(t).NoErr(json.Unmarshal([]byte(body), &response))
@@ -204,7 +206,7 @@
 	status, _, _ := sendRequest(t, "POST", url+"/admin/fault", "", `{"silent":true}`)
 	is.Equal(status, 200)
 	_, err = io.ReadAll(resp.Body)
-	is.True(err != nil) // nothing more comes, and no end
+	is.True(err != nil) // times out: neither data nor an end arrives
 	_ = resp.Body.Close()
 	http.DefaultClient.CloseIdleConnections()
 	status, _, _ = sendRequest(t, "POST", url+"/v1/chat/completions", "", chatBody("x", ""))
@@ -216,11 +218,11 @@
 	cache := prefixCache{size: 1, dropEvery: 3}
 	now := time.Unix(10, 0)
 	is.True(!cache.touch("m", userMessage("a"), now))
-	is.True(cache.touch("m", userMessage("b"), now)) // the last message is not in the prefix
+	is.True(cache.touch("m", userMessage("b"), now)) // the last message is not part of the prefix
 	is.True(!cache.touch("n", userMessage("a"), now))
-	is.Equal(len(cache.eventsAfter(0, now.Add(-time.Second))), 0) // late
+	is.Equal(len(cache.eventsAfter(0, now.Add(-time.Second))), 0) // not yet reported
 	events := cache.eventsAfter(0, now)
-	is.Equal(len(events), 2) // the third is lost
+	is.Equal(len(events), 2) // the third is dropped
 	is.Equal(events[1].Seq, 2)
 }
 
--- a/bluebellstand/src/fetch.go
+++ b/bluebellstand/src/fetch.go
@@ -13,10 +13,11 @@
 	"bluebellport.example/shared/bbcli"
 )
 
-// pollInterval is the time between two tries of a get.
+// pollInterval is the time between two attempts of the get command.
 const pollInterval = 100 * time.Millisecond
 
-// GetOptions set a GET that is tried until it is answered with 200.
+// GetOptions configures the get command, which repeats a GET until the status is
+// 200.
 type GetOptions struct {
 	Address string
 	Path    string
@@ -44,13 +45,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("%s%s: status %d, %v", o.Address, o.Path, status, err)
+			return errors.Errorf("GET %s%s: no status 200 before the end of the wait: last status %d, last error %v", o.Address, o.Path, status, err)
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// PostOptions set a POST of a JSON body.
+// PostOptions configures the post command, which sends a JSON body.
 type PostOptions struct {
 	Address string
 	Path    string
@@ -82,7 +83,7 @@
 	}
 	fmt.Fprintln(s.out, string(resp.Body()))
 	if resp.StatusCode() != http.StatusOK {
-		return errors.Errorf("%s%s: status %d", o.Address, o.Path, resp.StatusCode())
+		return errors.Errorf("POST %s%s: status %d, want 200", o.Address, o.Path, resp.StatusCode())
 	}
 	return nil
 }
--- a/bluebellstand/src/list.go
+++ b/bluebellstand/src/list.go
@@ -12,18 +12,20 @@
 	"bluebellport.example/shared/bbcli"
 )
 
-// Instance is one entry of the list of instances.
+// Instance is an entry of the list of instances.
 type Instance struct {
 	ID      string `json:"id"`
 	Domain  string `json:"domain"`
 	Address string `json:"address"`
 	// State is "live" or "leaving".
 	State string `json:"state"`
-	// Since is in milliseconds since the epoch.
+	// Since is when the entry was last changed, in milliseconds since the epoch.
 	Since int64 `json:"since"`
 }
 
-// ListFault is the body of POST /admin/fault of the list.
+// ListFault is the body of POST /admin/fault of the list of instances. It
+// replaces the faults in force. Silent makes the connections that are now open
+// silent for good.
 type ListFault struct {
 	Down      bool `json:"down"`
 	LatencyMS int  `json:"slowms"`
@@ -37,7 +39,8 @@
 	stateLeaving = "leaving"
 )
 
-// instanceList is the list, as the changes that made it.
+// instanceList is the list of instances. It keeps all changes, so that it can
+// also answer with an outdated list.
 type instanceList struct {
 	mu      sync.Mutex
 	changes []instanceChange
@@ -50,6 +53,7 @@
 	removed bool
 }
 
+// addChange adds or replaces an instance, or removes it if gone is set.
 func (i *instanceList) addChange(inst Instance, gone bool, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -57,7 +61,7 @@
 	i.changes = append(i.changes, instanceChange{at: now, inst: inst, removed: gone})
 }
 
-// listAt returns the list as it was at a time, sorted by id.
+// listAt returns the list as it was at t, sorted by id.
 func (i *instanceList) listAt(t time.Time) []Instance {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/bluebellstand/src/listener.go
+++ b/bluebellstand/src/listener.go
@@ -6,14 +6,15 @@
 	"sync/atomic"
 )
 
-// listener makes connections that can go silent for good while new ones work.
+// listener simulates network failures. It can make all open connections silent
+// for good, while new connections work.
 type listener struct {
 	net.Listener
 	mu    sync.Mutex
 	conns map[*conn]bool
 }
 
-// conn is one connection of a listener.
+// conn is a connection of a listener.
 type conn struct {
 	net.Conn
 	l     *listener
@@ -41,8 +42,8 @@
 	return c, nil
 }
 
-// mute silences the open connections, idle ones included, but not the one that
-// asks for it.
+// mute makes all open connections silent, including idle ones, except the one on
+// which the fault was requested.
 func (l *listener) mute(except net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,7 +54,8 @@
 	}
 }
 
-// Read returns nothing more once the connection is silent, until it is closed.
+// Read discards all data once the connection is silent. It then returns only with
+// an error, as when the other end closes the connection.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -63,7 +65,7 @@
 	}
 }
 
-// Write drops what is written once the connection is silent.
+// Write discards b if the connection is silent.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.muted.Load() {
 		return len(b), nil
@@ -71,7 +73,8 @@
 	return c.Conn.Write(b)
 }
 
-// Close keeps a silent connection open, so that the other end is not told.
+// Close does not close a silent connection, so that the other end does not see an
+// end.
 func (c *conn) Close() error {
 	if c.muted.Load() {
 		return nil
--- a/bluebellstand/src/load.go
+++ b/bluebellstand/src/load.go
@@ -17,16 +17,16 @@
 	"bluebellport.example/shared/bbcli"
 )
 
-// LoadOptions set what the load generator sends.
+// LoadOptions configures the load generator.
 type LoadOptions struct {
-	Instances     []string // taken in turn, as a balancer does
+	Instances     []string // used round-robin, as by a load balancer
 	Keys          []string
 	Service       string
 	Plain         string
 	StreamedShare float64 // share of the chats
 	PlainShare    float64 // share of all requests
 	WriteShare    float64 // share of the requests to the plain service
-	Rate          float64 // requests a second
+	Rate          float64 // requests per second; 0 is limited by Concurrency alone
 	Concurrency   int
 	Duration      time.Duration
 	Count         int
@@ -89,6 +89,7 @@
 	return append(bad, bbcli.CheckDuration("--timeout", o.Timeout)...)
 }
 
+// checkShare returns a line if the flag's value is not from 0 to 1.
 func checkShare(flag string, v float64) []string {
 	if v < 0 || v > 1 {
 		return []string{fmt.Sprintf("%s: must be from 0 to 1, is %v", flag, v)}
@@ -124,9 +125,9 @@
 	return nil
 }
 
-// Generate sends requests until the duration has passed, the count is reached
-// or ctx ends, and returns when all have ended. It calls done, at several times
-// at once, with the end of each.
+// Generate sends requests until the duration has passed, the count is reached or
+// ctx is done, and returns when all requests have ended. It calls onResult with
+// the result of each request, concurrently.
 func Generate(ctx context.Context, o LoadOptions, onResult func(LoadResult)) {
 	sender, stop := newSender(o.Instances, o.Timeout)
 	defer stop()
--- a/bluebellstand/src/load_report.go
+++ b/bluebellstand/src/load_report.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// RefusalCount counts the refusals of one kind.
+// RefusalCount counts the refusals with the same status, outcome and title.
 type RefusalCount struct {
 	Status  int    `json:"status"`
 	Outcome string `json:"outcome"`
@@ -19,14 +19,14 @@
 	Count   int    `json:"count"`
 }
 
-// Percentiles is how a time is spread, in milliseconds.
+// Percentiles holds percentiles of a duration in milliseconds.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// LoadReport sums results up.
+// LoadReport summarizes the results of a load.
 type LoadReport struct {
 	Sent      int            `json:"sent"`
 	Done      int            `json:"done"`
@@ -36,7 +36,7 @@
 	Truncated int            `json:"cut"`
 	Wrong     int            `json:"wrong"`
 	Tokens    int            `json:"tokens"`
-	// Latency and First are of the requests that are done.
+	// Latency and FirstByte cover only the requests that are done.
 	Latency   Percentiles `json:"latency"`
 	FirstByte Percentiles `json:"first"`
 
@@ -49,7 +49,7 @@
 	return &LoadReport{Refusals: []RefusalCount{}, latencyHistogram: hdrhistogram.New(1, maxMicroseconds, 3), firstByteHistogram: hdrhistogram.New(1, maxMicroseconds, 3)}
 }
 
-// Add counts one result.
+// Add adds a result to the report.
 func (l *LoadReport) Add(r LoadResult) {
 	l.Sent++
 	if r.Attempts > 1 {
--- a/bluebellstand/src/load_request.go
+++ b/bluebellstand/src/load_request.go
@@ -9,38 +9,38 @@
 
 //go:generate enumer -type=LoadKind -trimprefix=Load -transform=kebab -text -json -output=loadkind_enumer.go
 
-// LoadKind is a kind of request.
+// LoadKind is a kind of request that the load generator sends.
 type LoadKind int
 
 // Kinds of request.
 const (
-	// LoadWhole is a chat with one whole answer.
+	// LoadWhole is a chat that is answered in one piece.
 	LoadWhole LoadKind = iota
 	// LoadStream is a chat with a streamed answer.
 	LoadStream
 	// LoadRead is an idempotent request to a plain service.
 	LoadRead
-	// LoadWrite is a request to a plain service that may not be repeated.
+	// LoadWrite is a request to a plain service that is not idempotent.
 	LoadWrite
 )
 
-// loadRequest is one request with the answer that it must get.
+// loadRequest is a request with the expected answer.
 type loadRequest struct {
 	n        int
 	id       string
 	kind     LoadKind
-	keyIndex int // place among the keys
+	keyIndex int // index in LoadOptions.Keys
 	apiKey   string
 	method   string
 	path     string
 	body     []byte
-	// wantText is the text of a chat's answer.
+	// wantText is the expected text of a chat's answer.
 	wantText string
-	// wantPlain is the answer of a plain service, without its run.
+	// wantPlain is the expected answer of a plain service, without WriteNumber.
 	wantPlain PlainResponse
 }
 
-// newRequest makes the n-th request.
+// newRequest returns the n-th request. Its kind and key are chosen at random.
 func (o *LoadOptions) newRequest(n int, rng *rand.Rand) *loadRequest {
 	r := &loadRequest{n: n, id: fmt.Sprintf("%s-%d-%d", o.Prefix, o.Seed, n), keyIndex: rng.IntN(len(o.Keys))}
 	r.apiKey = o.Keys[r.keyIndex]
@@ -76,7 +76,7 @@
 	Options   *streamOptions `json:"stream_options,omitempty"`
 }
 
-// setChat makes r a chat with the prompt.
+// setChat makes r a chat with the prompt. The kind of r has to be set before.
 func (r *loadRequest) setChat(service, prompt string, maxTokens int) {
 	chat := loadChat{Model: service, Messages: []Message{{Role: "user", Content: prompt}}, MaxTokens: maxTokens}
 	if r.kind == LoadStream {
--- a/bluebellstand/src/load_send.go
+++ b/bluebellstand/src/load_send.go
@@ -16,35 +16,39 @@
 	"github.com/valyala/fasthttp"
 )
 
-// outcomeLost means that the connection broke or the time ran out before an
-// answer came: the caller knows nothing.
+// outcomeLost means that the connection broke or the timeout expired before the
+// answer arrived, so that the caller does not know the outcome.
 const outcomeLost = "lost"
 
-// LoadResult is how one request ended.
+// LoadResult is the result of one request. The outcome and the fields about the
+// answer are those of the last attempt.
 type LoadResult struct {
 	ID       string   `json:"id"`
 	Kind     LoadKind `json:"kind"`
 	KeyIndex int      `json:"key"`
 	Status   int      `json:"status"`
-	Outcome  string   `json:"outcome"` // of RFC 9457 answers, "done" or "lost"
+	Outcome  string   `json:"outcome"` // from an RFC 9457 answer, "done" or "lost"
 	Title    string   `json:"title,omitempty"`
 	Attempts int      `json:"attempts"`
-	// BrokenAttempts is how many attempts got a connection and no whole answer on it.
+	// BrokenAttempts is the number of attempts that were connected but got no
+	// complete answer.
 	BrokenAttempts int `json:"broken"`
-	// Truncated tells that an answer began and did not end.
+	// Truncated means that an answer with status 200 began but did not end.
 	Truncated bool `json:"cut,omitempty"`
-	// Wrong tells that an answer is whole and not the right one.
+	// Wrong means that the answer is complete but not the expected one.
 	Wrong bool `json:"wrong,omitempty"`
-	// Tokens is what the answer's usage says.
+	// Tokens is the total in the answer's usage.
 	Tokens int `json:"tokens"`
-	// Start is when the request was due, in milliseconds since the epoch.
+	// Start is when the request was scheduled, in milliseconds since the epoch.
 	Start int64 `json:"start"`
-	// AttemptErrors is what each attempt was told: status, outcome and title.
+	// AttemptErrors has the status, outcome and title of each attempt that was
+	// not done.
 	AttemptErrors []string `json:"told,omitempty"`
-	// NotRunAt holds when the caller was told "not-run", in microseconds since
-	// the epoch.
+	// NotRunAt has the times of the answers with outcome "not-run", in
+	// microseconds since the epoch.
 	NotRunAt []int64 `json:"notrun,omitempty"`
-	// FirstByte and Total are times since the request was due, in nanoseconds.
+	// FirstByte and Total are durations since the request was scheduled, in
+	// nanoseconds in the JSON.
 	FirstByte  time.Duration `json:"first"`
 	Total      time.Duration `json:"total"`
 	text       string
@@ -65,7 +69,7 @@
 	return c, nil
 }
 
-// sender sends requests to instances in turn.
+// sender sends requests to the instances, round-robin.
 type sender struct {
 	timeout time.Duration
 	clients []*fasthttp.HostClient
@@ -90,8 +94,8 @@
 	}
 }
 
-// sendWithRetries sends the request, again to the next instance while that can help and
-// retries are left, and returns how it ended.
+// sendWithRetries sends the request and repeats it at the next instance while a
+// retry can help and retries are left.
 func (s *sender) sendWithRetries(r *loadRequest, retries int, scheduledAt time.Time) LoadResult {
 	result := LoadResult{ID: r.id, Kind: r.kind, KeyIndex: r.keyIndex, Start: scheduledAt.UnixMilli()}
 	for result.Attempts = 1; ; result.Attempts++ {
@@ -114,12 +118,12 @@
 	return result
 }
 
-// shouldRetry tells whether sending the request once more can help.
+// shouldRetry reports whether a retry can help.
 func (l *LoadResult) shouldRetry() bool {
 	return l.Outcome == outcomeLost || l.Truncated || l.retryDelay > 0
 }
 
-// sendOnce sends the request once and sets out by the answer.
+// sendOnce sends the request once and sets the result by the answer.
 func (s *sender) sendOnce(client *fasthttp.HostClient, r *loadRequest, result *LoadResult, scheduledAt time.Time) {
 	result.Status, result.Outcome, result.Title, result.Truncated, result.Wrong, result.Tokens, result.text, result.retryDelay, result.err = 0, outcomeLost, "", false, false, 0, "", 0, nil
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -143,6 +147,7 @@
 	result.readResponse(r, resp, scheduledAt)
 }
 
+// readResponse reads the answer and compares it with the expected one.
 func (l *LoadResult) readResponse(r *loadRequest, resp *fasthttp.Response, scheduledAt time.Time) {
 	body := &firstByteTimer{r: resp.BodyStream(), scheduledAt: scheduledAt}
 	if resp.BodyStream() == nil {
@@ -176,14 +181,14 @@
 	}
 }
 
-// firstByteTimer notes when the first byte came.
+// firstByteTimer is a reader that measures the time to the first byte.
 type firstByteTimer struct {
 	r           io.Reader
 	scheduledAt time.Time
 	elapsed     time.Duration
 }
 
-// Read reads on.
+// Read implements io.Reader.
 func (f *firstByteTimer) Read(b []byte) (int, error) {
 	n, err := f.r.Read(b)
 	if n > 0 && f.elapsed == 0 {
@@ -229,7 +234,8 @@
 	return nil
 }
 
-// readStream reads server-sent events up to [DONE].
+// readStream reads server-sent events up to [DONE]. A stream without it is an
+// error.
 func (l *LoadResult) readStream(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, 1<<20)
@@ -257,10 +263,12 @@
 	if scanner.Err() != nil {
 		return scanner.Err()
 	}
-	return errors.New("stream ended early")
+	return errors.New("stream ended without [DONE]")
 }
 
-// readPlain tells also whether the answer is another request's.
+// readPlain reads the answer of a plain service. It sets Wrong if the answer is
+// that of another request, or has a write number although the request is a read,
+// or none although it is a write.
 func (l *LoadResult) readPlain(r *loadRequest, body io.Reader) error {
 	b, err := io.ReadAll(body)
 	if err != nil {
--- a/bluebellstand/src/load_test.go
+++ b/bluebellstand/src/load_test.go
@@ -24,6 +24,7 @@
 	return o
 }
 
+// runLoad runs the load generator and returns its report and all results.
 func runLoad(o LoadOptions) (*LoadReport, []LoadResult) {
 	var mu sync.Mutex
 	var results []LoadResult
@@ -60,12 +61,12 @@
 		want   LoadResult
 	}{
 		{"right", LoadWhole, 200, wholeAnswer("right"), LoadResult{Status: 200, Outcome: "done"}},
-		{"crossed", LoadWhole, 200, wholeAnswer("other"), LoadResult{Status: 200, Outcome: "done", Wrong: true}},
+		{"answer of another request", LoadWhole, 200, wholeAnswer("other"), LoadResult{Status: 200, Outcome: "done", Wrong: true}},
 		{"not JSON", LoadWhole, 200, `{"cho`, LoadResult{Status: 200, Outcome: outcomeLost, Truncated: true}},
 		{"stream", LoadStream, 200, "data: " + fmt.Sprintf(chunk, "right") + "\n\ndata: [DONE]\n\n", LoadResult{Status: 200, Outcome: "done"}},
 		{"stream cut", LoadStream, 200, "data: " + fmt.Sprintf(chunk, "right") + "\n\n", LoadResult{Status: 200, Outcome: outcomeLost, Truncated: true}},
 		{"refused", LoadWhole, 402, `{"title":"budget exhausted","outcome":"not-run"}`, LoadResult{Status: 402, Outcome: "not-run", Title: "budget exhausted"}},
-		{"run of another", LoadWrite, 200, `{"path":"/other","run":1}`, LoadResult{Status: 200, Outcome: "done", Wrong: true}},
+		{"plain answer of another request", LoadWrite, 200, `{"path":"/other","run":1}`, LoadResult{Status: 200, Outcome: "done", Wrong: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/bluebellstand/src/native.go
+++ b/bluebellstand/src/native.go
@@ -18,8 +18,8 @@
 	"bluebellport.example/shared/bbstore"
 )
 
-// NativeOptions are what `bluebellport native` runs against: the platform's
-// store, a plan in it, and targets.
+// NativeOptions configures the native command, which serves what `bluebellport
+// native` runs against: the platform's store with a plan in it, and targets.
 type NativeOptions struct {
 	Store   string
 	Plan    string
@@ -39,7 +39,7 @@
 func (o *NativeOptions) check() []string {
 	var bad []string
 	if _, err := netip.ParseAddrPort(o.Store); err != nil {
-		bad = append(bad, fmt.Sprintf("--store: not an IP number and port: %q", o.Store))
+		bad = append(bad, fmt.Sprintf("--store: not an IP address and port: %q", o.Store))
 	}
 	if _, err := os.Stat(o.Plan); err != nil {
 		bad = append(bad, fmt.Sprintf("--plan: %q: not a file that can be read", o.Plan))
@@ -58,7 +58,7 @@
 	return bad
 }
 
-// parseTarget reads one --target.
+// parseTarget parses the value of a --target flag.
 func (o *NativeOptions) parseTarget(spec string) (bbplatformstand.TargetOptions, error) {
 	id, rest, hasService := strings.Cut(spec, "=")
 	service, domain, hasDomain := strings.Cut(rest, "@")
@@ -71,7 +71,8 @@
 	}, nil
 }
 
-// run serves until ctx ends, and then logs what each target ran.
+// run serves until ctx is done, and then logs the number of executions of each
+// target.
 func (o *NativeOptions) run(ctx context.Context, s streams) error {
 	plan, err := os.ReadFile(o.Plan)
 	if err != nil {
--- a/bluebellstand/src/native_call.go
+++ b/bluebellstand/src/native_call.go
@@ -15,7 +15,8 @@
 	"bluebellport.example/platform"
 )
 
-// NativeCallOptions are requests to an instance that runs `bluebellport native`.
+// NativeCallOptions configures the native-call command, which sends requests to
+// an instance that runs `bluebellport native`.
 type NativeCallOptions struct {
 	Address, Host, Path, Key, Usage string
 	Count                           int
@@ -35,10 +36,10 @@
 func (o *NativeCallOptions) check() []string {
 	var bad []string
 	if _, err := netip.ParseAddrPort(o.Address); err != nil {
-		bad = append(bad, fmt.Sprintf("--address: not an IP number and port: %q", o.Address))
+		bad = append(bad, fmt.Sprintf("--address: not an IP address and port: %q", o.Address))
 	}
 	if o.Host == "" || !strings.HasPrefix(o.Path, "/") {
-		bad = append(bad, fmt.Sprintf("--host, --path: %q, %q", o.Host, o.Path))
+		bad = append(bad, fmt.Sprintf("--host, --path: host must not be empty and path must begin with /: %q, %q", o.Host, o.Path))
 	}
 	if _, _, ok := bbplatform.ParseTokenUsage(o.Usage); o.Usage != "" && !ok {
 		bad = append(bad, fmt.Sprintf("--usage: not two numbers: %q", o.Usage))
@@ -49,8 +50,8 @@
 	return bad
 }
 
-// run sends the requests and prints how many got which status, and the last
-// answer.
+// run sends the requests one after the other and prints the number of requests
+// per status and the last answer.
 func (o *NativeCallOptions) run(ctx context.Context, s streams) error {
 	countByStatus := map[string]int{}
 	lastBody := ""
@@ -66,6 +67,8 @@
 	return err
 }
 
+// send sends one request and returns the status line and the body of the answer.
+// If there is none, the error takes the place of the status.
 func (o *NativeCallOptions) send(ctx context.Context) (status, body string) {
 	ctx, cancel := context.WithTimeout(ctx, o.Deadline)
 	defer cancel()
--- a/bluebellstand/src/options.go
+++ b/bluebellstand/src/options.go
@@ -10,7 +10,7 @@
 	"bluebellport.example/shared/bbcli"
 )
 
-// flag declares a flag with its environment variable.
+// flag declares a flag with its environment variable BLUEBELLSTAND_NAME.
 func flag(cmd *kingpin.CmdClause, name, value, help string) *kingpin.FlagClause {
 	env := "BLUEBELLSTAND_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 	f := cmd.Flag(name, help).Envar(env)
@@ -20,10 +20,10 @@
 	return f
 }
 
-// StoreOptions set the stand-in of the key-value service.
+// StoreOptions configures the stand-in for the key-value service.
 type StoreOptions struct {
 	Listen              string
-	ReadRate, WriteRate float64 // calls a second
+	ReadRate, WriteRate float64 // calls per second; 0 does not limit
 	Progress            time.Duration
 }
 
@@ -41,7 +41,7 @@
 	return append(bad, bbcli.CheckDuration("--progress", o.Progress)...)
 }
 
-// ListOptions set the stand-in of the list of instances.
+// ListOptions configures the stand-in for the list of instances.
 type ListOptions struct {
 	Listen string
 	Lag    time.Duration
@@ -56,7 +56,8 @@
 	return append(bbcli.CheckAddress("--list", o.Listen), checkMin("--list-lag", o.Lag.Seconds(), 0)...)
 }
 
-// PlatformOptions set both stand-ins of the platform.
+// PlatformOptions configures the stand-ins for the key-value service and for the
+// list of instances, which the platform command serves together.
 type PlatformOptions struct {
 	Store StoreOptions
 	List  ListOptions
@@ -69,19 +70,19 @@
 
 func (o *PlatformOptions) check() []string { return append(o.Store.check(), o.List.check()...) }
 
-// EngineOptions set the stand-in of a model engine.
+// EngineOptions configures the stand-in for a model engine.
 type EngineOptions struct {
 	Listen   string
 	Model    string
 	Slots    int
 	Queue    int
 	Interval time.Duration // between tokens
-	Prefill  time.Duration // for each prompt token
-	Answer   int           // tokens, when the prompt tells no other number
+	Prefill  time.Duration // per prompt token
+	Answer   int           // tokens, unless the prompt has another number
 	LoadLag  time.Duration
 	EventLag time.Duration
 	EventGap int
-	Cache    int // prompts
+	Cache    int // prompt prefixes
 	Linger   time.Duration
 	Fence    bool
 	Crash    string
@@ -118,7 +119,7 @@
 	return append(bad, checkMin("--linger", o.Linger.Seconds(), 0)...)
 }
 
-// PlainOptions set the stand-in of a plain service.
+// PlainOptions configures the stand-in for a plain service.
 type PlainOptions struct {
 	Listen string
 	Slots  int
@@ -140,7 +141,7 @@
 	return append(bad, checkMin("--delay", o.Delay.Seconds(), 0)...)
 }
 
-// checkMin returns a line when the flag's value is below least.
+// checkMin returns a line if the flag's value is below minimum.
 func checkMin(flag string, v, minimum float64) []string {
 	if v < minimum {
 		return []string{fmt.Sprintf("%s: must be %v at least, is %v", flag, minimum, v)}
--- a/bluebellstand/src/plain.go
+++ b/bluebellstand/src/plain.go
@@ -13,19 +13,20 @@
 
 const headerIdempotencyKey = "Idempotency-Key"
 
-// PlainExecution is one run of a request by a plain service.
+// PlainExecution is one execution of a request by a plain service.
 type PlainExecution struct {
 	Request     string `json:"request"`
 	Method      string `json:"method"`
 	Path        string `json:"path"`
 	WriteNumber int    `json:"run"`
 	State       string `json:"state"`
-	// AcceptedAt is when the request came, in microseconds since the epoch.
+	// AcceptedAt is when the request arrived, in microseconds since the epoch.
 	AcceptedAt int64 `json:"at"`
 }
 
-// PlainResponse is what a plain service answers: a function of the request, but
-// for Run, which counts the runs that are not reads.
+// PlainResponse is the answer of a plain service. It depends on the request
+// alone, except for WriteNumber, which numbers the executed requests that are not
+// reads from 1 and is 0 for a read.
 type PlainResponse struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -36,19 +37,19 @@
 
 // PlainFault is the body of POST /admin/fault of a plain service.
 type PlainFault struct {
-	// Silent silences the connections that are open now, for good.
+	// Silent makes the connections that are now open silent for good.
 	Silent bool `json:"silent"`
-	// Leaving refuses new requests.
+	// Leaving makes the service refuse new requests.
 	Leaving bool `json:"leaving"`
 	// LoseNextAnswers loses the answers of that many requests after they ran.
 	LoseNextAnswers int `json:"lose"`
-	// FailNextAnswers answers that many requests with a 500 after they ran.
+	// FailNextAnswers answers that many requests with status 500 after they ran.
 	FailNextAnswers int `json:"fail"`
 	DelayMS         int `json:"delayms"`
 }
 
-// plainService is a service whose GET and HEAD may be repeated and whose other methods
-// may not.
+// plainService is a service in which GET and HEAD are idempotent and other methods
+// are not.
 type plainService struct {
 	opts PlainOptions
 
@@ -112,12 +113,13 @@
 	return c.JSON(NewPlainResponse(c.Method(), c.OriginalURL(), c.Body(), execution.WriteNumber))
 }
 
-// NewPlainResponse returns what a plain service answers to the request.
+// NewPlainResponse returns the answer of a plain service to the request.
 func NewPlainResponse(method, path string, body []byte, writeNumber int) PlainResponse {
 	sum := sha256.Sum256(body)
 	return PlainResponse{Method: method, Path: path, Body: hex.EncodeToString(sum[:]), WriteNumber: writeNumber}
 }
 
+// admit counts the request as waiting, or returns errLeaving or errQueueFull.
 func (p *plainService) admit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +135,8 @@
 	return nil
 }
 
-// beginExecution records the run and takes one of the counted faults.
+// beginExecution records the execution and returns it with the faults that apply
+// to it. It uses up one of each counted fault.
 func (p *plainService) beginExecution(c *fiber.Ctx, receivedAt time.Time) (PlainExecution, PlainFault) {
 	id := c.Get(headerIdempotencyKey)
 	if id == "" {
--- a/bluebellstand/src/plain_test.go
+++ b/bluebellstand/src/plain_test.go
@@ -41,7 +41,7 @@
 	_, err := http.Post(url+"/closures", "", strings.NewReader("road"))
 	is.True(err != nil)
 	_, _, body := sendRequest(t, "GET", url+"/admin/ran", "", "")
-	is.True(strings.Contains(body, `"run":1,"state":"done"`)) // it ran all the same
+	is.True(strings.Contains(body, `"run":1,"state":"done"`)) // it ran although its answer was lost
 	setFault(`{"fail":1}`)
 	status, _, _ := sendRequest(t, "POST", url+"/closures", "", "road")
 	is.Equal(status, 500)
--- a/bluebellstand/src/serve.go
+++ b/bluebellstand/src/serve.go
@@ -16,20 +16,20 @@
 	"bluebellport.example/shared/bbserve"
 )
 
-// shutdownTimeout is how long open requests may take to end at a stop.
+// shutdownTimeout is how long a shutdown waits for open requests.
 const shutdownTimeout = 2 * time.Second
 
-// standIn is one stand-in at one address.
+// standIn is a stand-in service at one address.
 type standIn struct {
 	name string
 	addr string
-	// mount adds the part's routes.
+	// mount adds the routes of the stand-in.
 	mount func(app *fiber.App, l *listener)
-	// stop ends what the part has running.
+	// stop ends what the stand-in has running.
 	stop func()
 }
 
-// serve listens at each part's address and serves until ctx ends.
+// serve listens at the address of each stand-in and serves until ctx is done.
 func serve(ctx context.Context, s streams, parts ...standIn) error {
 	listeners := make([]*listener, len(parts))
 	for i, p := range parts {
@@ -68,6 +68,8 @@
 	return err
 }
 
+// respondError is the error handler of all stand-ins. It answers with the status
+// of a *fiber.Error, or else 500.
 func respondError(c *fiber.Ctx, err error) error {
 	status := http.StatusInternalServerError
 	var fiberErr *fiber.Error
@@ -86,7 +88,8 @@
 	Type    string `json:"type"`
 }
 
-// decodeStrict reads the request's JSON body; an unknown field is an error.
+// decodeStrict decodes the JSON body of the request into v. An unknown field is
+// an error.
 func decodeStrict(c *fiber.Ctx, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(c.Body()))
 	decoder.DisallowUnknownFields()
@@ -96,7 +99,7 @@
 	return nil
 }
 
-// closeWithoutResponse closes the connection without an answer.
+// closeWithoutResponse closes the connection instead of answering.
 func closeWithoutResponse(c *fiber.Ctx) error {
 	c.Context().HijackSetNoResponse(true)
 	c.Context().Hijack(func(conn net.Conn) { _ = conn.Close() })
--- a/bluebellstand/src/store.go
+++ b/bluebellstand/src/store.go
@@ -9,8 +9,8 @@
 	"bluebellport.example/shared/bbstore"
 )
 
-// StoreFault is the body of POST /admin/fault of the store: the faults that are
-// in force from then on. Times are in milliseconds.
+// StoreFault is the body of POST /admin/fault of the store. It replaces the faults
+// in force. bbstore.Faults explains them.
 type StoreFault struct {
 	Down               bool    `json:"down"`
 	LatencyMS          int     `json:"slowms"`
@@ -20,7 +20,7 @@
 	ApplyDelayMS       int     `json:"latems"`
 	ReadRate           float64 `json:"readrate"`
 	WriteRate          float64 `json:"writerate"`
-	// Silent silences the connections that are open now, for good.
+	// Silent makes the connections that are now open silent for good.
 	Silent bool `json:"silent"`
 }
 
--- a/bluebellstand/src/text.go
+++ b/bluebellstand/src/text.go
@@ -7,23 +7,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// vocabulary are what answers are made of.
+// vocabulary holds the words that answers are made of.
 var vocabulary = strings.Fields("street permit crew trench closure copy counter school month reading heat pipe till page desk map sign draft order date block line north south")
 
-// tokensMarker, before a number in a prompt, sets how many tokens the answer has.
+// tokensMarker before a number in a prompt sets the length of the answer in
+// tokens.
 const tokensMarker = "--tokens"
 
-// nameMarker, before a word in a prompt, names the request in what an engine
-// records, whatever ids it had on its way.
+// nameMarker before a word in a prompt sets the request's name in an engine's
+// records. It identifies the request whatever ids it is given on its way.
 const nameMarker = "--name"
 
-// Message is one message of a chat.
+// Message is a message of a chat.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// PromptTokens returns how many tokens the messages count for.
+// PromptTokens returns the number of tokens of the messages: one per word.
 func PromptTokens(messages []Message) int {
 	n := 0
 	for _, m := range messages {
@@ -32,9 +33,9 @@
 	return n
 }
 
-// AnswerTokens returns the whole answer to the messages, token by token: a
-// function of model and messages alone. usual is its length when the last
-// message has no "--tokens N".
+// AnswerTokens returns the tokens of the whole answer to the messages. They depend
+// on the model and the messages alone, so that every caller can check an answer.
+// defaultLength is their number if no message has "--tokens N".
 func AnswerTokens(model string, messages []Message, defaultLength int) []string {
 	key := model
 	n := defaultLength
@@ -53,8 +54,8 @@
 	return tokens
 }
 
-// AnswerText returns the answer to the messages, cut after most tokens when
-// most is above 0.
+// AnswerText returns the answer to the messages, cut after limit tokens if limit
+// is above 0.
 func AnswerText(model string, messages []Message, defaultLength, limit int) string {
 	tokens := AnswerTokens(model, messages, defaultLength)
 	if limit > 0 && limit < len(tokens) {
@@ -63,6 +64,8 @@
 	return strings.Join(tokens, "")
 }
 
+// answerLength returns the number after "--tokens" in the text, or defaultLength
+// if there is none above 0.
 func answerLength(text string, defaultLength int) int {
 	if n, err := strconv.Atoi(wordAfter(text, tokensMarker, "")); err == nil && n > 0 {
 		return n
@@ -70,7 +73,8 @@
 	return defaultLength
 }
 
-// wordAfter returns the word that follows mark in the text, or none.
+// wordAfter returns the word that follows the first marker in the text, or
+// fallback if there is none.
 func wordAfter(text, marker, fallback string) string {
 	fields := strings.Fields(text)
 	for i := 0; i+1 < len(fields); i++ {
@@ -81,9 +85,9 @@
 	return fallback
 }
 
-// remainingTokens returns the tokens that follow a partial answer, and false when the
-// partial answer is not how the answer begins. A token cut in two goes on with
-// its rest.
+// remainingTokens returns the tokens that follow a partial answer. If that ends
+// within a token, the rest of the token comes first. It returns false if the
+// answer does not begin with the partial answer.
 func remainingTokens(tokens []string, partial string) ([]string, bool) {
 	for i, t := range tokens {
 		if len(partial) < len(t) {
