--- a/bluebellctl/src/budget.go
+++ b/bluebellctl/src/budget.go
@@ -35,62 +35,62 @@
 }
 
 // loadBudgets returns the status of every budget in force, sorted by id. It
-// combines the tickets with the budget pages. A filter that is not empty selects
-// one budget, and errUsage is returned if that budget does not exist.
+// combines the tickets with the budget pages. A filter that is not empty
+// selects one budget, and errUsage is returned if that budget does not exist.
 func loadBudgets(ctx context.Context, e *env, filter bbunit.BudgetID) ([]bbledger.BudgetStatus, error) {
 	state, err := bbticket.NewLog(e.store).Load(ctx)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	list, err := bbledger.ListBudgets(ctx, e.store)
+	budgets, err := bbledger.ListBudgets(ctx, e.store)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	seen := map[bbunit.BudgetID]bool{}
-	for i := range list {
-		b := &list[i]
+	for i := range budgets {
+		b := &budgets[i]
 		seen[b.Budget] = true
 		// A page is updated to a new ticket only when a holder next draws from
 		// the budget. Until then the paid amount is taken from the ticket.
-		if f := state.Budgets.Get(b.Budget); f.Number > b.TicketNumber {
-			b.Remaining += f.Object.Paid - b.Paid
-			b.Paid, b.TicketNumber = f.Object.Paid, f.Number
+		if current := state.Budgets.Get(b.Budget); current.Number > b.TicketNumber {
+			b.Remaining += current.Object.Paid - b.Paid
+			b.Paid, b.TicketNumber = current.Object.Paid, current.Number
 		}
 	}
 	for id, b := range state.Budgets.All() {
 		if !seen[id] && !b.Object.Deleted {
-			list = append(list, bbledger.BudgetStatus{Budget: id, Paid: b.Object.Paid, TicketNumber: b.Number, Remaining: b.Object.Paid})
+			budgets = append(budgets, bbledger.BudgetStatus{Budget: id, Paid: b.Object.Paid, TicketNumber: b.Number, Remaining: b.Object.Paid})
 		}
 	}
 	if filter != "" {
-		list = slices.DeleteFunc(list, func(b bbledger.BudgetStatus) bool { return b.Budget != filter })
-		if len(list) == 0 {
+		budgets = slices.DeleteFunc(budgets, func(b bbledger.BudgetStatus) bool { return b.Budget != filter })
+		if len(budgets) == 0 {
 			return nil, errors.WithType(errors.Errorf("budget: unknown: %q", filter), errUsage)
 		}
 	}
-	slices.SortFunc(list, func(a, b bbledger.BudgetStatus) int { return cmp.Compare(a.Budget, b.Budget) })
-	return list, nil
+	slices.SortFunc(budgets, func(a, b bbledger.BudgetStatus) int { return cmp.Compare(a.Budget, b.Budget) })
+	return budgets, nil
 }
 
 func showBudgets(ctx context.Context, e *env, filter bbunit.BudgetID, withHolders bool) error {
-	list, err := loadBudgets(ctx, e, filter)
+	budgets, err := loadBudgets(ctx, e, filter)
 	if err != nil {
 		return err
 	}
 	if withHolders && e.opts.Output == formatTable {
-		return e.render(list, []string{"BUDGET", "HOLDER", "DOMAIN", "DRAWN", "SPENT", "STUCK", "WITNESS OR REASON"}, holderRows(list))
+		return e.render(budgets, []string{"BUDGET", "HOLDER", "DOMAIN", "DRAWN", "SPENT", "STUCK", "WITNESS OR REASON"}, holderRows(budgets))
 	}
 	var rows [][]any
-	for _, b := range list {
+	for _, b := range budgets {
 		rows = append(rows, []any{b.Budget, b.Paid, b.Drawn, b.Spent, b.Stuck, b.Remaining, len(b.Holders)})
 	}
-	return e.render(list, []string{"BUDGET", "PAID", "DRAWN", "SPENT", "STUCK", "REST", "HOLDERS"}, rows)
+	return e.render(budgets, []string{"BUDGET", "PAID", "DRAWN", "SPENT", "STUCK", "REST", "HOLDERS"}, rows)
 }
 
 // holderRows returns one row for each holder and one for each stuck amount.
-func holderRows(list []bbledger.BudgetStatus) [][]any {
+func holderRows(budgets []bbledger.BudgetStatus) [][]any {
 	var rows [][]any
-	for _, b := range list {
+	for _, b := range budgets {
 		for _, h := range b.Holders {
 			rows = append(rows, []any{b.Budget, h.Holder, h.Domain, h.Drawn, h.Spent, "", h.Witness})
 		}
--- a/bluebellctl/src/core.go
+++ b/bluebellctl/src/core.go
@@ -54,11 +54,11 @@
 	defer closeStore()
 	ctx, cancel := context.WithTimeout(context.Background(), opts.Timeout)
 	defer cancel()
-	return exitCode(commands[name](ctx, &env{opts: opts, store: store, stdin: os.Stdin, stdout: stdout, stderr: stderr}), stderr)
+	return reportError(commands[name](ctx, &env{opts: opts, store: store, stdin: os.Stdin, stdout: stdout, stderr: stderr}), stderr)
 }
 
-// exitCode prints err, if any, and returns the exit code for it.
-func exitCode(err error, stderr io.Writer) int {
+// reportError prints err, if it is not nil, and returns the exit code for it.
+func reportError(err error, stderr io.Writer) int {
 	if err == nil {
 		return bbcli.ExitOK
 	}
--- a/bluebellctl/src/core_test.go
+++ b/bluebellctl/src/core_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestLowerBudget checks that a budget cannot be lowered below the amount drawn,
-// that the refusal names this amount, and that a refused ticket leaves no cap on
-// the budget.
+// TestLowerBudget checks that a budget cannot be lowered below the amount
+// drawn, that the refusal names this amount, and that a refused ticket leaves
+// no cap on the budget.
 func TestLowerBudget(t *testing.T) {
 	is := is.New(t)
 	f := newCLIFixture(t)
@@ -144,8 +144,8 @@
 	is.Equal(int64(list[0].Remaining), int64(100))
 }
 
-// TestStoreDown checks that a command fails with a message and exit code 1 if the
-// key-value service cannot be reached.
+// TestStoreDown checks that a command fails with a message and exit code 1 if
+// the key-value service cannot be reached.
 func TestStoreDown(t *testing.T) {
 	is := is.New(t)
 	var stdout, stderr bytes.Buffer
--- a/bluebellctl/src/status.go
+++ b/bluebellctl/src/status.go
@@ -26,8 +26,8 @@
 	commands[cmd.FullCommand()] = showStatus
 }
 
-// showStatus prints the status of the instance at each --admin address. It fails
-// after printing if one of them did not answer.
+// showStatus prints the status of the instance at each --admin address. It
+// fails after printing if one of them did not answer.
 func showStatus(_ context.Context, e *env) error {
 	if len(e.opts.Admins) == 0 {
 		return errors.WithType(errors.New("status needs --admin"), errUsage)
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// fetchStatus gets the status of one instance. A failure is reported in the Error
-// field of the result.
+// fetchStatus gets the status of one instance. A failure is reported in the
+// Error field of the result.
 func fetchStatus(admin string, timeout time.Duration) instanceStatus {
 	s := instanceStatus{Admin: admin}
 	code, body, err := fasthttp.GetTimeout(nil, "http://"+admin+"/status", timeout)
--- a/bluebellctl/src/ticket.go
+++ b/bluebellctl/src/ticket.go
@@ -99,11 +99,11 @@
 	return nil
 }
 
-// acceptTicket appends the ticket to the log. Budgets that the ticket lowers are
-// capped first. If more is already drawn, the ticket is refused with an error
-// that names the amount. The caps are removed only after an error which means
-// that the ticket is not in the log. After any other error it may have been
-// accepted, so they stay.
+// acceptTicket appends the ticket to the log. Budgets that the ticket lowers
+// are capped first. If more is already drawn, the ticket is refused with an
+// error that names the amount. The caps are removed only after an error which
+// means that the ticket is not in the log. After any other error it may have
+// been accepted, so they stay.
 func acceptTicket(ctx context.Context, e *env, t bbticket.Ticket, nonce string) error {
 	s, err := loadBaseState(ctx, e, t)
 	if err != nil {
--- a/bluebellctl/src/timeline.go
+++ b/bluebellctl/src/timeline.go
@@ -44,8 +44,8 @@
 	return l, err == nil && l.Instance != "" && l.Msg != ""
 }
 
-// number returns the value of a numeric field, or 0 if the line has none of that
-// name.
+// number returns the value of a numeric field, or 0 if the line has none of
+// that name.
 func (l *logLine) number(name string) float64 {
 	n, _ := l.Fields[name].(float64)
 	return n
@@ -58,8 +58,8 @@
 	return s
 }
 
-// stateKey returns the part of its instance's state that the line changes, or ""
-// if it changes none. A newer line replaces an older one with the same key.
+// stateKey returns the part of its instance's state that the line changes, or
+// "" if it changes none. A newer line replaces an older one with the same key.
 func (l *logLine) stateKey() string {
 	switch l.Event {
 	case "store-lost", "store-back", "watch-handed":
@@ -116,11 +116,11 @@
 	return errors.Trace(scanner.Err())
 }
 
-func (tl *timeline) add(l logLine) {
-	state := tl.instanceStates[l.Instance]
+func (t *timeline) add(l logLine) {
+	state := t.instanceStates[l.Instance]
 	if state == nil {
 		state = map[string]logLine{}
-		tl.instanceStates[l.Instance] = state
+		t.instanceStates[l.Instance] = state
 	}
 	if l.Event == "start" {
 		clear(state) // a restarted instance has none of its earlier state
@@ -128,8 +128,8 @@
 	if key := l.stateKey(); key != "" {
 		state[key] = l
 	}
-	if l.Request == tl.Request {
-		tl.Steps = append(tl.Steps, step{Line: l, InstanceState: relevantState(state, l)})
+	if l.Request == t.Request {
+		t.Steps = append(t.Steps, step{Line: l, InstanceState: relevantState(state, l)})
 	}
 }
 
@@ -153,12 +153,12 @@
 	})
 }
 
-// findStateLine returns the state line with the event, if the instance's state at
-// the step has one.
+// findStateLine returns the state line with the event, if the instance's state
+// at the step has one.
 func (s *step) findStateLine(event string) (logLine, bool) {
-	for _, b := range s.InstanceState {
-		if b.Event == event {
-			return b, true
+	for _, line := range s.InstanceState {
+		if line.Event == event {
+			return line, true
 		}
 	}
 	return logLine{}, false
--- a/bluebellstand/src/core.go
+++ b/bluebellstand/src/core.go
@@ -1,6 +1,6 @@
-// Package bbstand implements stand-ins for the services that a fleet of instances
-// depends on (the key-value service, the list of instances, a model engine and a
-// plain service) and a load generator that checks every answer.
+// Package bbstand implements stand-ins for the services that a fleet of
+// instances depends on (the key-value service, the list of instances, a model
+// engine and a plain service) and a load generator that checks every answer.
 package bbstand
 
 import (
@@ -24,7 +24,7 @@
 	// value.
 	check() []string
 	// run executes the command until it is complete or ctx is done.
-	run(ctx context.Context, io streams) error
+	run(ctx context.Context, s streams) error
 }
 
 // streams holds the outputs of a command.
@@ -70,10 +70,10 @@
 }
 
 func newCommands(app *kingpin.Application) map[string]command {
-	out := map[string]command{}
+	commands := map[string]command{}
 	add := func(name, help string, c command) {
 		c.flags(app.Command(name, help))
-		out[name] = c
+		commands[name] = c
 	}
 	add("store", "Serve the key-value service.", &StoreOptions{})
 	add("list", "Serve the list of instances.", &ListOptions{})
@@ -86,7 +86,7 @@
 	add("ask", "Send one request to an instance and print the answer.", &AskOptions{})
 	add("get", "Get a path, and try until it is there.", &GetOptions{})
 	add("post", "Post JSON to a path, as to the admin part of a stand-in.", &PostOptions{})
-	return out
+	return commands
 }
 
 func newLog(w io.Writer) *logrus.Logger {
--- a/bluebellstand/src/core_test.go
+++ b/bluebellstand/src/core_test.go
@@ -60,7 +60,8 @@
 }
 
 // TestStopBeforeListenerIsRegistered checks that a server ends if it is stopped
-// immediately after its start, when it may not yet have registered its listener.
+// immediately after its start, when it may not yet have registered its
+// listener.
 func TestStopBeforeListenerIsRegistered(t *testing.T) {
 	for range 300 {
 		l, err := listen("127.0.0.1:0")
--- a/bluebellstand/src/engine.go
+++ b/bluebellstand/src/engine.go
@@ -19,7 +19,8 @@
 	errPrefixMismatch = errors.ConstError("the last message is not how the answer begins")
 )
 
-// exitCodeCrash is the exit code of an engine after a prompt with the crash word.
+// exitCodeCrash is the exit code of an engine after a prompt with the crash
+// word.
 const exitCodeCrash = 70
 
 // States of a request.
@@ -66,11 +67,11 @@
 	ctx         context.Context
 }
 
-// engine simulates continuous batching: every running request generates one token
-// per interval, and a waiting request starts as soon as a slot is free.
+// engine simulates continuous batching: every running request generates one
+// token per interval, and a waiting request starts as soon as a slot is free.
 type engine struct {
 	opts EngineOptions
-	exit func(int)
+	exit func(int) // replaced in tests
 	// onAccepted is called for each accepted request before it runs.
 	onAccepted func(EngineExecution)
 
@@ -89,8 +90,8 @@
 	wg          conc.WaitGroup
 }
 
-// newEngine returns an engine and a function that cancels its requests and waits
-// for them to end.
+// newEngine returns an engine and a function that cancels its requests and
+// waits for them to end.
 func newEngine(o EngineOptions) (*engine, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &engine{opts: o, exit: os.Exit, onAccepted: func(EngineExecution) {}, jobs: map[string]*job{}, ctx: ctx}
@@ -157,8 +158,8 @@
 	return j, nil
 }
 
-// assignSlots gives the free slots to the requests at the head of the queue. The
-// caller holds e.mu.
+// assignSlots gives the free slots to the requests at the head of the queue.
+// The caller holds e.mu.
 func (e *engine) assignSlots() {
 	for e.running < e.opts.Slots && len(e.waiting) > 0 {
 		j := e.waiting[0]
@@ -198,8 +199,8 @@
 	e.releaseSlot(j)
 }
 
-// sleep waits for d, or until the engine is no longer frozen if that is later. It
-// returns false if ctx was done first.
+// sleep waits for d, or until the engine is no longer frozen if that is later.
+// It returns false if ctx was done first.
 func (e *engine) sleep(ctx context.Context, d time.Duration) bool {
 	e.mu.Lock()
 	if frozen := time.Until(e.frozenUntil); frozen > d {
@@ -222,8 +223,8 @@
 	e.finish(j)
 }
 
-// abandon ends a request that was cancelled while it waited for a slot. It frees
-// the slot if the request got one in the meantime.
+// abandon ends a request that was cancelled while it waited for a slot. It
+// frees the slot if the request got one in the meantime.
 func (e *engine) abandon(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -239,7 +240,8 @@
 	e.finish(j)
 }
 
-// finish sets the final state of the request. The caller holds e.mu.
+// finish sets the final state of the request and gives free slots to waiting
+// requests. The caller holds e.mu.
 func (e *engine) finish(j *job) {
 	j.state = stateDone
 	if j.generated < len(j.answerTokens) {
@@ -255,8 +257,8 @@
 	j.changed = make(chan struct{})
 }
 
-// progress is a snapshot of a request for a reader. The channel changed is closed
-// at the next change.
+// progress is a snapshot of a request for a reader. The channel changed is
+// closed at the next change.
 type progress struct {
 	tokens    []string
 	generated int
@@ -285,8 +287,8 @@
 	j.readers++
 }
 
-// removeReader removes a reader of the request's stream. The request is cancelled
-// if it has no reader after the linger time.
+// removeReader removes a reader of the request's stream. The request is
+// cancelled if it has no reader after the linger time.
 func (e *engine) removeReader(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -322,7 +324,8 @@
 	return out
 }
 
-// execution returns the current state of the request. The caller holds engine.mu.
+// execution returns the current state of the request. The caller holds
+// engine.mu.
 func (j *job) execution() EngineExecution {
 	return EngineExecution{Request: j.id, Name: j.name, GeneratedTokens: j.generated, PromptTokens: j.promptTokens, State: j.state, AcceptedAt: j.acceptedAt.UnixMicro()}
 }
--- a/bluebellstand/src/engine_admin.go
+++ b/bluebellstand/src/engine_admin.go
@@ -16,8 +16,8 @@
 	FreezeMS int `json:"freezems"`
 }
 
-// TargetCounts holds the request counts of a target. The engine alone sets
-// GeneratedTokens and HighestFence.
+// TargetCounts holds the request counts of a target. Accepted and Refused count
+// from its start. Only an engine sets GeneratedTokens and HighestFence.
 type TargetCounts struct {
 	Accepted        int    `json:"ran"`
 	Refused         int    `json:"refused"`
--- a/bluebellstand/src/engine_http.go
+++ b/bluebellstand/src/engine_http.go
@@ -39,7 +39,8 @@
 	ContinueFinalMessage bool `json:"continue_final_message"`
 }
 
-// maxAnswerTokens returns the requested limit of the answer's tokens, 0 for none.
+// maxAnswerTokens returns the requested limit of the answer's tokens, 0 for
+// none.
 func (r *chatRequest) maxAnswerTokens() int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
@@ -225,8 +226,8 @@
 	return &chatResponse{ID: j.id, Object: object, Created: j.acceptedAt.Unix(), Model: j.model}
 }
 
-func (j *job) usage(made int) *chatUsage {
-	return &chatUsage{Prompt: j.promptTokens, Completion: made, Total: j.promptTokens + made}
+func (j *job) usage(generated int) *chatUsage {
+	return &chatUsage{Prompt: j.promptTokens, Completion: generated, Total: j.promptTokens + generated}
 }
 
 // finishReason returns the finish_reason of the complete answer.
--- a/bluebellstand/src/engine_state.go
+++ b/bluebellstand/src/engine_state.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// lagged returns the load as it was lag ago, or idle if none is known from then.
+// lagged returns the load as it was lag ago, or idle if none is known from
+// then.
 func (h *loadHistory) lagged(now time.Time, idle TargetLoad) TargetLoad {
 	load := idle
 	for _, sample := range h.samples {
@@ -55,8 +56,8 @@
 	return load
 }
 
-// CacheEvent reports that a prompt prefix was added to the cache or removed from
-// it.
+// CacheEvent reports that a prompt prefix was added to the cache or removed
+// from it.
 type CacheEvent struct {
 	Seq  int    `json:"seq"`
 	Type string `json:"type"` // "stored" or "removed"
@@ -84,8 +85,8 @@
 	return strconv.FormatUint(digest.Sum64(), 16)
 }
 
-// touch makes the prompt's prefix the most recently used one and reports whether
-// it was already cached.
+// touch makes the prompt's prefix the most recently used one and reports
+// whether it was already cached.
 func (p *prefixCache) touch(model string, messages []Message, now time.Time) bool {
 	hash := prefixHash(model, messages)
 	for i, cached := range p.prefixes {
@@ -114,8 +115,8 @@
 	p.events = append(p.events, CacheEvent{Seq: p.seq, Type: kind, Hash: hash, At: now.UnixMilli()})
 }
 
-// eventsAfter returns the events with a number above seq that are not newer than
-// until.
+// eventsAfter returns the events with a number above seq that are not newer
+// than until.
 func (p *prefixCache) eventsAfter(seq int, until time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range p.events {
--- a/bluebellstand/src/engine_test.go
+++ b/bluebellstand/src/engine_test.go
@@ -24,8 +24,8 @@
 	return e, url
 }
 
-// sendRequest sends a request with the id and returns the status, the headers and
-// the body.
+// sendRequest sends a request with the id and returns the status, the headers
+// and the body.
 func sendRequest(t *testing.T, method, url, id, body string) (int, http.Header, string) {
 	is := is.New(t)
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
--- a/bluebellstand/src/fetch.go
+++ b/bluebellstand/src/fetch.go
@@ -16,8 +16,8 @@
 // pollInterval is the time between two attempts of the get command.
 const pollInterval = 100 * time.Millisecond
 
-// GetOptions configures the get command, which repeats a GET until the status is
-// 200.
+// GetOptions configures the get command, which repeats a GET until the status
+// is 200.
 type GetOptions struct {
 	Address string
 	Path    string
--- a/bluebellstand/src/list.go
+++ b/bluebellstand/src/list.go
@@ -19,7 +19,8 @@
 	Address string `json:"address"`
 	// State is "live" or "leaving".
 	State string `json:"state"`
-	// Since is when the entry was last changed, in milliseconds since the epoch.
+	// Since is when the entry was last changed, in milliseconds since the
+	// epoch.
 	Since int64 `json:"since"`
 }
 
@@ -53,12 +54,12 @@
 	removed bool
 }
 
-// addChange adds or replaces an instance, or removes it if gone is set.
-func (i *instanceList) addChange(inst Instance, gone bool, now time.Time) {
+// addChange adds or replaces an instance, or removes it if removed is set.
+func (i *instanceList) addChange(inst Instance, removed bool, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	inst.Since = now.UnixMilli()
-	i.changes = append(i.changes, instanceChange{at: now, inst: inst, removed: gone})
+	i.changes = append(i.changes, instanceChange{at: now, inst: inst, removed: removed})
 }
 
 // listAt returns the list as it was at t, sorted by id.
@@ -75,12 +76,12 @@
 			byID[change.inst.ID] = change.inst
 		}
 	}
-	out := make([]Instance, 0, len(byID))
+	list := make([]Instance, 0, len(byID))
 	for _, inst := range byID {
-		out = append(out, inst)
+		list = append(list, inst)
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
-	return out
+	sort.Slice(list, func(a, b int) bool { return list[a].ID < list[b].ID })
+	return list
 }
 
 func (i *instanceList) setFault(f ListFault) {
--- a/bluebellstand/src/listener.go
+++ b/bluebellstand/src/listener.go
@@ -42,8 +42,8 @@
 	return c, nil
 }
 
-// mute makes all open connections silent, including idle ones, except the one on
-// which the fault was requested.
+// mute makes all open connections silent, including idle ones, except the one
+// on which the fault was requested.
 func (l *listener) mute(except net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,8 +54,8 @@
 	}
 }
 
-// Read discards all data once the connection is silent. It then returns only with
-// an error, as when the other end closes the connection.
+// Read discards all data once the connection is silent. It then returns only
+// with an error, as when the other end closes the connection.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -73,8 +73,8 @@
 	return c.Conn.Write(b)
 }
 
-// Close does not close a silent connection, so that the other end does not see an
-// end.
+// Close does not close a silent connection, so that the other end does not see
+// an end.
 func (c *conn) Close() error {
 	if c.muted.Load() {
 		return nil
--- a/bluebellstand/src/load.go
+++ b/bluebellstand/src/load.go
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// Generate sends requests until the duration has passed, the count is reached or
-// ctx is done, and returns when all requests have ended. It calls onResult with
-// the result of each request, concurrently.
+// Generate sends requests until the duration has passed, the count is reached
+// or ctx is done, and returns when all requests have ended. It calls onResult
+// with the result of each request, concurrently.
 func Generate(ctx context.Context, o LoadOptions, onResult func(LoadResult)) {
 	sender, stop := newSender(o.Instances, o.Timeout)
 	defer stop()
--- a/bluebellstand/src/load_send.go
+++ b/bluebellstand/src/load_send.go
@@ -267,8 +267,8 @@
 }
 
 // readPlain reads the answer of a plain service. It sets Wrong if the answer is
-// that of another request, or has a write number although the request is a read,
-// or none although it is a write.
+// that of another request, or has a write number although the request is a
+// read, or none although it is a write.
 func (l *LoadResult) readPlain(r *loadRequest, body io.Reader) error {
 	b, err := io.ReadAll(body)
 	if err != nil {
--- a/bluebellstand/src/native_call.go
+++ b/bluebellstand/src/native_call.go
@@ -67,8 +67,8 @@
 	return err
 }
 
-// send sends one request and returns the status line and the body of the answer.
-// If there is none, the error takes the place of the status.
+// send sends one request and returns the status line and the body of the
+// answer. If there is none, the error takes the place of the status.
 func (o *NativeCallOptions) send(ctx context.Context) (status, body string) {
 	ctx, cancel := context.WithTimeout(ctx, o.Deadline)
 	defer cancel()
--- a/bluebellstand/src/options.go
+++ b/bluebellstand/src/options.go
@@ -11,11 +11,11 @@
 )
 
 // flag declares a flag with its environment variable BLUEBELLSTAND_NAME.
-func flag(cmd *kingpin.CmdClause, name, value, help string) *kingpin.FlagClause {
+func flag(cmd *kingpin.CmdClause, name, defaultValue, help string) *kingpin.FlagClause {
 	env := "BLUEBELLSTAND_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 	f := cmd.Flag(name, help).Envar(env)
-	if value != "" {
-		f = f.Default(value)
+	if defaultValue != "" {
+		f = f.Default(defaultValue)
 	}
 	return f
 }
@@ -56,8 +56,8 @@
 	return append(bbcli.CheckAddress("--list", o.Listen), checkMin("--list-lag", o.Lag.Seconds(), 0)...)
 }
 
-// PlatformOptions configures the stand-ins for the key-value service and for the
-// list of instances, which the platform command serves together.
+// PlatformOptions configures the stand-ins for the key-value service and for
+// the list of instances, which the platform command serves together.
 type PlatformOptions struct {
 	Store StoreOptions
 	List  ListOptions
--- a/bluebellstand/src/plain.go
+++ b/bluebellstand/src/plain.go
@@ -25,8 +25,8 @@
 }
 
 // PlainResponse is the answer of a plain service. It depends on the request
-// alone, except for WriteNumber, which numbers the executed requests that are not
-// reads from 1 and is 0 for a read.
+// alone, except for WriteNumber, which numbers the executed requests that are
+// not reads from 1 and is 0 for a read.
 type PlainResponse struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -43,13 +43,15 @@
 	Leaving bool `json:"leaving"`
 	// LoseNextAnswers loses the answers of that many requests after they ran.
 	LoseNextAnswers int `json:"lose"`
-	// FailNextAnswers answers that many requests with status 500 after they ran.
+	// FailNextAnswers answers that many requests with status 500 after they
+	// ran.
 	FailNextAnswers int `json:"fail"`
-	DelayMS         int `json:"delayms"`
+	// DelayMS is how long each request takes, in milliseconds.
+	DelayMS int `json:"delayms"`
 }
 
-// plainService is a service in which GET and HEAD are idempotent and other methods
-// are not.
+// plainService is a service in which GET and HEAD are idempotent and other
+// methods are not.
 type plainService struct {
 	opts PlainOptions
 
@@ -135,8 +137,8 @@
 	return nil
 }
 
-// beginExecution records the execution and returns it with the faults that apply
-// to it. It uses up one of each counted fault.
+// beginExecution records the execution and returns it with the faults that
+// apply to it. It uses up one of each counted fault.
 func (p *plainService) beginExecution(c *fiber.Ctx, receivedAt time.Time) (PlainExecution, PlainFault) {
 	id := c.Get(headerIdempotencyKey)
 	if id == "" {
--- a/bluebellstand/src/serve.go
+++ b/bluebellstand/src/serve.go
@@ -30,9 +30,9 @@
 }
 
 // serve listens at the address of each stand-in and serves until ctx is done.
-func serve(ctx context.Context, s streams, parts ...standIn) error {
-	listeners := make([]*listener, len(parts))
-	for i, p := range parts {
+func serve(ctx context.Context, s streams, standIns ...standIn) error {
+	listeners := make([]*listener, len(standIns))
+	for i, p := range standIns {
 		l, err := listen(p.addr)
 		if err != nil {
 			return errors.Annotate(err, p.name)
@@ -41,7 +41,7 @@
 		listeners[i] = l
 	}
 	group := pool.New().WithContext(ctx).WithCancelOnError()
-	for i, p := range parts {
+	for i, p := range standIns {
 		app := fiber.New(fiber.Config{
 			AppName:               p.name,
 			DisableStartupMessage: true,
@@ -68,8 +68,8 @@
 	return err
 }
 
-// respondError is the error handler of all stand-ins. It answers with the status
-// of a *fiber.Error, or else 500.
+// respondError is the error handler of all stand-ins. It answers with the
+// status of a *fiber.Error, or else 500.
 func respondError(c *fiber.Ctx, err error) error {
 	status := http.StatusInternalServerError
 	var fiberErr *fiber.Error
--- a/bluebellstand/src/store.go
+++ b/bluebellstand/src/store.go
@@ -9,8 +9,8 @@
 	"bluebellport.example/shared/bbstore"
 )
 
-// StoreFault is the body of POST /admin/fault of the store. It replaces the faults
-// in force. bbstore.Faults explains them.
+// StoreFault is the body of POST /admin/fault of the store. It replaces the
+// faults in force. bbstore.Faults explains them.
 type StoreFault struct {
 	Down               bool    `json:"down"`
 	LatencyMS          int     `json:"slowms"`
--- a/bluebellstand/src/text.go
+++ b/bluebellstand/src/text.go
@@ -33,9 +33,9 @@
 	return n
 }
 
-// AnswerTokens returns the tokens of the whole answer to the messages. They depend
-// on the model and the messages alone, so that every caller can check an answer.
-// defaultLength is their number if no message has "--tokens N".
+// AnswerTokens returns the tokens of the whole answer to the messages. They
+// depend on the model and the messages alone, so that every caller can check an
+// answer. defaultLength is their number if no message has "--tokens N".
 func AnswerTokens(model string, messages []Message, defaultLength int) []string {
 	key := model
 	n := defaultLength
@@ -54,8 +54,8 @@
 	return tokens
 }
 
-// AnswerText returns the answer to the messages, cut after limit tokens if limit
-// is above 0.
+// AnswerText returns the answer to the messages, cut after limit tokens if
+// limit is above 0.
 func AnswerText(model string, messages []Message, defaultLength, limit int) string {
 	tokens := AnswerTokens(model, messages, defaultLength)
 	if limit > 0 && limit < len(tokens) {
@@ -64,8 +64,8 @@
 	return strings.Join(tokens, "")
 }
 
-// answerLength returns the number after "--tokens" in the text, or defaultLength
-// if there is none above 0.
+// answerLength returns the number after "--tokens" in the text, or
+// defaultLength if there is none above 0.
 func answerLength(text string, defaultLength int) int {
 	if n, err := strconv.Atoi(wordAfter(text, tokensMarker, "")); err == nil && n > 0 {
 		return n
@@ -89,17 +89,17 @@
 // within a token, the rest of the token comes first. It returns false if the
 // answer does not begin with the partial answer.
 func remainingTokens(tokens []string, partial string) ([]string, bool) {
-	for i, t := range tokens {
-		if len(partial) < len(t) {
-			if !strings.HasPrefix(t, partial) {
+	for i, token := range tokens {
+		if len(partial) < len(token) {
+			if !strings.HasPrefix(token, partial) {
 				return nil, false
 			}
-			return append([]string{t[len(partial):]}, tokens[i+1:]...), true
+			return append([]string{token[len(partial):]}, tokens[i+1:]...), true
 		}
-		if !strings.HasPrefix(partial, t) {
+		if !strings.HasPrefix(partial, token) {
 			return nil, false
 		}
-		partial = partial[len(t):]
+		partial = partial[len(token):]
 	}
 	return nil, partial == ""
 }
