--- a/bluebellport/src/admin.go
+++ b/bluebellport/src/admin.go
@@ -21,15 +21,15 @@
 	// statusSources are the controllers' own reports, by name.
 	statusSources map[string]func() any
 	// sendOrder gives a target an order; nil when there is none to give.
-	sendOrder func(ctx context.Context, t bbticket.Target, action, model string) (bbunit.Fence, error)
+	sendOrder func(ctx context.Context, target bbticket.Target, action, model string) (bbunit.Fence, error)
 }
 
-func newAdmin(p Deps, f *Frontend, tells map[string]func() any) *admin {
-	a := &admin{deps: p, front: f, statusSources: tells}
+func newAdmin(deps Deps, frontend *Frontend, statusSources map[string]func() any) *admin {
+	a := &admin{deps: deps, front: frontend, statusSources: statusSources}
 	a.app = fiber.New(fiber.Config{DisableStartupMessage: true})
 	a.app.Get("/healthz", func(c *fiber.Ctx) error { return c.SendString("ok\n") })
 	a.app.Get("/readyz", a.handleReady)
-	a.app.Get("/metrics", bbmetrics.Handler(p.Metrics))
+	a.app.Get("/metrics", bbmetrics.Handler(deps.Metrics))
 	a.app.Post("/order", a.handleOrder)
 	a.app.Get("/status", func(c *fiber.Ctx) error { return c.JSON(a.status()) })
 	return a
@@ -52,17 +52,17 @@
 // acknowledged it, or with why it has not; an order that was accepted stands and
 // is sent on.
 func (a *admin) handleOrder(c *fiber.Ctx) error {
-	var ask adminOrderRequest
-	if err := json.Unmarshal(c.Body(), &ask); err != nil || ask.Action == "" {
+	var req adminOrderRequest
+	if err := json.Unmarshal(c.Body(), &req); err != nil || req.Action == "" {
 		return c.Status(http.StatusBadRequest).JSON(adminOrderResponse{Error: "body: needs target, action and model as JSON"})
 	}
-	t, ok := a.deps.Board.State.Load().Targets[ask.Target]
-	if !ok || t.Object.Deleted || a.sendOrder == nil {
-		return c.Status(http.StatusNotFound).JSON(adminOrderResponse{Error: fmt.Sprintf("target: unknown: %q", ask.Target)})
+	target, ok := a.deps.Board.State.Load().Targets[req.Target]
+	if !ok || target.Object.Deleted || a.sendOrder == nil {
+		return c.Status(http.StatusNotFound).JSON(adminOrderResponse{Error: fmt.Sprintf("target: unknown: %q", req.Target)})
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	fence, err := a.sendOrder(ctx, t.Object, ask.Action, ask.Model)
+	fence, err := a.sendOrder(ctx, target.Object, req.Action, req.Model)
 	if err != nil {
 		return c.Status(http.StatusBadGateway).JSON(adminOrderResponse{Fence: fence, Error: err.Error()})
 	}
@@ -96,8 +96,8 @@
 	for _, m := range b.View.Load().Members {
 		s.Members = append(s.Members, m.ID)
 	}
-	for name, tell := range a.statusSources {
-		s.Parts[name] = tell()
+	for name, source := range a.statusSources {
+		s.Parts[name] = source()
 	}
 	return s
 }
--- a/bluebellport/src/bus.go
+++ b/bluebellport/src/bus.go
@@ -48,22 +48,22 @@
 // call sends a numbered copy of e and waits for its answer up to the deadline
 // of ctx.
 func (d *dispatcher) call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope, send func(*bbwire.Envelope) error) (*bbwire.Envelope, error) {
-	w := &pendingCall{to: to, ch: make(chan *bbwire.Envelope, 1)}
-	q := &bbwire.Envelope{Seq: d.seq.Add(1), Body: e.Body}
-	d.pending.Store(q.Seq, w)
-	defer d.pending.Delete(q.Seq)
-	if err := send(q); err != nil {
+	pending := &pendingCall{to: to, ch: make(chan *bbwire.Envelope, 1)}
+	request := &bbwire.Envelope{Seq: d.seq.Add(1), Body: e.Body}
+	d.pending.Store(request.Seq, pending)
+	defer d.pending.Delete(request.Seq)
+	if err := send(request); err != nil {
 		return nil, err
 	}
 	select {
-	case r := <-w.ch:
-		if r == nil {
+	case reply := <-pending.ch:
+		if reply == nil {
 			return nil, errors.Annotatef(ErrPeerUnreachable, "session with %s lost", to)
 		}
-		if r.Error != "" {
-			return nil, errors.Errorf("%s: %s", to, r.Error)
+		if reply.Error != "" {
+			return nil, errors.Errorf("%s: %s", to, reply.Error)
 		}
-		return r, nil
+		return reply, nil
 	case <-ctx.Done():
 		return nil, errors.Annotatef(ErrPeerUnreachable, "no answer from %s: %v", to, ctx.Err())
 	}
@@ -72,18 +72,18 @@
 // failCalls ends all questions to an instance whose session broke.
 func (d *dispatcher) failCalls(to bbunit.InstanceID) {
 	d.pending.Range(func(k, v any) bool {
-		if w := v.(*pendingCall); w.to == to {
+		if c := v.(*pendingCall); c.to == to {
 			d.pending.Delete(k)
-			w.complete(nil)
+			c.complete(nil)
 		}
 		return true
 	})
 }
 
 // complete hands r over unless another answer came first.
-func (w *pendingCall) complete(r *bbwire.Envelope) {
+func (c *pendingCall) complete(reply *bbwire.Envelope) {
 	select {
-	case w.ch <- r:
+	case c.ch <- reply:
 	default:
 	}
 }
@@ -102,34 +102,34 @@
 		sendReply(e, &bbwire.Envelope{Error: errNoHandler.Error()}, reply)
 		return errNoHandler
 	}
-	var r *bbwire.Envelope
-	if p := panics.Try(func() { r = fn.(envelopeHandler)(from, e) }); p != nil {
+	var result *bbwire.Envelope
+	if panicked := panics.Try(func() { result = fn.(envelopeHandler)(from, e) }); panicked != nil {
 		sendReply(e, &bbwire.Envelope{Error: errPanic.Error()}, reply)
-		return errors.Annotatef(errPanic, "%v", p.Value)
+		return errors.Annotatef(errPanic, "%v", panicked.Value)
 	}
-	if r != nil {
-		sendReply(e, r, reply)
+	if result != nil {
+		sendReply(e, result, reply)
 	}
 	return nil
 }
 
-func (d *dispatcher) handleReply(from bbunit.InstanceID, e *bbwire.Envelope) error {
-	v, ok := d.pending.Load(e.Seq)
+func (d *dispatcher) handleReply(from bbunit.InstanceID, reply *bbwire.Envelope) error {
+	v, ok := d.pending.Load(reply.Seq)
 	if !ok || v.(*pendingCall).to != from {
 		return errUnexpectedReply
 	}
-	d.pending.Delete(e.Seq)
-	v.(*pendingCall).complete(e)
+	d.pending.Delete(reply.Seq)
+	v.(*pendingCall).complete(reply)
 	return nil
 }
 
 // sendReply sends r back when the question asked for an answer.
-func sendReply(question, r *bbwire.Envelope, reply func(*bbwire.Envelope)) {
-	if question.Seq == 0 {
+func sendReply(request, reply *bbwire.Envelope, send func(*bbwire.Envelope)) {
+	if request.Seq == 0 {
 		return
 	}
-	r.Seq, r.Reply = question.Seq, true
-	reply(r)
+	reply.Seq, reply.Reply = request.Seq, true
+	send(reply)
 }
 
 // dropper logs and counts what is dropped.
--- a/bluebellport/src/bus_test.go
+++ b/bluebellport/src/bus_test.go
@@ -98,10 +98,10 @@
 	t.Run("no handler fails the call at once", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
-		was := time.Now()
+		start := time.Now()
 		_, err := busCall(p.a, "b", askEnvelope(1), 5*time.Second)
 		is.True(err != nil)
-		is.True(time.Since(was) < 4*time.Second)
+		is.True(time.Since(start) < 4*time.Second)
 	})
 	t.Run("a handler that panics harms nothing else", func(t *testing.T) {
 		is := is.New(t)
--- a/bluebellport/src/core.go
+++ b/bluebellport/src/core.go
@@ -76,45 +76,45 @@
 	if err != nil {
 		return err
 	}
-	stopTrace, err := startTracing(opts)
+	stopTracing, err := startTracing(opts)
 	if err != nil {
 		return err
 	}
-	defer stopTrace()
-	p := newDeps(opts, log)
+	defer stopTracing()
+	deps := newDeps(opts, log)
 	store, closeStore := bbstore.NewClient(opts.Self.StoreAddress, bbstore.ClientOptions{})
 	defer closeStore()
-	p.Store = store
+	deps.Store = store
 
-	peers, closePeers, err := NewPeers(p)
+	peers, closePeers, err := NewPeers(deps)
 	if err != nil {
 		return err
 	}
 	defer closePeers()
-	p.Bus = peers
-	_, closeFollower := NewFollower(p, peers)
+	deps.Bus = peers
+	_, closeFollower := NewFollower(deps, peers)
 	defer closeFollower()
-	treasury, closeTreasury := NewBudgetManager(p)
+	treasury, closeTreasury := NewBudgetManager(deps)
 	defer closeTreasury()
-	recorder, closeRecorder := NewRecorder(p)
+	recorder, closeRecorder := NewRecorder(deps)
 	defer closeRecorder()
-	router, closeRouter := NewRouter(p)
+	router, closeRouter := NewRouter(deps)
 	defer closeRouter()
 	peers.AddGossiper(router)
 
-	runner := newRunner(p, router, treasury, recorder)
-	defer runner.engineClient.conns.startSweep(p.Board)()
-	f := NewFrontend(p, runner)
-	f.forwarder = newForwarder(f, peers)
-	f.runner.fetchFromOwner = f.forwarder.fetchAnswer
-	a := newAdmin(p, f, map[string]func() any{
+	runner := newRunner(deps, router, treasury, recorder)
+	defer runner.engineClient.conns.startSweep(deps.Board)()
+	frontend := NewFrontend(deps, runner)
+	frontend.forwarder = newForwarder(frontend, peers)
+	frontend.runner.fetchFromOwner = frontend.forwarder.fetchAnswer
+	adminServer := newAdmin(deps, frontend, map[string]func() any{
 		"money":   func() any { return treasuryStatusOrError(treasury.Status()) },
 		"records": func() any { return recorder.Status() },
 	})
-	orders, closeOrders := NewOrders(p)
+	orders, closeOrders := NewOrders(deps)
 	defer closeOrders()
-	a.sendOrder = orders.Order
-	return serveUntilStopped(ctx, p, f, a, peers.Leave, func(ctx context.Context) error {
+	adminServer.sendOrder = orders.Order
+	return serveUntilStopped(ctx, deps, frontend, adminServer, peers.Leave, func(ctx context.Context) error {
 		return drainAll(ctx, treasury.Drain, recorder.Drain)
 	})
 }
@@ -131,18 +131,18 @@
 	}
 }
 
-func newRunner(p Deps, router *Router, m BudgetReserver, l Journal) *runner {
-	self := p.Board.View.Load().Self
+func newRunner(deps Deps, router *Router, m BudgetReserver, l Journal) *runner {
+	self := deps.Board.View.Load().Self
 	owner := fmt.Sprintf("%s/%x", self.ID, uint64(self.Inc))
-	up := &targetConns{}
+	conns := &targetConns{}
 	var tasks conc.WaitGroup
 	return &runner{
-		deps:         p,
+		deps:         deps,
 		router:       router,
 		budgets:      m,
 		journal:      l,
-		engineClient: &engineClient{conns: up, owner: owner, silenceTimeout: p.Opts.Front.SilenceTimeout, runInBackground: tasks.Go},
-		plainClient:  &plainClient{conns: up, owner: owner, silenceTimeout: p.Opts.Front.SilenceTimeout, lateWindow: p.Opts.Front.LateAnswerTimeout},
+		engineClient: &engineClient{conns: conns, owner: owner, silenceTimeout: deps.Opts.Front.SilenceTimeout, runInBackground: tasks.Go},
+		plainClient:  &plainClient{conns: conns, owner: owner, silenceTimeout: deps.Opts.Front.SilenceTimeout, lateWindow: deps.Opts.Front.LateAnswerTimeout},
 		owner:        owner,
 		tracer:       otel.Tracer("bluebellport"),
 	}
@@ -151,53 +151,53 @@
 // serveUntilStopped opens both addresses, serves until ctx ends, and stops: it goes on
 // taking requests while the balancer learns that the instance leaves, then
 // refuses new ones, ends the open ones whole, and hands back what it holds.
-func serveUntilStopped(ctx context.Context, p Deps, f *Frontend, a *admin, leave func(), drain func(context.Context) error) error {
-	callers, err := listenForCallers(&p.Opts.Front)
+func serveUntilStopped(ctx context.Context, deps Deps, frontend *Frontend, adminServer *admin, announceLeave func(), drain func(context.Context) error) error {
+	callerListener, err := listenForCallers(&deps.Opts.Front)
 	if err != nil {
 		return err
 	}
-	operators, err := net.Listen("tcp", p.Opts.Front.AdminAddress)
+	adminListener, err := net.Listen("tcp", deps.Opts.Front.AdminAddress)
 	if err != nil {
-		_ = callers.Close()
+		_ = callerListener.Close()
 		return errors.Annotate(err, "--admin")
 	}
 	var wg conc.WaitGroup
 	failed := make(chan error, 2)
-	wg.Go(func() { failed <- f.app.Listener(callers) })
-	wg.Go(func() { failed <- a.app.Listener(operators) })
-	p.Log.WithFields(logrus.Fields{"event": "serving", "listen": callers.Addr().String(), "admin": operators.Addr().String()}).Info("serving")
+	wg.Go(func() { failed <- frontend.app.Listener(callerListener) })
+	wg.Go(func() { failed <- adminServer.app.Listener(adminListener) })
+	deps.Log.WithFields(logrus.Fields{"event": "serving", "listen": callerListener.Addr().String(), "admin": adminListener.Addr().String()}).Info("serving")
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
 	}
-	p.Board.Leaving.Store(true)
-	leave()
-	p.Log.WithField("event", "leaving").Info("leaving")
-	end, cancel := context.WithTimeout(context.Background(), p.Opts.Front.DrainTimeout)
+	deps.Board.Leaving.Store(true)
+	announceLeave()
+	deps.Log.WithField("event", "leaving").Info("leaving")
+	drainCtx, cancel := context.WithTimeout(context.Background(), deps.Opts.Front.DrainTimeout)
 	defer cancel()
-	f.drain(end)
-	if left := drain(end); left != nil {
-		p.Log.WithField("event", "drain").WithError(left).Error("not all was handed back")
-		err = stderrors.Join(err, left)
+	frontend.drain(drainCtx)
+	if drainErr := drain(drainCtx); drainErr != nil {
+		deps.Log.WithField("event", "drain").WithError(drainErr).Error("not all was handed back")
+		err = stderrors.Join(err, drainErr)
 	}
-	_ = bbserve.Stop(f.app, callers, time.Second)
-	_ = bbserve.Stop(a.app, operators, time.Second)
+	_ = bbserve.Stop(frontend.app, callerListener, time.Second)
+	_ = bbserve.Stop(adminServer.app, adminListener, time.Second)
 	wg.Wait()
-	p.Log.WithField("event", "stopped").Info("stopped")
+	deps.Log.WithField("event", "stopped").Info("stopped")
 	return errors.Trace(err)
 }
 
 // listenForCallers opens the callers' address, with TLS where the settings name a
 // certificate.
-func listenForCallers(o *FrontOptions) (net.Listener, error) {
-	ln, err := net.Listen("tcp", o.CallerAddress)
+func listenForCallers(opts *FrontOptions) (net.Listener, error) {
+	ln, err := net.Listen("tcp", opts.CallerAddress)
 	if err != nil {
 		return nil, errors.Annotate(err, "--listen")
 	}
-	if o.Cert == "" {
+	if opts.Cert == "" {
 		return ln, nil
 	}
-	cert, err := tls.LoadX509KeyPair(o.Cert, o.Key)
+	cert, err := tls.LoadX509KeyPair(opts.Cert, opts.Key)
 	if err != nil {
 		_ = ln.Close()
 		return nil, errors.Annotate(err, "--tls-cert, --tls-key")
--- a/bluebellport/src/follower.go
+++ b/bluebellport/src/follower.go
@@ -54,13 +54,13 @@
 
 // NewFollower starts following the log of tickets. The clean-up function stops
 // it and waits for what it started.
-func NewFollower(p Deps, peers *Peers) (*Follower, func()) {
+func NewFollower(deps Deps, peers *Peers) (*Follower, func()) {
 	f := &Follower{
-		deps: p, peers: peers, ticketLog: bbticket.NewLog(p.Store), log: p.Log.WithField("part", "follower"),
-		number:  metrics.GetOrRegisterGauge("ticket.number", p.Metrics),
-		dropped: metrics.GetOrRegisterCounter("ticket.dropped", p.Metrics),
+		deps: deps, peers: peers, ticketLog: bbticket.NewLog(deps.Store), log: deps.Log.WithField("part", "follower"),
+		number:  metrics.GetOrRegisterGauge("ticket.number", deps.Metrics),
+		dropped: metrics.GetOrRegisterCounter("ticket.dropped", deps.Metrics),
 	}
-	f.replica = newReplica(p.Board.State.Load())
+	f.replica = newReplica(deps.Board.State.Load())
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Ticketask{}}, f.handleTicketAsk)
 	peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Tickettell{}}, f.handleTicketTell)
@@ -90,18 +90,18 @@
 }
 
 func (f *Follower) tick() {
-	v := f.deps.Board.View.Load()
-	home, ok := v.Home(watchKey, v.Self.Domain)
-	first := ok && home.ID == v.Self.ID
-	f.maintainWatch(first)
+	view := f.deps.Board.View.Load()
+	watcher, ok := view.Home(watchKey, view.Self.Domain)
+	isWatcher := ok && watcher.ID == view.Self.ID
+	f.maintainWatch(isWatcher)
 	f.mu.Lock()
-	known := f.stateLoaded
+	loaded := f.stateLoaded
 	f.mu.Unlock()
-	wait := headReadInterval
-	if !known {
-		wait = joinReadInterval
+	interval := headReadInterval
+	if !loaded {
+		interval = joinReadInterval
 	}
-	if (first || !known) && time.Since(f.lastHeadReadAt) >= wait {
+	if (isWatcher || !loaded) && time.Since(f.lastHeadReadAt) >= interval {
 		f.lastHeadReadAt = time.Now()
 		f.startHeadRead()
 	}
@@ -125,19 +125,19 @@
 func (f *Follower) readHead(w *watch) {
 	ctx, cancel := context.WithTimeout(f.ctx, headReadTimeout)
 	defer cancel()
-	h, rev, err := f.ticketLog.Head(ctx)
+	head, rev, err := f.ticketLog.Head(ctx)
 	if err != nil {
 		f.log.WithError(err).Debug("head of the ticket log not read")
 		return
 	}
 	w.recordRead(rev)
-	f.applyHead(ctx, h)
+	f.applyHead(ctx, head)
 	f.updateReady()
 }
 
 // applyHead puts in force what the head has above the state here.
-func (f *Follower) applyHead(ctx context.Context, h bbticket.Head) {
-	if f.deps.Board.State.Load().Number < h.SnapshotNumber {
+func (f *Follower) applyHead(ctx context.Context, head bbticket.Head) {
+	if f.deps.Board.State.Load().Number < head.SnapshotNumber {
 		s, err := f.ticketLog.Load(ctx)
 		if err != nil {
 			f.log.WithError(err).Warn("state not loaded")
@@ -146,8 +146,8 @@
 		f.mergeState(s, "")
 		return
 	}
-	tickets := make([]bbticket.Ticket, len(h.Tail))
-	for i, a := range h.Tail {
+	tickets := make([]bbticket.Ticket, len(head.Tail))
+	for i, a := range head.Tail {
 		tickets[i] = a.Ticket
 	}
 	f.applyTickets(tickets, "")
@@ -170,18 +170,18 @@
 // returns whether tickets are held beyond a gap.
 func (f *Follower) update(from bbunit.InstanceID, change func(r *replica) bool) bool {
 	f.mu.Lock()
-	was := f.replica.state.Number
-	rose := change(&f.replica)
-	if rose {
+	before := f.replica.state.Number
+	advanced := change(&f.replica)
+	if advanced {
 		f.publish(f.replica.state)
 	}
 	f.stateLoaded = f.stateLoaded || from == "" || f.replica.state.Number > 0
-	gap := f.replica.hasGap()
+	hasGap := f.replica.hasGap()
 	f.mu.Unlock()
-	if rose {
-		f.pushTickets(was, from)
+	if advanced {
+		f.pushTickets(before, from)
 	}
-	return gap
+	return hasGap
 }
 
 // publish replaces Board.State. f.mu is held.
@@ -199,27 +199,27 @@
 		return
 	}
 	f.mu.Lock()
-	known := f.stateLoaded
+	loaded := f.stateLoaded
 	f.mu.Unlock()
-	n, wanted := uint64(f.deps.Board.State.Load().Number), f.maxPeerNumber.Load()
-	late := wanted > 0 && time.Since(time.Unix(0, f.maxPeerNumberAt.Load())) > joinTimeout
-	if known && n < wanted && late {
-		f.log.WithFields(logrus.Fields{"ticket": n, "told": wanted}).Warn("peer spoke of a ticket that it did not deliver")
+	number, maxPeerNumber := uint64(f.deps.Board.State.Load().Number), f.maxPeerNumber.Load()
+	timedOut := maxPeerNumber > 0 && time.Since(time.Unix(0, f.maxPeerNumberAt.Load())) > joinTimeout
+	if loaded && number < maxPeerNumber && timedOut {
+		f.log.WithFields(logrus.Fields{"ticket": number, "told": maxPeerNumber}).Warn("peer spoke of a ticket that it did not deliver")
 	}
-	if known && (n >= wanted || late) {
+	if loaded && (number >= maxPeerNumber || timedOut) {
 		f.deps.Board.Ready.Store(true)
-		f.log.WithField("ticket", n).Info("ready")
+		f.log.WithField("ticket", number).Info("ready")
 	}
 }
 
 // maintainWatch starts or stops the watch, and starts it anew when a read showed
 // that it has gone silent.
-func (f *Follower) maintainWatch(first bool) {
-	if f.watch != nil && (!first || f.watch.stale()) {
+func (f *Follower) maintainWatch(isWatcher bool) {
+	if f.watch != nil && (!isWatcher || f.watch.stale()) {
 		f.watch.cancel()
 		f.watch = nil
 	}
-	if first && f.watch == nil {
+	if isWatcher && f.watch == nil {
 		f.watch = f.startWatch()
 	}
 }
@@ -251,12 +251,12 @@
 	w := &watch{cancel: cancel}
 	f.wg.Go(func() {
 		defer w.ended.Store(true)
-		rctx, stop := context.WithTimeout(ctx, headReadTimeout)
-		h, rev, err := f.ticketLog.Head(rctx)
+		readCtx, cancelRead := context.WithTimeout(ctx, headReadTimeout)
+		head, rev, err := f.ticketLog.Head(readCtx)
 		if err == nil {
-			f.applyHead(rctx, h)
+			f.applyHead(readCtx, head)
 		}
-		stop()
+		cancelRead()
 		if err != nil {
 			w.delayRestart(ctx)
 			return
@@ -284,14 +284,14 @@
 	if e.Key != bbticket.HeadKey || e.Value == nil {
 		return nil
 	}
-	h, err := bbticket.DecodeHead(e.Value)
+	head, err := bbticket.DecodeHead(e.Value)
 	if err != nil {
 		f.drop("", err)
 		return nil
 	}
-	hctx, cancel := context.WithTimeout(ctx, headReadTimeout)
+	applyCtx, cancel := context.WithTimeout(ctx, headReadTimeout)
 	defer cancel()
-	f.applyHead(hctx, h)
+	f.applyHead(applyCtx, head)
 	return nil
 }
 
@@ -308,12 +308,12 @@
 // Take compares the number that another instance has in force: it asks when
 // that is higher, and tells when it is lower.
 func (f *Follower) Take(from bbunit.InstanceID, g *bbwire.Gossip) {
-	n := uint64(f.deps.Board.State.Load().Number)
+	own := uint64(f.deps.Board.State.Load().Number)
 	switch {
-	case g.GetNumber() > n:
+	case g.GetNumber() > own:
 		f.recordPeerNumber(g.GetNumber())
 		f.requestTickets(from)
-	case g.GetNumber() < n && g.GetNumber() > 0 && time.Since(time.Unix(0, f.advancedAt.Load())) > pushGracePeriod:
+	case g.GetNumber() < own && g.GetNumber() > 0 && time.Since(time.Unix(0, f.advancedAt.Load())) > pushGracePeriod:
 		f.sendMissing(from, g.GetNumber())
 	}
 }
@@ -321,11 +321,11 @@
 // recordPeerNumber notes a number that a peer has in force.
 func (f *Follower) recordPeerNumber(n uint64) {
 	for {
-		was := f.maxPeerNumber.Load()
-		if n <= was {
+		old := f.maxPeerNumber.Load()
+		if n <= old {
 			return
 		}
-		if f.maxPeerNumber.CompareAndSwap(was, n) {
+		if f.maxPeerNumber.CompareAndSwap(old, n) {
 			f.maxPeerNumberAt.Store(time.Now().UnixNano())
 			return
 		}
@@ -334,8 +334,8 @@
 
 func decodeTickets(raw [][]byte) ([]bbticket.Ticket, error) {
 	tickets := make([]bbticket.Ticket, len(raw))
-	for i, b := range raw {
-		if err := json.Unmarshal(b, &tickets[i]); err != nil {
+	for i, encoded := range raw {
+		if err := json.Unmarshal(encoded, &tickets[i]); err != nil {
 			return nil, err
 		}
 		if tickets[i].Number == 0 {
--- a/bluebellport/src/follower_bench_test.go
+++ b/bluebellport/src/follower_bench_test.go
@@ -25,15 +25,15 @@
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			l, store := newFakeList(b), bbstore.NewMem()
 			acceptTicket(b, store, 1)
-			nodes := benchFleet(b, n, l, store)
-			idle, cpu := idleCost(nodes)
+			instances := benchFleet(b, n, l, store)
+			idle, cpu := idleCost(instances)
 			var took []time.Duration
 			for b.Loop() {
 				took = took[:0]
 				for i := range benchTickets {
-					next := int(nodes[0].number()) + 1
+					next := int(instances[0].number()) + 1
 					acceptTicket(b, store, next)
-					took = append(took, within(b, 13*time.Second, "in force", haveTicket(bbunit.TicketNumber(next), nodes...)))
+					took = append(took, within(b, 13*time.Second, "in force", haveTicket(bbunit.TicketNumber(next), instances...)))
 					time.Sleep(time.Duration(i%5) * 10 * time.Millisecond)
 				}
 			}
@@ -52,38 +52,38 @@
 // benchFleet starts instances with the settings' defaults and waits until they
 // see each other.
 func benchFleet(b *testing.B, n int, l *fakeList, store bbstore.Store) []*testInstance {
-	nodes := make([]*testInstance, n)
-	for i := range nodes {
+	instances := make([]*testInstance, n)
+	for i := range instances {
 		id, domain := fmt.Sprintf("i%02d", i), fmt.Sprintf("d%d", i%benchDomains)
 		p := testDeps(id, domain, l.srv.Listener.Addr().String(), store)
 		p.Opts.Peer.GossipPeriod, p.Opts.Peer.SuspicionTimeout = time.Second, 5*time.Second
-		nodes[i] = startInstanceWith(b, p)
-		l.add(id, domain, nodes[i].address())
+		instances[i] = startInstanceWith(b, p)
+		l.add(id, domain, instances[i].address())
 	}
 	within(b, 30*time.Second, "all see all", func() bool {
-		for _, d := range nodes {
+		for _, d := range instances {
 			if len(d.view().Members) != n || d.number() != 1 {
 				return false
 			}
 		}
 		return true
 	})
-	return nodes
+	return instances
 }
 
 // idleCost returns what an instance sends and receives in a second, in bytes,
 // and the part of a core that it uses.
-func idleCost(nodes []*testInstance) (bytes, cpu float64) {
+func idleCost(instances []*testInstance) (bytes, cpu float64) {
 	total := func() (sum int64) {
-		for _, d := range nodes {
+		for _, d := range instances {
 			sum += d.peers.bytesIn.Count() + d.peers.bytesOut.Count()
 		}
 		return sum
 	}
-	was, used := total(), processCPUTime()
+	bytesBefore, cpuBefore := total(), processCPUTime()
 	time.Sleep(benchIdle)
-	per := benchIdle.Seconds() * float64(len(nodes))
-	return float64(total()-was) / per, (processCPUTime() - used).Seconds() / per
+	per := benchIdle.Seconds() * float64(len(instances))
+	return float64(total()-bytesBefore) / per, (processCPUTime() - cpuBefore).Seconds() / per
 }
 
 func processCPUTime() time.Duration {
--- a/bluebellport/src/follower_fault_test.go
+++ b/bluebellport/src/follower_fault_test.go
@@ -56,9 +56,9 @@
 }
 
 // haveTicket tells whether all the instances have the ticket in force.
-func haveTicket(n bbunit.TicketNumber, nodes ...*testInstance) func() bool {
+func haveTicket(n bbunit.TicketNumber, instances ...*testInstance) func() bool {
 	return func() bool {
-		for _, d := range nodes {
+		for _, d := range instances {
 			if d.number() < n {
 				return false
 			}
@@ -70,19 +70,19 @@
 func TestPartitionedDomainFollowsByPeers(t *testing.T) {
 	is := is.New(t)
 	l, store := newFakeList(t), bbstore.NewMem()
-	cut := &partitionedStore{Store: store}
+	partitioned := &partitionedStore{Store: store}
 	acceptTicket(t, store, 1)
-	a, b := startInstance(t, "a", "cut", l, cut), startInstance(t, "b", "cut", l, cut)
+	a, b := startInstance(t, "a", "cut", l, partitioned), startInstance(t, "b", "cut", l, partitioned)
 	c, d := startInstance(t, "c", "whole", l, store), startInstance(t, "d", "whole", l, store)
 	within(t, 10*time.Second, "all know all", func() bool {
 		return len(a.view().Members) == 4 && len(b.view().Members) == 4 && len(c.view().Members) == 4 && haveTicket(1, a, b, c, d)()
 	})
-	cut.down.Store(true)
+	partitioned.down.Store(true)
 	acceptTicket(t, store, 2)
 	took := within(t, 3*time.Second, "ticket 2 on the side that is cut from the service", haveTicket(2, a, b, c, d))
 	t.Logf("in force on the cut side after %s", took)
 
-	joiner := startInstance(t, "e", "cut", l, cut)
+	joiner := startInstance(t, "e", "cut", l, partitioned)
 	took = within(t, 5*time.Second, "the joining instance is ready", joiner.deps.Board.Ready.Load)
 	t.Logf("joined without the service after %s", took)
 	is.Equal(joiner.number(), bbunit.TicketNumber(2))
@@ -91,7 +91,7 @@
 func TestJoinFetchesStateFromPeer(t *testing.T) {
 	is := is.New(t)
 	l, store := newFakeList(t), bbstore.NewMem()
-	cut := &partitionedStore{Store: store}
+	unreachable := &partitionedStore{Store: store}
 	a := startInstance(t, "a", "d1", l, store)
 	var tickets []bbticket.Ticket
 	for n := 1; n <= maxRetainedTickets+20; n++ {
@@ -100,8 +100,8 @@
 	a.follower.applyTickets(tickets[:maxTicketLookahead], "")
 	a.follower.applyTickets(tickets[maxTicketLookahead:], "")
 	is.Equal(a.number(), bbunit.TicketNumber(maxRetainedTickets+20))
-	cut.down.Store(true)
-	b := startInstance(t, "b", "d1", l, cut)
+	unreachable.down.Store(true)
+	b := startInstance(t, "b", "d1", l, unreachable)
 	within(t, 5*time.Second, "ready", b.deps.Board.Ready.Load)
 	is.Equal(b.number(), a.number())
 	is.Equal(len(b.deps.Board.State.Load().ByKey), len(a.deps.Board.State.Load().ByKey)) // indexes too
@@ -110,16 +110,16 @@
 func TestStaleStateIsIgnored(t *testing.T) {
 	is := is.New(t)
 	l, store := newFakeList(t), bbstore.NewMem()
-	old := &partitionedStore{Store: store}
+	staleStore := &partitionedStore{Store: store}
 	acceptTicket(t, store, 1)
 	e, err := store.Get(context.Background(), bbticket.HeadKey)
 	is.NoErr(err)
 	acceptTicket(t, store, 2)
 	acceptTicket(t, store, 3)
-	a := startInstance(t, "a", "d1", l, old)
+	a := startInstance(t, "a", "d1", l, staleStore)
 	within(t, 5*time.Second, "ticket 3", haveTicket(3, a))
 	before := a.deps.Board.State.Load()
-	old.staleHead.Store(&e) // the service answers with an old head from now on
+	staleStore.staleHead.Store(&e) // the service answers with an old head from now on
 	a.follower.readHead(nil)
 	oldState, err := json.Marshal((*bbticket.State)(nil).Apply(testTicket(1)))
 	is.NoErr(err)
@@ -134,15 +134,15 @@
 func TestNotReadyBehindPeer(t *testing.T) {
 	is := is.New(t)
 	l, store := newFakeList(t), bbstore.NewMem()
-	old := &partitionedStore{Store: store}
+	staleStore := &partitionedStore{Store: store}
 	acceptTicket(t, store, 1)
 	e, err := store.Get(context.Background(), bbticket.HeadKey)
 	is.NoErr(err)
-	old.staleHead.Store(&e)
-	old.down.Store(true)
-	a := startInstance(t, "a", "d1", l, old)
+	staleStore.staleHead.Store(&e)
+	staleStore.down.Store(true)
+	a := startInstance(t, "a", "d1", l, staleStore)
 	a.follower.Take("x", &bbwire.Gossip{Number: 2}) // a peer that was reached has 2
-	old.down.Store(false)                           // the service only shows 1
+	staleStore.down.Store(false)                    // the service only shows 1
 	a.follower.readHead(nil)
 	is.Equal(a.number(), bbunit.TicketNumber(1))
 	is.True(!a.deps.Board.Ready.Load())
@@ -170,24 +170,24 @@
 func TestWatchFailover(t *testing.T) {
 	l, store := newFakeList(t), bbstore.NewMem()
 	acceptTicket(t, store, 1)
-	nodes := map[bbunit.InstanceID]*testInstance{}
+	instances := map[bbunit.InstanceID]*testInstance{}
 	for i := range 3 {
 		n := startInstance(t, fmt.Sprint("i", i), "d1", l, store)
-		nodes[n.id] = n
+		instances[n.id] = n
 	}
 	within(t, 5*time.Second, "all ready", func() bool {
-		for _, n := range nodes {
+		for _, n := range instances {
 			if len(n.view().Members) != 3 || !n.deps.Board.Ready.Load() {
 				return false
 			}
 		}
 		return store.Counts().OpenWatches == 1
 	})
-	home, _ := nodes["i0"].view().Home(watchKey, "d1")
-	nodes[home.ID].kill()
-	delete(nodes, home.ID)
+	watcher, _ := instances["i0"].view().Home(watchKey, "d1")
+	instances[watcher.ID].kill()
+	delete(instances, watcher.ID)
 	acceptTicket(t, store, 2)
-	for _, n := range nodes {
+	for _, n := range instances {
 		took := within(t, 5*time.Second, "ticket 2", haveTicket(2, n))
 		t.Logf("in force %s after the watching instance was killed", took)
 	}
@@ -196,9 +196,9 @@
 func TestTicketGapIsRequested(t *testing.T) {
 	is := is.New(t)
 	l := newFakeList(t)
-	down := &partitionedStore{Store: bbstore.NewMem()}
-	down.down.Store(true)
-	a, b := startInstance(t, "a", "d1", l, down), startInstance(t, "b", "d1", l, down)
+	unreachable := &partitionedStore{Store: bbstore.NewMem()}
+	unreachable.down.Store(true)
+	a, b := startInstance(t, "a", "d1", l, unreachable), startInstance(t, "b", "d1", l, unreachable)
 	within(t, 5*time.Second, "a and b see each other", func() bool { return a.sees("b") && b.sees("a") })
 	b.follower.mu.Lock() // b has tickets that it did not pass on
 	b.follower.replica.applyTickets([]bbticket.Ticket{testTicket(1), testTicket(2), testTicket(3)})
--- a/bluebellport/src/follower_push.go
+++ b/bluebellport/src/follower_push.go
@@ -25,60 +25,60 @@
 // tree of its failure domain, from the first of the domain to a few other
 // domains, and to the first when the news came from elsewhere.
 func (f *Follower) pushTickets(after bbunit.TicketNumber, from bbunit.InstanceID) {
-	v := f.deps.Board.View.Load()
-	e := f.ticketMessage(uint64(after))
-	if e == nil || len(e.GetTickettell().Tickets) > maxPushedTickets {
+	view := f.deps.Board.View.Load()
+	msg := f.ticketMessage(uint64(after))
+	if msg == nil || len(msg.GetTickettell().Tickets) > maxPushedTickets {
 		return
 	}
-	for _, to := range pushRecipients(v, from, rand.IntN) {
-		_ = f.peers.Send(to, e)
+	for _, to := range pushRecipients(view, from, rand.IntN) {
+		_ = f.peers.Send(to, msg)
 	}
 }
 
 // pushRecipients returns whom an instance tells news that it heard from another; from
 // is empty when the news came from the service.
-func pushRecipients(v *bbmember.View, from bbunit.InstanceID, intN func(int) int) []bbunit.InstanceID {
-	var out []bbunit.InstanceID
-	rank := v.Rank(watchKey, v.Self.Domain, len(v.Members))
-	at := -1
-	for i, m := range rank {
-		if m.ID == v.Self.ID {
-			at = i
+func pushRecipients(view *bbmember.View, from bbunit.InstanceID, intN func(int) int) []bbunit.InstanceID {
+	var recipients []bbunit.InstanceID
+	ranked := view.Rank(watchKey, view.Self.Domain, len(view.Members))
+	selfRank := -1
+	for i, m := range ranked {
+		if m.ID == view.Self.ID {
+			selfRank = i
 		}
 	}
-	if at >= 0 {
-		for i := pushTreeFanout*at + 1; i <= pushTreeFanout*(at+1) && i < len(rank); i++ {
-			out = append(out, rank[i].ID)
+	if selfRank >= 0 {
+		for i := pushTreeFanout*selfRank + 1; i <= pushTreeFanout*(selfRank+1) && i < len(ranked); i++ {
+			recipients = append(recipients, ranked[i].ID)
 		}
 	}
-	if sender, ok := v.Find(from); at != 0 && len(rank) > 0 && (from == "" || (ok && sender.Domain != v.Self.Domain)) {
-		out = append(out, rank[0].ID)
+	if sender, ok := view.Find(from); selfRank != 0 && len(ranked) > 0 && (from == "" || (ok && sender.Domain != view.Self.Domain)) {
+		recipients = append(recipients, ranked[0].ID)
 	}
-	if at == 0 {
-		out = append(out, otherDomainWatchers(v, intN)...)
+	if selfRank == 0 {
+		recipients = append(recipients, otherDomainWatchers(view, intN)...)
 	}
-	return out
+	return recipients
 }
 
 // otherDomainWatchers returns the first instances of a few other failure domains.
-func otherDomainWatchers(v *bbmember.View, intN func(int) int) []bbunit.InstanceID {
-	seen := map[bbunit.DomainID]bool{v.Self.Domain: true}
+func otherDomainWatchers(view *bbmember.View, intN func(int) int) []bbunit.InstanceID {
+	seen := map[bbunit.DomainID]bool{view.Self.Domain: true}
 	var domains []bbunit.DomainID
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		if !seen[m.Domain] {
 			seen[m.Domain] = true
 			domains = append(domains, m.Domain)
 		}
 	}
-	var out []bbunit.InstanceID
+	var watchers []bbunit.InstanceID
 	for i := range min(pushDomainFanout, len(domains)) {
 		j := i + intN(len(domains)-i)
 		domains[i], domains[j] = domains[j], domains[i]
-		if m, ok := v.Home(watchKey, domains[i]); ok {
-			out = append(out, m.ID)
+		if m, ok := view.Home(watchKey, domains[i]); ok {
+			watchers = append(watchers, m.ID)
 		}
 	}
-	return out
+	return watchers
 }
 
 // ticketMessage returns a message with the tickets above a number, or nil when
@@ -97,8 +97,8 @@
 // each askPause.
 func (f *Follower) requestTickets(to bbunit.InstanceID) {
 	now := time.Now().UnixNano()
-	was := f.lastRequestAt.Load()
-	if now-was < int64(minTicketRequestInterval) || !f.lastRequestAt.CompareAndSwap(was, now) {
+	last := f.lastRequestAt.Load()
+	if now-last < int64(minTicketRequestInterval) || !f.lastRequestAt.CompareAndSwap(last, now) {
 		return
 	}
 	n := uint64(f.deps.Board.State.Load().Number)
@@ -116,20 +116,20 @@
 	if after >= uint64(f.deps.Board.State.Load().Number) {
 		return
 	}
-	e := f.ticketMessage(after)
-	if e == nil {
-		e = &bbwire.Envelope{Body: &bbwire.Envelope_Tickettell{Tickettell: &bbwire.TicketTell{}}}
+	msg := f.ticketMessage(after)
+	if msg == nil {
+		msg = &bbwire.Envelope{Body: &bbwire.Envelope_Tickettell{Tickettell: &bbwire.TicketTell{}}}
 	}
-	_ = f.peers.Send(to, e)
+	_ = f.peers.Send(to, msg)
 }
 
 func (f *Follower) handleTicketTell(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
-	t := e.GetTickettell()
+	msg := e.GetTickettell()
 	switch {
-	case len(t.GetState()) > 0:
-		f.mergeEncodedState(from, t.GetState())
-	case len(t.GetTickets()) > 0:
-		tickets, err := decodeTickets(t.GetTickets())
+	case len(msg.GetState()) > 0:
+		f.mergeEncodedState(from, msg.GetState())
+	case len(msg.GetTickets()) > 0:
+		tickets, err := decodeTickets(msg.GetTickets())
 		if err != nil {
 			f.drop(from, err)
 			return nil
@@ -143,17 +143,17 @@
 	return nil
 }
 
-func (f *Follower) mergeEncodedState(from bbunit.InstanceID, b []byte) {
-	s := &bbticket.State{}
-	if err := json.Unmarshal(b, s); err != nil {
+func (f *Follower) mergeEncodedState(from bbunit.InstanceID, encoded []byte) {
+	state := &bbticket.State{}
+	if err := json.Unmarshal(encoded, state); err != nil {
 		f.drop(from, err)
 		return
 	}
-	if s.Number == 0 {
+	if state.Number == 0 {
 		f.drop(from, errNoTicketNumber)
 		return
 	}
-	f.mergeState(s, from)
+	f.mergeState(state, from)
 }
 
 // fetchState takes the whole state from an instance; one at a time.
@@ -170,22 +170,22 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(stateTransferTimeout))
-	b, err := io.ReadAll(io.LimitReader(conn, maxStateBytes+1))
-	if err != nil || len(b) > maxStateBytes {
-		f.drop(from, errors.Errorf("whole state: %d bytes, %v", len(b), err))
+	encoded, err := io.ReadAll(io.LimitReader(conn, maxStateBytes+1))
+	if err != nil || len(encoded) > maxStateBytes {
+		f.drop(from, errors.Errorf("whole state: %d bytes, %v", len(encoded), err))
 		return
 	}
-	f.mergeEncodedState(from, b)
+	f.mergeEncodedState(from, encoded)
 	f.updateReady()
 }
 
 // serveState sends the whole state.
 func (f *Follower) serveState(from bbunit.InstanceID, conn net.Conn) {
-	b, err := json.Marshal(f.deps.Board.State.Load())
+	encoded, err := json.Marshal(f.deps.Board.State.Load())
 	if err != nil {
 		f.drop(from, err)
 		return
 	}
 	_ = conn.SetDeadline(time.Now().Add(stateTransferTimeout))
-	_, _ = conn.Write(b)
+	_, _ = conn.Write(encoded)
 }
--- a/bluebellport/src/follower_replica.go
+++ b/bluebellport/src/follower_replica.go
@@ -51,11 +51,11 @@
 }
 
 func (r *replica) advance() bool {
-	was := r.state.Number
+	before := r.state.Number
 	for {
 		t, ok := r.pending[r.state.Number+1]
 		if !ok {
-			return r.state.Number > was
+			return r.state.Number > before
 		}
 		delete(r.pending, t.Number)
 		r.state = r.state.Apply(t)
@@ -87,10 +87,10 @@
 // ticketsAfter returns the JSON of the tickets above a number, and false when not all
 // of them are kept.
 func (r *replica) ticketsAfter(n bbunit.TicketNumber) ([][]byte, bool) {
-	force := r.state.Number
-	if r.lastRetained != force || n >= force || force-n > bbunit.TicketNumber(len(r.retained)) {
+	current := r.state.Number
+	if r.lastRetained != current || n >= current || current-n > bbunit.TicketNumber(len(r.retained)) {
 		return nil, false
 	}
-	tail := r.retained[len(r.retained)-int(force-n):]
+	tail := r.retained[len(r.retained)-int(current-n):]
 	return append([][]byte(nil), tail...), true
 }
--- a/bluebellport/src/follower_replica_test.go
+++ b/bluebellport/src/follower_replica_test.go
@@ -20,14 +20,14 @@
 		r := newReplica(states[0])
 		last := len(states) - 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			was := r.state.Number
+			before := r.state.Number
 			if rapid.Bool().Draw(t, "whole") {
 				r.mergeState(roundTrip(t, states[rapid.IntRange(0, last).Draw(t, "state")]))
 			} else {
 				r.applyTickets(rapid.SliceOfN(rapid.SampledFrom(log), 1, 5).Draw(t, "tickets"))
 			}
-			if r.state.Number < was {
-				t.Fatalf("went back from %d to %d", was, r.state.Number)
+			if r.state.Number < before {
+				t.Fatalf("went back from %d to %d", before, r.state.Number)
 			}
 			requireSameState(t, r.state, states[r.state.Number])
 			checkRetained(t, &r)
--- a/bluebellport/src/follower_test.go
+++ b/bluebellport/src/follower_test.go
@@ -35,14 +35,14 @@
 	is := is.New(t)
 	l, store := newFakeList(t), bbstore.NewMem()
 	acceptTicket(t, store, 1)
-	var nodes []*testInstance
+	var instances []*testInstance
 	for i := range 6 {
-		nodes = append(nodes, startInstance(t, fmt.Sprintf("i%d", i), fmt.Sprintf("d%d", i%2), l, store))
+		instances = append(instances, startInstance(t, fmt.Sprintf("i%d", i), fmt.Sprintf("d%d", i%2), l, store))
 	}
 	all := func(n bbunit.TicketNumber) func() bool {
 		return func() bool {
-			for _, d := range nodes {
-				if d.number() != n || !d.deps.Board.Ready.Load() || len(d.view().Members) != len(nodes) {
+			for _, d := range instances {
+				if d.number() != n || !d.deps.Board.Ready.Load() || len(d.view().Members) != len(instances) {
 					return false
 				}
 			}
@@ -52,7 +52,7 @@
 	within(t, 10*time.Second, "ticket 1 everywhere", all(1))
 	acceptTicket(t, store, 2)
 	within(t, 2*time.Second, "ticket 2 everywhere", all(2))
-	for _, d := range nodes {
+	for _, d := range instances {
 		is.Equal(d.deps.Board.State.Load().Accounts["shared"].Object.Priority, bbunit.Priority(2))
 	}
 	within(t, 2*time.Second, "one waiting watch a failure domain", func() bool { return store.Counts().OpenWatches == 2 })
--- a/bluebellport/src/gossip.go
+++ b/bluebellport/src/gossip.go
@@ -25,13 +25,13 @@
 	truncated metrics.Counter // messages cut down to their members
 }
 
-func newGossip(ps *Peers, m *membership) *gossip {
+func newGossip(peers *Peers, members *membership) *gossip {
 	g := &gossip{
-		peers: ps, members: m,
-		sentBytes: metrics.GetOrRegisterCounter("peer.gossip.bytes", ps.deps.Metrics),
-		truncated: metrics.GetOrRegisterCounter("peer.gossip.over", ps.deps.Metrics),
+		peers: peers, members: members,
+		sentBytes: metrics.GetOrRegisterCounter("peer.gossip.bytes", peers.deps.Metrics),
+		truncated: metrics.GetOrRegisterCounter("peer.gossip.over", peers.deps.Metrics),
 	}
-	ps.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Gossip{}}, g.receive)
+	peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Gossip{}}, g.receive)
 	return g
 }
 
@@ -52,16 +52,16 @@
 // sendRound sends the messages of one round, with all rumors.
 func (g *gossip) sendRound(msgs []bbmember.Message) {
 	for _, msg := range msgs {
-		out := &bbwire.Gossip{}
+		gossip := &bbwire.Gossip{}
 		for _, r := range g.currentGossipers() {
-			r.Fill(out)
+			r.Fill(gossip)
 		}
-		if proto.Size(out) > maxGossiperBytes {
+		if proto.Size(gossip) > maxGossiperBytes {
 			g.truncated.Inc(1)
-			out = &bbwire.Gossip{Number: out.Number}
+			gossip = &bbwire.Gossip{Number: gossip.Number}
 		}
-		out.Members = bbmember.Encode(msg.Reports)
-		g.send(msg.To, out)
+		gossip.Members = bbmember.Encode(msg.Reports)
+		g.send(msg.To, gossip)
 	}
 }
 
@@ -70,22 +70,22 @@
 	g.send(msg.To, &bbwire.Gossip{Members: bbmember.Encode(msg.Reports)})
 }
 
-func (g *gossip) send(to bbunit.InstanceID, out *bbwire.Gossip) {
-	g.sentBytes.Inc(int64(proto.Size(out)))
-	_ = g.peers.Send(to, &bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: out}})
+func (g *gossip) send(to bbunit.InstanceID, gossip *bbwire.Gossip) {
+	g.sentBytes.Inc(int64(proto.Size(gossip)))
+	_ = g.peers.Send(to, &bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: gossip}})
 }
 
 // receive reads a message from another instance.
 func (g *gossip) receive(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
-	in := e.GetGossip()
-	if len(in.GetMembers()) > maxReportsPerMessage {
+	msg := e.GetGossip()
+	if len(msg.GetMembers()) > maxReportsPerMessage {
 		g.peers.drop(from, errTooManyMembers)
 		return nil
 	}
-	reports := bbmember.Decode(in.GetMembers())
+	reports := bbmember.Decode(msg.GetMembers())
 	g.members.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.HandleGossip(now, reports) })
 	for _, r := range g.currentGossipers() {
-		r.Take(from, in)
+		r.Take(from, msg)
 	}
 	return nil
 }
--- a/bluebellport/src/membership.go
+++ b/bluebellport/src/membership.go
@@ -31,22 +31,22 @@
 	listErrors  metrics.Counter
 }
 
-func newMembership(ps *Peers, p Deps) *membership {
-	self := p.Board.View.Load().Self
+func newMembership(peers *Peers, deps Deps) *membership {
+	self := deps.Board.View.Load().Self
 	if !bbmember.ValidAddress(self.Address) {
-		self.Address = ps.ln.Addr().String()
+		self.Address = peers.ln.Addr().String()
 	}
-	rnd := rand.New(rand.NewPCG(uint64(self.Inc), xxhash.Sum64String(string(self.ID))))
-	cfg := bbmember.DefaultConfig(p.Opts.Peer.GossipPeriod, p.Opts.Peer.SuspicionTimeout)
+	rng := rand.New(rand.NewPCG(uint64(self.Inc), xxhash.Sum64String(string(self.ID))))
+	cfg := bbmember.DefaultConfig(deps.Opts.Peer.GossipPeriod, deps.Opts.Peer.SuspicionTimeout)
 	m := &membership{
-		peers: ps, deps: p,
+		peers: peers, deps: deps,
 		client:      &fasthttp.Client{MaxResponseBodySize: maxListBytes, ReadTimeout: listTimeout, WriteTimeout: listTimeout},
-		fleet:       bbmember.NewFleet(self, cfg, p.Now(), rnd),
-		memberCount: metrics.GetOrRegisterGauge("peer.members", p.Metrics),
-		listErrors:  metrics.GetOrRegisterCounter("peer.list.bad", p.Metrics),
+		fleet:       bbmember.NewFleet(self, cfg, deps.Now(), rng),
+		memberCount: metrics.GetOrRegisterGauge("peer.members", deps.Metrics),
+		listErrors:  metrics.GetOrRegisterCounter("peer.list.bad", deps.Metrics),
 	}
-	m.gossip = newGossip(ps, m)
-	p.Board.View.Store(m.fleet.View())
+	m.gossip = newGossip(peers, m)
+	deps.Board.View.Store(m.fleet.View())
 	return m
 }
 
@@ -69,20 +69,20 @@
 	if m.deps.Board.Draining.Load() {
 		m.leave()
 	}
-	from := m.peers.recentContacts()
-	m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.RecordContact(now, from) })
-	a := m.update(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Tick(now) })
-	m.gossip.sendRound(a.Send)
-	m.execute(bbmember.Actions{Probe: a.Probe, Superseded: a.Superseded})
+	contacts := m.peers.recentContacts()
+	m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.RecordContact(now, contacts) })
+	actions := m.update(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Tick(now) })
+	m.gossip.sendRound(actions.Send)
+	m.execute(bbmember.Actions{Probe: actions.Probe, Superseded: actions.Superseded})
 }
 
 // leave tells the fleet, once, that this instance leaves.
 func (m *membership) leave() {
 	m.mu.Lock()
-	left := m.leaveSent
+	alreadySent := m.leaveSent
 	m.leaveSent = true
 	m.mu.Unlock()
-	if !left {
+	if !alreadySent {
 		m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Leave(now) })
 	}
 }
@@ -91,12 +91,12 @@
 func (m *membership) update(fn func(f *bbmember.Fleet, now time.Time) bbmember.Actions) bbmember.Actions {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	a := fn(m.fleet, m.deps.Now())
-	if a.View != nil {
-		m.deps.Board.View.Store(a.View)
-		m.memberCount.Update(int64(len(a.View.Members)))
+	actions := fn(m.fleet, m.deps.Now())
+	if actions.View != nil {
+		m.deps.Board.View.Store(actions.View)
+		m.memberCount.Update(int64(len(actions.View.Members)))
 	}
-	return a
+	return actions
 }
 
 // dispatch runs one event through the core and carries out what it asks for.
@@ -104,18 +104,18 @@
 	m.execute(m.update(fn))
 }
 
-func (m *membership) execute(a bbmember.Actions) {
-	for _, msg := range a.Send {
+func (m *membership) execute(actions bbmember.Actions) {
+	for _, msg := range actions.Send {
 		m.gossip.sendUrgent(msg)
 	}
-	for _, id := range a.Probe {
+	for _, id := range actions.Probe {
 		m.peers.probeInBackground(id)
 	}
-	if a.Dropped > 0 {
-		m.peers.dropped.Inc(int64(a.Dropped))
-		m.deps.Log.WithField("reports", a.Dropped).Warn("malformed member reports dropped")
+	if actions.Dropped > 0 {
+		m.peers.dropped.Inc(int64(actions.Dropped))
+		m.deps.Log.WithField("reports", actions.Dropped).Warn("malformed member reports dropped")
 	}
-	if a.Superseded {
+	if actions.Superseded {
 		m.deps.Log.Error("a later instance has this instance's name")
 	}
 }
@@ -170,8 +170,8 @@
 		m.listDown = true
 		return 0
 	}
-	list, bad, err := bbmember.ParseList(body)
-	for _, b := range append(bad, err) {
+	list, malformed, err := bbmember.ParseList(body)
+	for _, b := range append(malformed, err) {
 		if b != nil {
 			m.listErrors.Inc(1)
 			m.deps.Log.WithError(b).Warn("list of instances: dropped")
--- a/bluebellport/src/native.go
+++ b/bluebellport/src/native.go
@@ -47,51 +47,51 @@
 	log := logrus.New()
 	log.SetOutput(out)
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: nativeTimestampFormat})
-	set, err := readSettings(log)
+	settings, err := readSettings(log)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	debug.SetMemoryLimit(int64(float64(set.MemoryMB) * memoryLimitFraction * (1 << 20)))
+	debug.SetMemoryLimit(int64(float64(settings.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	go func() {
 		for range hup {
-			reloadSettings(log, set)
+			reloadSettings(log, settings)
 		}
 	}()
-	entry := log.WithField("instance", set.Instance)
-	parts := nativeDeps(set, entry)
-	peers, closePeers, err := NewPeers(parts)
+	instanceLog := log.WithField("instance", settings.Instance)
+	deps := nativeDeps(settings, instanceLog)
+	peers, closePeers, err := NewPeers(deps)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
 	defer closePeers()
-	return bbproxy.Serve(ctx, set, peers, parts.Metrics, entry)
+	return bbproxy.Serve(ctx, settings, peers, deps.Metrics, instanceLog)
 }
 
 func readSettings(log logrus.FieldLogger) (bbplatform.Settings, error) {
-	set, bad, err := bbplatform.ReadSettings()
-	for _, line := range bad {
+	settings, warnings, err := bbplatform.ReadSettings()
+	for _, line := range warnings {
 		log.WithField("event", "settings").Warn(line)
 	}
-	return set, err
+	return settings, err
 }
 
 // reloadSettings reads the settings anew and tells what changed. What is in force at
 // the start stays: addresses and bounds do not change under open requests.
-func reloadSettings(log logrus.FieldLogger, old bbplatform.Settings) {
-	set, err := readSettings(log)
+func reloadSettings(log logrus.FieldLogger, current bbplatform.Settings) {
+	settings, err := readSettings(log)
 	if err != nil {
 		log.WithError(err).WithField("event", "reload").Error("settings not readable; the old ones stay")
 		return
 	}
-	log.WithFields(logrus.Fields{"event": "reload", "changed": !reflect.DeepEqual(set, old)}).Info("settings read anew; changes hold from the next start")
+	log.WithFields(logrus.Fields{"event": "reload", "changed": !reflect.DeepEqual(settings, current)}).Info("settings read anew; changes hold from the next start")
 }
 
 // nativeDeps returns what the peers are built from. On the platform an instance
 // is known to the others by the address at which they reach it.
-func nativeDeps(set bbplatform.Settings, log logrus.FieldLogger) Deps {
+func nativeDeps(settings bbplatform.Settings, log logrus.FieldLogger) Deps {
 	opts := &Options{
-		Self: SelfOptions{Instance: set.PeerAddress, Domain: string(set.Domain), StoreAddress: set.StoreAddress},
-		Peer: PeerOptions{ListenAddress: set.PeerAddress, GossipPeriod: nativeGossipPeriod, SuspicionTimeout: nativeSuspicionTimeout},
+		Self: SelfOptions{Instance: settings.PeerAddress, Domain: string(settings.Domain), StoreAddress: settings.StoreAddress},
+		Peer: PeerOptions{ListenAddress: settings.PeerAddress, GossipPeriod: nativeGossipPeriod, SuspicionTimeout: nativeSuspicionTimeout},
 	}
 	return newDeps(opts, log)
 }
--- a/bluebellport/src/options.go
+++ b/bluebellport/src/options.go
@@ -39,11 +39,11 @@
 
 // Check returns one line for each bad setting of all groups.
 func (o *Options) Check() []string {
-	var bad []string
+	var problems []string
 	for _, g := range o.groups() {
-		bad = append(bad, g.check()...)
+		problems = append(problems, g.check()...)
 	}
-	return bad
+	return problems
 }
 
 // SelfOptions tell an instance who and where it is, and where the platform is.
@@ -66,19 +66,19 @@
 }
 
 func (o *SelfOptions) check() []string {
-	var bad []string
+	var problems []string
 	if o.Instance == "" {
-		bad = append(bad, "--instance: must not be empty")
+		problems = append(problems, "--instance: must not be empty")
 	}
 	if o.Domain == "" {
-		bad = append(bad, "--domain: must not be empty")
+		problems = append(problems, "--domain: must not be empty")
 	}
 	if _, err := logrus.ParseLevel(o.LogLevel); err != nil {
-		bad = append(bad, fmt.Sprintf("--log-level: %q: panic, fatal, error, warning, info, debug or trace", o.LogLevel))
+		problems = append(problems, fmt.Sprintf("--log-level: %q: panic, fatal, error, warning, info, debug or trace", o.LogLevel))
 	}
-	bad = append(bad, checkAddress("--store", o.StoreAddress, true)...)
-	bad = append(bad, checkAddress("--list", o.ListAddress, false)...)
-	return append(bad, checkAddress("--trace-otlp", o.TraceAddress, false)...)
+	problems = append(problems, checkAddress("--store", o.StoreAddress, true)...)
+	problems = append(problems, checkAddress("--list", o.ListAddress, false)...)
+	return append(problems, checkAddress("--trace-otlp", o.TraceAddress, false)...)
 }
 
 // ID returns the instance's id.
@@ -116,25 +116,25 @@
 }
 
 func (o *FrontOptions) check() []string {
-	bad := checkAddress("--listen", o.CallerAddress, true)
-	bad = append(bad, checkAddress("--admin", o.AdminAddress, true)...)
+	problems := checkAddress("--listen", o.CallerAddress, true)
+	problems = append(problems, checkAddress("--admin", o.AdminAddress, true)...)
 	if (o.Cert == "") != (o.Key == "") {
-		bad = append(bad, fmt.Sprintf("--tls-cert, --tls-key: only one is set: %q, %q", o.Cert, o.Key))
+		problems = append(problems, fmt.Sprintf("--tls-cert, --tls-key: only one is set: %q, %q", o.Cert, o.Key))
 	} else if o.Cert != "" {
 		if _, err := tls.LoadX509KeyPair(o.Cert, o.Key); err != nil {
-			bad = append(bad, fmt.Sprintf("--tls-cert, --tls-key: %s", err))
+			problems = append(problems, fmt.Sprintf("--tls-cert, --tls-key: %s", err))
 		}
 	}
 	if o.MaxBodyBytes <= 0 {
-		bad = append(bad, fmt.Sprintf("--max-body: must be above 0, is %d", o.MaxBodyBytes))
+		problems = append(problems, fmt.Sprintf("--max-body: must be above 0, is %d", o.MaxBodyBytes))
 	}
-	bad = append(bad, bbcli.CheckDuration("--drain", o.DrainTimeout)...)
-	bad = append(bad, bbcli.CheckDuration("--silence", o.SilenceTimeout)...)
-	bad = append(bad, bbcli.CheckDuration("--late", o.LateAnswerTimeout)...)
+	problems = append(problems, bbcli.CheckDuration("--drain", o.DrainTimeout)...)
+	problems = append(problems, bbcli.CheckDuration("--silence", o.SilenceTimeout)...)
+	problems = append(problems, bbcli.CheckDuration("--late", o.LateAnswerTimeout)...)
 	if o.LingerTime < 0 || o.LingerTime >= o.DrainTimeout {
-		bad = append(bad, fmt.Sprintf("--linger: must be from 0 to below --drain (%s), is %s", o.DrainTimeout, o.LingerTime))
+		problems = append(problems, fmt.Sprintf("--linger: must be from 0 to below --drain (%s), is %s", o.DrainTimeout, o.LingerTime))
 	}
-	return append(bad, bbcli.CheckDuration("--timeout", o.DefaultDeadline)...)
+	return append(problems, bbcli.CheckDuration("--timeout", o.DefaultDeadline)...)
 }
 
 // PeerOptions set how instances reach each other.
@@ -159,16 +159,16 @@
 }
 
 func (o *PeerOptions) check() []string {
-	bad := checkAddress("--peer", o.ListenAddress, true)
-	bad = append(bad, checkReachableAddress(o.ReachableAddress())...)
-	bad = append(bad, bbcli.CheckDuration("--gossip-period", o.GossipPeriod)...)
+	problems := checkAddress("--peer", o.ListenAddress, true)
+	problems = append(problems, checkReachableAddress(o.ReachableAddress())...)
+	problems = append(problems, bbcli.CheckDuration("--gossip-period", o.GossipPeriod)...)
 	if o.SuspicionTimeout < 3*o.GossipPeriod {
-		bad = append(bad, fmt.Sprintf("--suspicion: must be at least 3 times --gossip-period, is %s", o.SuspicionTimeout))
+		problems = append(problems, fmt.Sprintf("--suspicion: must be at least 3 times --gossip-period, is %s", o.SuspicionTimeout))
 	}
 	if _, err := o.tlsConfig(); err != nil {
-		bad = append(bad, err.Error())
+		problems = append(problems, err.Error())
 	}
-	return bad
+	return problems
 }
 
 // ReachableAddress returns the address that other instances connect to.
@@ -180,10 +180,10 @@
 }
 
 // checkReachableAddress returns a line when others could not connect to the address.
-func checkReachableAddress(v string) []string {
-	a, err := netip.ParseAddrPort(v)
+func checkReachableAddress(address string) []string {
+	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Addr().IsUnspecified() {
-		return []string{fmt.Sprintf("--peer-advertise: not an IP number and port that others can reach: %q", v)}
+		return []string{fmt.Sprintf("--peer-advertise: not an IP number and port that others can reach: %q", address)}
 	}
 	return nil
 }
@@ -220,33 +220,33 @@
 }
 
 func (o *RecordOptions) check() []string {
-	bad := bbcli.CheckDuration("--claim-period", o.ClaimPeriod)
-	bad = append(bad, bbcli.CheckDuration("--bill-period", o.BillPeriod)...)
-	bad = append(bad, bbcli.CheckDuration("--record-takeover", o.TakeoverDelay)...)
-	bad = append(bad, bbcli.CheckDuration("--answer-keep", o.AnswerTTL)...)
-	bad = append(bad, bbcli.CheckDuration("--answer-grace", o.CallerlessTimeout)...)
+	problems := bbcli.CheckDuration("--claim-period", o.ClaimPeriod)
+	problems = append(problems, bbcli.CheckDuration("--bill-period", o.BillPeriod)...)
+	problems = append(problems, bbcli.CheckDuration("--record-takeover", o.TakeoverDelay)...)
+	problems = append(problems, bbcli.CheckDuration("--answer-keep", o.AnswerTTL)...)
+	problems = append(problems, bbcli.CheckDuration("--answer-grace", o.CallerlessTimeout)...)
 	if o.Retention < minRetention {
-		bad = append(bad, fmt.Sprintf("--record-retention: must be at least %s, is %s", minRetention, o.Retention))
+		problems = append(problems, fmt.Sprintf("--record-retention: must be at least %s, is %s", minRetention, o.Retention))
 	}
 	if o.ClaimTimeout <= o.ClaimPeriod {
-		bad = append(bad, fmt.Sprintf("--claim-timeout: must be above --claim-period (%s), is %s", o.ClaimPeriod, o.ClaimTimeout))
+		problems = append(problems, fmt.Sprintf("--claim-timeout: must be above --claim-period (%s), is %s", o.ClaimPeriod, o.ClaimTimeout))
 	}
 	if o.MaxUnacknowledgedBills <= 0 {
-		bad = append(bad, fmt.Sprintf("--record-queue: must be above 0, is %d", o.MaxUnacknowledgedBills))
+		problems = append(problems, fmt.Sprintf("--record-queue: must be above 0, is %d", o.MaxUnacknowledgedBills))
 	}
 	if !(o.ClaimWriteRate > 0) {
-		bad = append(bad, fmt.Sprintf("--claim-writes: must be above 0, is %g", o.ClaimWriteRate))
+		problems = append(problems, fmt.Sprintf("--claim-writes: must be above 0, is %g", o.ClaimWriteRate))
 	}
 	if !(o.BillWriteRate > 0) {
-		bad = append(bad, fmt.Sprintf("--bill-writes: must be above 0, is %g", o.BillWriteRate))
+		problems = append(problems, fmt.Sprintf("--bill-writes: must be above 0, is %g", o.BillWriteRate))
 	}
 	if o.MaxAnswerBytes <= 0 {
-		bad = append(bad, fmt.Sprintf("--answer-max: must be above 0, is %d", o.MaxAnswerBytes))
+		problems = append(problems, fmt.Sprintf("--answer-max: must be above 0, is %d", o.MaxAnswerBytes))
 	}
 	if o.MaxTotalAnswerBytes < o.MaxAnswerBytes {
-		bad = append(bad, fmt.Sprintf("--answer-total: must be at least --answer-max (%d), is %d", o.MaxAnswerBytes, o.MaxTotalAnswerBytes))
+		problems = append(problems, fmt.Sprintf("--answer-total: must be at least --answer-max (%d), is %d", o.MaxAnswerBytes, o.MaxTotalAnswerBytes))
 	}
-	return bad
+	return problems
 }
 
 // RouteOptions set how targets are chosen, limited and retried.
@@ -283,32 +283,32 @@
 }
 
 func (o *RouteOptions) check() []string {
-	var bad []string
+	var problems []string
 	if o.CircuitFailureThreshold < 1 {
-		bad = append(bad, fmt.Sprintf("--circuit-fails: must be at least 1, is %d", o.CircuitFailureThreshold))
+		problems = append(problems, fmt.Sprintf("--circuit-fails: must be at least 1, is %d", o.CircuitFailureThreshold))
 	}
 	if o.MaxQueued < 0 {
-		bad = append(bad, fmt.Sprintf("--queue: must not be below 0, is %d", o.MaxQueued))
+		problems = append(problems, fmt.Sprintf("--queue: must not be below 0, is %d", o.MaxQueued))
 	}
 	if o.MaxAttempts < 1 {
-		bad = append(bad, fmt.Sprintf("--tries: must be at least 1, is %d", o.MaxAttempts))
+		problems = append(problems, fmt.Sprintf("--tries: must be at least 1, is %d", o.MaxAttempts))
 	}
 	if !(o.RetryRatio >= 0 && o.RetryRatio <= 1) {
-		bad = append(bad, fmt.Sprintf("--retry-ratio: must be from 0 to 1, is %g", o.RetryRatio))
+		problems = append(problems, fmt.Sprintf("--retry-ratio: must be from 0 to 1, is %g", o.RetryRatio))
 	}
 	if !(o.MinRetryRate >= 0 && o.MinRetryRate <= 1e6) {
-		bad = append(bad, fmt.Sprintf("--retry-floor: must be from 0 to 1000000, is %g", o.MinRetryRate))
+		problems = append(problems, fmt.Sprintf("--retry-floor: must be from 0 to 1000000, is %g", o.MinRetryRate))
 	}
 	if o.PoisonCrashThreshold < 1 || o.PoisonCrashThreshold > 8 {
-		bad = append(bad, fmt.Sprintf("--poison-crashes: must be from 1 to 8, is %d", o.PoisonCrashThreshold))
+		problems = append(problems, fmt.Sprintf("--poison-crashes: must be from 1 to 8, is %d", o.PoisonCrashThreshold))
 	}
-	bad = append(bad, bbcli.CheckDuration("--load-every", o.LoadPollInterval)...)
-	bad = append(bad, bbcli.CheckDuration("--queue-longest", o.MaxQueueWait)...)
-	bad = append(bad, bbcli.CheckDuration("--circuit-open", o.InitialCircuitOpen)...)
-	bad = append(bad, bbcli.CheckDuration("--circuit-longest", o.MaxCircuitOpen)...)
-	bad = append(bad, bbcli.CheckDuration("--circuit-probe", o.CircuitProbeTimeout)...)
-	bad = append(bad, bbcli.CheckDuration("--slow-start", o.SlowStart)...)
-	return append(bad, bbcli.CheckDuration("--spill", o.SpillWait)...)
+	problems = append(problems, bbcli.CheckDuration("--load-every", o.LoadPollInterval)...)
+	problems = append(problems, bbcli.CheckDuration("--queue-longest", o.MaxQueueWait)...)
+	problems = append(problems, bbcli.CheckDuration("--circuit-open", o.InitialCircuitOpen)...)
+	problems = append(problems, bbcli.CheckDuration("--circuit-longest", o.MaxCircuitOpen)...)
+	problems = append(problems, bbcli.CheckDuration("--circuit-probe", o.CircuitProbeTimeout)...)
+	problems = append(problems, bbcli.CheckDuration("--slow-start", o.SlowStart)...)
+	return append(problems, bbcli.CheckDuration("--spill", o.SpillWait)...)
 }
 
 // pickPolicy returns the rule by which targets are chosen.
@@ -341,8 +341,8 @@
 }
 
 // checkAddress is bbcli.CheckAddress for a value that may be left out.
-func checkAddress(flag, v string, needed bool) []string {
-	if v == "" && !needed {
+func checkAddress(flag, v string, required bool) []string {
+	if v == "" && !required {
 		return nil
 	}
 	return bbcli.CheckAddress(flag, v)
--- a/bluebellport/src/options_test.go
+++ b/bluebellport/src/options_test.go
@@ -14,16 +14,16 @@
 // TestInvalidSettings holds in a golden file what is told of each bad setting; all
 // of them are named at once and the exit code is 2.
 func TestInvalidSettings(t *testing.T) {
-	base := []string{"serve", "--instance", "i", "--domain", "d", "--store", "127.0.0.1:1", "--list", "127.0.0.1:2"}
+	valid := []string{"serve", "--instance", "i", "--domain", "d", "--store", "127.0.0.1:1", "--list", "127.0.0.1:2"}
 	for name, args := range map[string][]string{
 		"nothing":   {"serve"},
 		"addresses": {"serve", "--instance", "i", "--domain", "d", "--store", "here", "--listen", "nowhere", "--admin=", "--list", "x"},
-		"times":     append(base, "--drain", "0s", "--timeout=-1s", "--silence", "0s", "--linger", "2m"),
-		"units":     append(base, "--drain", "soon", "--max-body", "big", "--linger=-1s"),
-		"level":     append(base, "--log-level", "loud"),
-		"body":      append(base, "--max-body=-1"),
-		"tls":       append(base, "--tls-cert", "only.pem"),
-		"unknown":   append(base, "--colour", "red"),
+		"times":     append(valid, "--drain", "0s", "--timeout=-1s", "--silence", "0s", "--linger", "2m"),
+		"units":     append(valid, "--drain", "soon", "--max-body", "big", "--linger=-1s"),
+		"level":     append(valid, "--log-level", "loud"),
+		"body":      append(valid, "--max-body=-1"),
+		"tls":       append(valid, "--tls-cert", "only.pem"),
+		"unknown":   append(valid, "--colour", "red"),
 		"command":   {"dance"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/bluebellport/src/peer.go
+++ b/bluebellport/src/peer.go
@@ -41,26 +41,26 @@
 // NewPeers listens for other instances and keeps Board.View. The clean-up
 // function tells the peers that this instance leaves, closes all sessions and
 // waits for what it started.
-func NewPeers(p Deps) (*Peers, func(), error) {
-	cfg, err := p.Opts.Peer.tlsConfig()
+func NewPeers(deps Deps) (*Peers, func(), error) {
+	cfg, err := deps.Opts.Peer.tlsConfig()
 	if err != nil {
 		return nil, nil, err
 	}
-	ln, err := net.Listen("tcp", p.Opts.Peer.ListenAddress)
+	ln, err := net.Listen("tcp", deps.Opts.Peer.ListenAddress)
 	if err != nil {
 		return nil, nil, errors.Annotate(err, "--peer")
 	}
-	ps := &Peers{deps: p, tlsConfig: cfg, ln: ln}
-	ps.dropper = dropper{log: p.Log, dropped: metrics.GetOrRegisterCounter("peer.dropped", p.Metrics)}
-	ps.queueFull = metrics.GetOrRegisterCounter("peer.queue.full", p.Metrics)
-	ps.unsent = metrics.GetOrRegisterCounter("peer.unsent", p.Metrics)
-	ps.bytesIn = metrics.GetOrRegisterCounter("peer.bytes.in", p.Metrics)
-	ps.bytesOut = metrics.GetOrRegisterCounter("peer.bytes.out", p.Metrics)
-	ps.ctx, ps.cancel = context.WithCancel(context.Background())
-	ps.members = newMembership(ps, p)
-	ps.wg.Go(ps.acceptConnections)
-	ps.wg.Go(ps.members.run)
-	return ps, ps.close, nil
+	peers := &Peers{deps: deps, tlsConfig: cfg, ln: ln}
+	peers.dropper = dropper{log: deps.Log, dropped: metrics.GetOrRegisterCounter("peer.dropped", deps.Metrics)}
+	peers.queueFull = metrics.GetOrRegisterCounter("peer.queue.full", deps.Metrics)
+	peers.unsent = metrics.GetOrRegisterCounter("peer.unsent", deps.Metrics)
+	peers.bytesIn = metrics.GetOrRegisterCounter("peer.bytes.in", deps.Metrics)
+	peers.bytesOut = metrics.GetOrRegisterCounter("peer.bytes.out", deps.Metrics)
+	peers.ctx, peers.cancel = context.WithCancel(context.Background())
+	peers.members = newMembership(peers, deps)
+	peers.wg.Go(peers.acceptConnections)
+	peers.wg.Go(peers.members.run)
+	return peers, peers.close, nil
 }
 
 func (p *Peers) close() {
@@ -79,13 +79,13 @@
 
 // flush waits until what is queued has been sent, up to leaveFlush.
 func (p *Peers) flush() {
-	for end := time.Now().Add(leaveFlushTimeout); time.Now().Before(end); time.Sleep(leaveFlushTimeout / 50) {
-		waiting := 0
+	for deadline := time.Now().Add(leaveFlushTimeout); time.Now().Before(deadline); time.Sleep(leaveFlushTimeout / 50) {
+		pending := 0
 		p.links.Range(func(_, l any) bool {
-			waiting += int(l.(*link).pending.Load())
+			pending += int(l.(*link).pending.Load())
 			return true
 		})
-		if waiting == 0 {
+		if pending == 0 {
 			return
 		}
 	}
@@ -93,14 +93,14 @@
 
 // recentContacts returns the members that were heard since the last call.
 func (p *Peers) recentContacts() []bbmember.Member {
-	var out []bbmember.Member
+	var contacts []bbmember.Member
 	p.links.Range(func(_, l any) bool {
 		if m, ok := l.(*link).takeContact(); ok {
-			out = append(out, m)
+			contacts = append(contacts, m)
 		}
 		return true
 	})
-	return out
+	return contacts
 }
 
 // probeInBackground connects to an instance, and tells the membership when that fails.
@@ -135,11 +135,11 @@
 // Call sends e and waits for its answer up to the deadline of ctx; ErrPeer when
 // none came, and then it is not known whether e arrived.
 func (p *Peers) Call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope) (*bbwire.Envelope, error) {
-	r, err := p.call(ctx, to, e, func(q *bbwire.Envelope) error { return p.Send(to, q) })
+	reply, err := p.call(ctx, to, e, func(request *bbwire.Envelope) error { return p.Send(to, request) })
 	if err != nil && ctx.Err() != nil {
 		p.checkSession(to)
 	}
-	return r, err
+	return reply, err
 }
 
 // checkSession checks the session with an instance that left a question unanswered: it
@@ -173,12 +173,12 @@
 	if err != nil {
 		return nil, err
 	}
-	st, err := openStream(s.mux, kind)
+	stream, err := openStream(s.mux, kind)
 	if err != nil {
 		return nil, errors.Annotatef(ErrPeerUnreachable, "stream to %s: %v", to, err)
 	}
 	s.touch()
-	return st, nil
+	return stream, nil
 }
 
 // HandleStream sets the function that serves streams of that kind, each on a
@@ -205,9 +205,9 @@
 	if p.ctx.Err() != nil {
 		return nil, errors.Annotate(ErrPeerUnreachable, "closed")
 	}
-	v, stood := p.links.LoadOrStore(to, newLink(p, to))
+	v, exists := p.links.LoadOrStore(to, newLink(p, to))
 	l := v.(*link)
-	if stood {
+	if exists {
 		return l, nil
 	}
 	if to == p.self().ID {
@@ -246,7 +246,7 @@
 
 // receive hands a received envelope to its handler or waiter.
 func (p *Peers) receive(from bbunit.InstanceID, e *bbwire.Envelope) {
-	err := p.deliver(from, e, func(r *bbwire.Envelope) { _ = p.Send(from, r) })
+	err := p.deliver(from, e, func(reply *bbwire.Envelope) { _ = p.Send(from, reply) })
 	if err != nil && !errors.Is(err, errUnexpectedReply) {
 		p.drop(from, err)
 	}
--- a/bluebellport/src/peer_connect.go
+++ b/bluebellport/src/peer_connect.go
@@ -75,9 +75,9 @@
 // handshake shakes hands on a connection, which it closes when that fails.
 func (p *Peers) handshake(ctx context.Context, conn net.Conn, dialed bool) (*session, error) {
 	if c, ok := conn.(*tls.Conn); ok {
-		hctx, cancel := context.WithTimeout(ctx, dialTimeout)
+		handshakeCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
-		if err := c.HandshakeContext(hctx); err != nil {
+		if err := c.HandshakeContext(handshakeCtx); err != nil {
 			_ = conn.Close()
 			return nil, err
 		}
@@ -130,36 +130,36 @@
 // acceptStreams serves the streams that the peer opens.
 func (p *Peers) acceptStreams(s *session) {
 	for {
-		st, err := s.mux.AcceptStream()
+		stream, err := s.mux.AcceptStream()
 		if err != nil {
 			return
 		}
 		if s.mux.NumStreams() > maxStreamsPerSession {
 			p.drop(s.peer(), errors.New("too many streams"))
-			_ = st.Close()
+			_ = stream.Close()
 			continue
 		}
-		p.wg.Go(func() { p.serveStream(s, st) })
+		p.wg.Go(func() { p.serveStream(s, stream) })
 	}
 }
 
-func (p *Peers) serveStream(s *session, st *yamux.Stream) {
-	defer func() { _ = st.Close() }()
-	_ = st.SetReadDeadline(time.Now().Add(dialTimeout))
-	kind, err := readStreamKind(st)
+func (p *Peers) serveStream(s *session, stream *yamux.Stream) {
+	defer func() { _ = stream.Close() }()
+	_ = stream.SetReadDeadline(time.Now().Add(dialTimeout))
+	kind, err := readStreamKind(stream)
 	if err != nil {
 		p.drop(s.peer(), errors.Annotate(err, "stream header"))
 		return
 	}
-	_ = st.SetReadDeadline(time.Time{})
+	_ = stream.SetReadDeadline(time.Time{})
 	fn, ok := p.streams.Load(kind)
 	if !ok {
 		p.drop(s.peer(), errors.Annotatef(errUnknownStreamKind, "%.40q", kind))
 		return
 	}
 	s.touch()
-	if r := panics.Try(func() { fn.(func(bbunit.InstanceID, net.Conn))(s.peer(), st) }); r != nil {
-		p.drop(s.peer(), errors.Annotatef(errPanic, "stream %s: %v", kind, r.Value))
+	if panicked := panics.Try(func() { fn.(func(bbunit.InstanceID, net.Conn))(s.peer(), stream) }); panicked != nil {
+		p.drop(s.peer(), errors.Annotatef(errPanic, "stream %s: %v", kind, panicked.Value))
 	}
 }
 
--- a/bluebellport/src/peer_link.go
+++ b/bluebellport/src/peer_link.go
@@ -125,8 +125,8 @@
 func (l *link) addSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, o := range l.sessions {
-		l.probeInBackground(o)
+	for _, older := range l.sessions {
+		l.probeInBackground(older)
 	}
 	l.sessions = append(l.sessions, s)
 }
@@ -147,8 +147,8 @@
 func (l *link) removeSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i, o := range l.sessions {
-		if o == s {
+	for i, other := range l.sessions {
+		if other == s {
 			l.sessions = append(l.sessions[:i], l.sessions[i+1:]...)
 			return
 		}
@@ -159,16 +159,16 @@
 // life of the instance than the one in the view opened is not used: an earlier
 // life may have resumed.
 func (l *link) preferredSession() *session {
-	known := l.viewIncarnation()
+	viewInc := l.viewIncarnation()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var best *session
 	for _, s := range l.sessions {
-		stranger := known != 0 && s.incarnation() != known
-		if s.closed() || (stranger && !s.dialed) {
+		otherIncarnation := viewInc != 0 && s.incarnation() != viewInc
+		if s.closed() || (otherIncarnation && !s.dialed) {
 			continue
 		}
-		if best == nil || l.preferred(s, best, known) {
+		if best == nil || l.preferred(s, best, viewInc) {
 			best = s
 		}
 	}
@@ -189,14 +189,14 @@
 
 // preferred tells whether the later session b goes before a. Both ends choose the
 // same one: that which the instance with the lower id opened.
-func (l *link) preferred(b, a *session, known bbunit.Incarnation) bool {
+func (l *link) preferred(newer, older *session, viewInc bbunit.Incarnation) bool {
 	switch {
-	case a.incarnation() != b.incarnation():
-		return a.incarnation() != known
-	case a.suspect.Load() != b.suspect.Load():
-		return a.suspect.Load()
-	case a.dialed != b.dialed:
-		return b.dialed == (l.peers.self().ID < l.id)
+	case older.incarnation() != newer.incarnation():
+		return older.incarnation() != viewInc
+	case older.suspect.Load() != newer.suspect.Load():
+		return older.suspect.Load()
+	case older.dialed != newer.dialed:
+		return newer.dialed == (l.peers.self().ID < l.id)
 	}
 	return true
 }
--- a/bluebellport/src/peer_test.go
+++ b/bluebellport/src/peer_test.go
@@ -131,13 +131,13 @@
 func TestLeaveAndCrashAreDetected(t *testing.T) {
 	is := is.New(t)
 	l, store := newFakeList(t), bbstore.NewMem()
-	var nodes []*testInstance
+	var instances []*testInstance
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		nodes = append(nodes, startInstance(t, id, "d"+string('1'+id[0]%2), l, store))
+		instances = append(instances, startInstance(t, id, "d"+string('1'+id[0]%2), l, store))
 	}
 	all := func(ok func(n *testInstance) bool) func() bool {
 		return func() bool {
-			for _, n := range nodes {
+			for _, n := range instances {
 				if !ok(n) {
 					return false
 				}
@@ -146,46 +146,46 @@
 		}
 	}
 	within(t, 5*time.Second, "six members", all(func(n *testInstance) bool { return len(n.view().Members) == 6 }))
-	leaver := nodes[0]
+	leaver := instances[0]
 	leaver.peers.Leave()
 	is.True(!leaver.sees("a")) // Self is not home to anything any more
-	nodes = nodes[1:]
+	instances = instances[1:]
 	took := within(t, 2*time.Second, "leaving known", all(func(n *testInstance) bool { return !n.sees("a") }))
 	t.Logf("leaving known everywhere after %s, with the list unchanged", took)
-	nodes[0].kill()
-	nodes = nodes[1:]
+	instances[0].kill()
+	instances = instances[1:]
 	took = within(t, 15*testSuspicionTimeout, "death known", all(func(n *testInstance) bool { return !n.sees("b") }))
 	t.Logf("death known everywhere after %s, with the list unchanged", took)
 	l.setDown(true)
 	time.Sleep(2 * testSuspicionTimeout)
-	is.True(nodes[0].sees("f")) // the list's outage changes nothing
+	is.True(instances[0].sees("f")) // the list's outage changes nothing
 }
 
 func TestInstanceRestart(t *testing.T) {
 	is := is.New(t)
 	a, b, l := startPair(t)
-	old := b.view().Self.Inc
+	oldInc := b.view().Self.Inc
 	b.kill()
 	p := testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem())
 	p.Opts.Peer.ListenAddress = b.peers.Address() // the same name at the same address
-	n := startInstanceWith(t, p)
-	n.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("new") })
+	restarted := startInstanceWith(t, p)
+	restarted.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("new") })
 	within(t, 5*time.Second, "the new life in view", func() bool {
 		m, ok := a.view().Find("b")
-		return ok && m.Inc == n.view().Self.Inc
+		return ok && m.Inc == restarted.view().Self.Inc
 	})
 	r, err := busCall(a.peers, "b", askEnvelope(1), time.Second)
 	is.NoErr(err)
-	is.Equal(r.Inc, uint64(n.view().Self.Inc))
-	is.True(r.Inc != uint64(old))
+	is.Equal(r.Inc, uint64(restarted.view().Self.Inc))
+	is.True(r.Inc != uint64(oldInc))
 }
 
 func TestAddressTakenByAnotherInstance(t *testing.T) {
 	is := is.New(t)
 	a, b, l := startPair(t)
-	var mistaken atomic.Int64
+	var misdelivered atomic.Int64
 	b.peers.Handle(tellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
-		mistaken.Add(1)
+		misdelivered.Add(1)
 		return nil
 	})
 	l.add("c", "d1", b.address()) // the list is behind: b has the address now
@@ -198,7 +198,7 @@
 	_, err := busCall(a.peers, "c", askEnvelope(1), time.Second)
 	is.True(errors.Is(err, ErrPeerUnreachable))
 	is.True(canCall(a, "b"))
-	is.Equal(mistaken.Load(), int64(0))
+	is.Equal(misdelivered.Load(), int64(0))
 }
 
 func TestSendDoesNotBlock(t *testing.T) {
@@ -248,31 +248,31 @@
 // what is sent to the name reaches the later.
 func TestDuplicateInstanceName(t *testing.T) {
 	is := is.New(t)
-	a, old, l := startPair(t)
-	young := startInstanceWith(t, testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem()))
-	young.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("young") })
+	a, older, l := startPair(t)
+	newer := startInstanceWith(t, testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem()))
+	newer.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("young") })
 	within(t, 5*time.Second, "the later life in view", func() bool {
 		m, ok := a.view().Find("b")
-		return ok && m.Inc == young.view().Self.Inc && m.Address == young.address()
+		return ok && m.Inc == newer.view().Self.Inc && m.Address == newer.address()
 	})
 	for range 20 {
-		_ = old.peers.Send("a", tellEnvelope("from the earlier life"))
-		if l := old.peers.existingLink("a"); l != nil {
+		_ = older.peers.Send("a", tellEnvelope("from the earlier life"))
+		if l := older.peers.existingLink("a"); l != nil {
 			l.closeAll() // it connects afresh each time
 		}
 		time.Sleep(20 * time.Millisecond)
 		m, ok := a.view().Find("b")
 		is.True(ok)
-		is.Equal(m.Inc, young.view().Self.Inc)
+		is.Equal(m.Inc, newer.view().Self.Inc)
 	}
 	within(t, 3*time.Second, "sent to the later life", func() bool {
 		r, err := busCall(a.peers, "b", askEnvelope(1), 300*time.Millisecond)
-		return err == nil && r.Inc == uint64(young.view().Self.Inc)
+		return err == nil && r.Inc == uint64(newer.view().Self.Inc)
 	})
 	for range 20 {
-		_ = old.peers.Send("a", tellEnvelope("from the earlier life"))
+		_ = older.peers.Send("a", tellEnvelope("from the earlier life"))
 		r, err := busCall(a.peers, "b", askEnvelope(1), time.Second)
 		is.NoErr(err)
-		is.Equal(r.Inc, uint64(young.view().Self.Inc))
+		is.Equal(r.Inc, uint64(newer.view().Self.Inc))
 	}
 }
--- a/bluebellport/src/peer_tls_test.go
+++ b/bluebellport/src/peer_tls_test.go
@@ -99,12 +99,12 @@
 		"foreign": other.peerOptions(t, "foreign", peerName),
 		"caller":  ca.peerOptions(t, "caller", "api.example"), // same authority, not for an instance
 	} {
-		was := a.peers.dropped.Count()
+		before := a.peers.dropped.Count()
 		n := start(id, o)
 		within(t, 5*time.Second, id+" knows a", func() bool { _, ok := n.peers.members.address("a"); return ok })
 		is.True(!canCall(n, "a"))
 		is.True(!canCall(a, bbunit.InstanceID(id)))
-		within(t, 5*time.Second, id+" refused, logged and counted", func() bool { return a.peers.dropped.Count() > was })
+		within(t, 5*time.Second, id+" refused, logged and counted", func() bool { return a.peers.dropped.Count() > before })
 	}
 	is.True(canCall(a, "b"))
 	stranger := other.peerOptions(t, "stranger", peerName)
@@ -124,14 +124,14 @@
 
 func TestPeerOptionsCheck(t *testing.T) {
 	ca := newTestCA(t)
-	good := func() PeerOptions {
+	valid := func() PeerOptions {
 		o := ca.peerOptions(t, "x", peerName)
 		o.ListenAddress = "127.0.0.1:8082"
 		return o
 	}
 	cases := map[string]struct {
-		spoil func(o *PeerOptions)
-		want  string
+		invalidate func(o *PeerOptions)
+		want       string
 	}{
 		"good":                 {func(*PeerOptions) {}, ""},
 		"no TLS":               {func(o *PeerOptions) { o.Cert, o.Key, o.CA = "", "", "" }, ""},
@@ -148,8 +148,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := good()
-			c.spoil(&o)
+			o := valid()
+			c.invalidate(&o)
 			bad := strings.Join(o.check(), "\n")
 			is.Equal(c.want == "", bad == "")
 			is.True(strings.Contains(bad, c.want))
--- a/bluebellport/src/router_gossip.go
+++ b/bluebellport/src/router_gossip.go
@@ -25,10 +25,10 @@
 // dropped.
 func (r *Router) Take(from bbunit.InstanceID, g *bbwire.Gossip) {
 	now := r.deps.Now()
-	news, dropped := r.poison.mergeGossip(g.GetPoisons(), now)
+	newSuspects, dropped := r.poison.mergeGossip(g.GetPoisons(), now)
 	dropped += r.limits.mergeGossip(from, g.GetUsages(), now)
 	if m, ok := r.deps.Board.View.Load().Find(from); ok && m.Domain != bbunit.DomainID(r.deps.Opts.Self.Domain) {
-		r.broadcastPoisons(news, false)
+		r.broadcastPoisons(newSuspects, false)
 	}
 	table := r.currentTable()
 	for i, id := range g.GetLeaving() {
@@ -48,15 +48,15 @@
 }
 
 // busiestUsageKeys returns the keys that are used at all, the busiest first.
-func busiestUsageKeys(own map[string]bbroute.Usage) []string {
-	keys := make([]string, 0, len(own))
-	for k, u := range own {
+func busiestUsageKeys(usage map[string]bbroute.Usage) []string {
+	keys := make([]string, 0, len(usage))
+	for k, u := range usage {
 		if u.Rate > minUsageRate || u.InFlight > 0 {
 			keys = append(keys, k)
 		}
 	}
 	slices.SortFunc(keys, func(a, b string) int {
-		return cmp.Or(cmp.Compare(own[b].Rate, own[a].Rate), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(usage[b].Rate, usage[a].Rate), cmp.Compare(a, b))
 	})
 	return keys
 }
@@ -64,24 +64,24 @@
 // broadcastPoisons tells at once what is newly known of crashes: the own failure domain,
 // and, where the crash was seen here, one instance of each other one, which
 // tells its own.
-func (r *Router) broadcastPoisons(prints []uint64, far bool) {
-	if len(prints) == 0 || r.deps.Bus == nil {
+func (r *Router) broadcastPoisons(fingerprints []uint64, crossDomain bool) {
+	if len(fingerprints) == 0 || r.deps.Bus == nil {
 		return
 	}
 	g := &bbwire.Gossip{Number: uint64(r.deps.Board.State.Load().Number)}
-	for _, fp := range prints {
+	for _, fp := range fingerprints {
 		if m := r.poison.message(fp); m != nil && len(g.Poisons) < maxNewPoisonsPerMessage {
 			g.Poisons = append(g.Poisons, m)
 		}
 	}
 	v := r.deps.Board.View.Load()
-	told := map[bbunit.DomainID]bool{}
+	notified := map[bbunit.DomainID]bool{}
 	for _, m := range v.Members {
-		near := m.Domain == v.Self.Domain
-		if m.ID == v.Self.ID || !near && (!far || told[m.Domain]) {
+		sameDomain := m.Domain == v.Self.Domain
+		if m.ID == v.Self.ID || !sameDomain && (!crossDomain || notified[m.Domain]) {
 			continue
 		}
-		told[m.Domain] = true
+		notified[m.Domain] = true
 		// One that cannot be reached learns by gossip.
 		_ = r.deps.Bus.Send(m.ID, &bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: g}})
 	}
--- a/bluebellport/src/router_gossip_test.go
+++ b/bluebellport/src/router_gossip_test.go
@@ -68,14 +68,14 @@
 		t.Cleanup(stop)
 		net.routers[m.ID] = r
 	}
-	first := net.routers["a2"]
-	is.True(first.poison.recordCrash(42, "t1", time.Now()))
-	first.broadcastPoisons([]uint64{42}, true)
-	is.True(first.poison.recordCrash(42, "t2", time.Now()))
-	first.broadcastPoisons([]uint64{42}, true)
+	reporter := net.routers["a2"]
+	is.True(reporter.poison.recordCrash(42, "t1", time.Now()))
+	reporter.broadcastPoisons([]uint64{42}, true)
+	is.True(reporter.poison.recordCrash(42, "t2", time.Now()))
+	reporter.broadcastPoisons([]uint64{42}, true)
 	for id, r := range net.routers {
 		is.True(r.poison.isPoisoned(42)) // known everywhere
 		is.True(net.sent[id] <= 2*(2+2))
 	}
-	first.broadcastPoisons(nil, true)
+	reporter.broadcastPoisons(nil, true)
 }
--- a/bluebellport/src/session.go
+++ b/bluebellport/src/session.go
@@ -110,11 +110,11 @@
 // first.
 func acceptStream(ctx context.Context, mux *yamux.Session) (*yamux.Stream, error) {
 	stop := context.AfterFunc(ctx, func() { _ = mux.Close() })
-	st, err := mux.AcceptStream()
+	stream, err := mux.AcceptStream()
 	if !stop() {
 		return nil, errors.Trace(ctx.Err())
 	}
-	return st, err
+	return stream, err
 }
 
 func (s *session) readHello(in *yamux.Stream) error {
@@ -191,7 +191,7 @@
 
 // read hands each envelope to fn until the session ends; bad gets what is
 // dropped.
-func (s *session) read(fn func(*bbwire.Envelope), bad func(error)) {
+func (s *session) read(handle func(*bbwire.Envelope), onDropped func(error)) {
 	defer s.close()
 	r, opts := bufio.NewReader(s.in), envelopeDecoding()
 	for malformed := 0; ; {
@@ -204,20 +204,20 @@
 			s.touch()
 			s.received.Store(true)
 			e.From, e.Inc = s.hello.Instance, s.hello.Inc
-			fn(e)
+			handle(e)
 			continue
 		case errors.As(err, &large) && large.Size <= maxSkippedBytes:
-			bad(err)
+			onDropped(err)
 			if _, err := r.Discard(int(large.Size)); err != nil {
 				return
 			}
 			continue
 		case errors.Is(err, proto.Error) && large == nil && malformed < maxConsecutiveMalformed:
 			malformed++
-			bad(err)
+			onDropped(err)
 			continue
 		case errors.Is(err, proto.Error):
-			bad(errors.Annotate(errFramingLost, err.Error()))
+			onDropped(errors.Annotate(errFramingLost, err.Error()))
 		}
 		return
 	}
@@ -230,24 +230,24 @@
 
 // openStream opens a stream that begins with its kind.
 func openStream(mux *yamux.Session, kind string) (*yamux.Stream, error) {
-	st, err := mux.OpenStream()
+	stream, err := mux.OpenStream()
 	if err != nil {
 		return nil, err
 	}
-	_ = st.SetWriteDeadline(time.Now().Add(keepAliveTimeout))
-	if _, err := protodelim.MarshalTo(st, wrapperspb.String(kind)); err != nil {
-		_ = st.Close()
+	_ = stream.SetWriteDeadline(time.Now().Add(keepAliveTimeout))
+	if _, err := protodelim.MarshalTo(stream, wrapperspb.String(kind)); err != nil {
+		_ = stream.Close()
 		return nil, err
 	}
-	_ = st.SetWriteDeadline(time.Time{})
-	return st, nil
+	_ = stream.SetWriteDeadline(time.Time{})
+	return stream, nil
 }
 
 // readStreamKind reads the header that a stream begins with.
-func readStreamKind(st *yamux.Stream) (string, error) {
+func readStreamKind(stream *yamux.Stream) (string, error) {
 	kind := &wrapperspb.StringValue{}
 	opts := protodelim.UnmarshalOptions{MaxSize: maxNameBytes}
-	if err := opts.UnmarshalFrom(byteReader{st}, kind); err != nil {
+	if err := opts.UnmarshalFrom(byteReader{stream}, kind); err != nil {
 		return "", err
 	}
 	return kind.Value, nil
--- a/bluebellport/src/session_close_test.go
+++ b/bluebellport/src/session_close_test.go
@@ -34,14 +34,14 @@
 func TestReaderBlocksWhileSessionCloses(t *testing.T) {
 	is := is.New(t)
 	a, b := net.Pipe()
-	one, err := startMux(slowCloseConn{a}, true, io.Discard)
+	closing, err := startMux(slowCloseConn{a}, true, io.Discard)
 	is.NoErr(err)
-	two, err := startMux(b, false, io.Discard)
+	peer, err := startMux(b, false, io.Discard)
 	is.NoErr(err)
-	defer func() { _ = two.Close() }()
-	_, err = openStream(two, envelopeStreamKind)
+	defer func() { _ = peer.Close() }()
+	_, err = openStream(peer, envelopeStreamKind)
 	is.NoErr(err)
-	in, err := acceptStream(t.Context(), one)
+	in, err := acceptStream(t.Context(), closing)
 	is.NoErr(err)
 	_, err = readStreamKind(in)
 	is.NoErr(err)
@@ -52,9 +52,9 @@
 	}(in)
 	time.Sleep(20 * time.Millisecond) // the reader waits
 	before := testCPUTime(t)
-	_ = one.Close()
+	_ = closing.Close()
 	is.True(<-ended != nil)
-	used := testCPUTime(t) - before
-	t.Log("processor time:", used)
-	is.True(used < slowCloseDelay/2)
+	cpuUsed := testCPUTime(t) - before
+	t.Log("processor time:", cpuUsed)
+	is.True(cpuUsed < slowCloseDelay/2)
 }
--- a/bluebellport/src/session_test.go
+++ b/bluebellport/src/session_test.go
@@ -48,21 +48,21 @@
 	gossip, _ := proto.Marshal(&bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: &bbwire.Gossip{
 		Members: []*bbwire.Member{{Instance: "x", Inc: 1, Domain: "d", Address: "nowhere", Beat: 1}, nil},
 	}}})
-	many := &bbwire.Gossip{}
+	manyMembers := &bbwire.Gossip{}
 	for i := range maxReportsPerMessage + 1 {
-		many.Members = append(many.Members, &bbwire.Member{
+		manyMembers.Members = append(manyMembers.Members, &bbwire.Member{
 			Instance: fmt.Sprint("flood", i), Inc: 1, Domain: "d1", Address: "127.0.0.1:1", Beat: 1,
 		})
 	}
-	flood, _ := proto.Marshal(&bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: many}})
+	flood, _ := proto.Marshal(&bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: manyMembers}})
 	ticket, _ := proto.Marshal(&bbwire.Envelope{Body: &bbwire.Envelope_Tickettell{Tickettell: &bbwire.TicketTell{
 		Tickets: [][]byte{[]byte(`{"number":`), []byte(`{}`)},
 	}}})
 	state, _ := proto.Marshal(&bbwire.Envelope{Body: &bbwire.Envelope_Tickettell{Tickettell: &bbwire.TicketTell{State: []byte(`[]`)}}})
-	nameless, _ := proto.Marshal(&bbwire.Envelope{Body: &bbwire.Envelope_Tickettell{Tickettell: &bbwire.TicketTell{
+	unnumbered, _ := proto.Marshal(&bbwire.Envelope{Body: &bbwire.Envelope_Tickettell{Tickettell: &bbwire.TicketTell{
 		Tickets: [][]byte{[]byte(`{}`)},
 	}}})
-	late, _ := proto.Marshal(&bbwire.Envelope{Seq: 77, Reply: true, Body: &bbwire.Envelope_Ticketask{}})
+	unexpectedReply, _ := proto.Marshal(&bbwire.Envelope{Seq: 77, Reply: true, Body: &bbwire.Envelope_Ticketask{}})
 	cases := map[string]struct {
 		frame  []byte
 		closed bool // the framing is lost: the session ends
@@ -75,9 +75,9 @@
 		"malformed member":      {frame: frame(uint64(len(gossip)), gossip)},
 		"too many members":      {frame: frame(uint64(len(flood)), flood)},
 		"malformed ticket":      {frame: frame(uint64(len(ticket)), ticket)},
-		"ticket of no number":   {frame: frame(uint64(len(nameless)), nameless)},
+		"ticket of no number":   {frame: frame(uint64(len(unnumbered)), unnumbered)},
 		"malformed state":       {frame: frame(uint64(len(state)), state)},
-		"answer to nothing":     {frame: frame(uint64(len(late)), late), silent: true},
+		"answer to nothing":     {frame: frame(uint64(len(unexpectedReply)), unexpectedReply), silent: true},
 		"impossible length":     {frame: frame(1<<60, nil), closed: true},
 		"overflowing length":    {frame: bytes.Repeat([]byte{0xff}, 400), closed: true},
 		"garbage without end":   {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxConsecutiveMalformed+1), closed: true},
@@ -85,14 +85,14 @@
 	}
 	l := newFakeList(t)
 	n := startInstance(t, "n", "d1", l, bbstore.NewMem())
-	other := startInstance(t, "o", "d1", l, bbstore.NewMem())
+	bystander := startInstance(t, "o", "d1", l, bbstore.NewMem())
 	n.peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Loads{}}, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
 		return &bbwire.Envelope{Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{}}}
 	})
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			was := n.peers.dropped.Count() + n.follower.dropped.Count()
+			before := n.peers.dropped.Count() + n.follower.dropped.Count()
 			s := rawPeer(t, n.peers.Address())
 			_, err := s.out.Write(c.frame)
 			is.True(err == nil || c.closed) // the other end may close before it has read all
@@ -103,13 +103,13 @@
 			is.NoErr(s.write(&bbwire.Envelope{Seq: 5, Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{}}}))
 			is.True(readsReply(s, 5)) // the session, or a new one, still serves
 			if !c.silent {
-				is.True(n.peers.dropped.Count()+n.follower.dropped.Count() > was)
+				is.True(n.peers.dropped.Count()+n.follower.dropped.Count() > before)
 			}
 			is.Equal(n.number(), bbunit.TicketNumber(0))
 			is.True(!n.sees("flood0"))
 		})
 	}
-	within(t, 3*time.Second, "the others are not harmed", func() bool { return other.sees("n") && n.sees("o") })
+	within(t, 3*time.Second, "the others are not harmed", func() bool { return bystander.sees("n") && n.sees("o") })
 }
 
 // readsReply reads until the answer to seq comes.
@@ -140,7 +140,7 @@
 	for name, hello := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			was := n.peers.dropped.Count()
+			before := n.peers.dropped.Count()
 			conn, err := net.Dial("tcp", n.peers.Address())
 			is.NoErr(err)
 			s, err := newSession(context.Background(), conn, true, hello, &bytes.Buffer{})
@@ -148,7 +148,7 @@
 				defer s.close()
 				within(t, 3*time.Second, "session closed", s.closed)
 			}
-			within(t, 3*time.Second, "refusal counted", func() bool { return n.peers.dropped.Count() > was })
+			within(t, 3*time.Second, "refusal counted", func() bool { return n.peers.dropped.Count() > before })
 			is.Equal(len(n.view().Members), 1)
 		})
 	}
@@ -183,12 +183,12 @@
 	s := rawPeer(t, n.peers.Address())
 	within(t, 3*time.Second, "a link", func() bool { return n.peers.existingLink("raw") != nil })
 	l := n.peers.existingLink("raw")
-	age := func() { l.preferredSession().lastUsedAt.Store(time.Now().Add(-2 * sessionIdleTimeout).UnixNano()) }
+	expire := func() { l.preferredSession().lastUsedAt.Store(time.Now().Add(-2 * sessionIdleTimeout).UnixNano()) }
 
 	st, err := openStream(s.mux, "long")
 	is.NoErr(err)
 	within(t, 3*time.Second, "the stream", func() bool { return l.preferredSession().mux.NumStreams() == 3 })
-	age()
+	expire()
 	l.closeIdle()
 	time.Sleep(50 * time.Millisecond)
 	is.True(!s.closed()) // a request may stream for long without an envelope
@@ -200,7 +200,7 @@
 	l.closeIdle()
 	time.Sleep(50 * time.Millisecond)
 	is.True(!s.closed()) // used just now
-	age()
+	expire()
 	l.closeIdle()
 	within(t, 3*time.Second, "the session closed", s.closed)
 	within(t, 3*time.Second, "no session left", l.closeIdle)
