--- a/bluebellport/src/admin.go
+++ b/bluebellport/src/admin.go
@@ -15,9 +15,9 @@
 
 // admin serves health, metrics and status to operators.
 type admin struct {
-	deps  Deps
-	front *Frontend
-	app   *fiber.App
+	deps     Deps
+	frontend *Frontend
+	app      *fiber.App
 	// statusSources are the controllers' own reports, by name.
 	statusSources map[string]func() any
 	// sendOrder gives a target an order; nil when there is none to give.
@@ -25,7 +25,7 @@
 }
 
 func newAdmin(deps Deps, frontend *Frontend, statusSources map[string]func() any) *admin {
-	a := &admin{deps: deps, front: frontend, statusSources: statusSources}
+	a := &admin{deps: deps, frontend: frontend, statusSources: statusSources}
 	a.app = fiber.New(fiber.Config{DisableStartupMessage: true})
 	a.app.Get("/healthz", func(c *fiber.Ctx) error { return c.SendString("ok\n") })
 	a.app.Get("/readyz", a.handleReady)
@@ -90,7 +90,7 @@
 		Number:   b.State.Load().Number,
 		Ready:    a.isReady(),
 		Draining: b.Draining.Load(),
-		Open:     a.front.openRequests.Load(),
+		Open:     a.frontend.openRequests.Load(),
 		Parts:    map[string]any{},
 	}
 	for _, m := range b.View.Load().Members {
--- a/bluebellport/src/admin_test.go
+++ b/bluebellport/src/admin_test.go
@@ -16,9 +16,9 @@
 
 // TestAdmin is the table of the operators' pages.
 func TestAdmin(t *testing.T) {
-	b := newTestFrontend(t, nil)
-	a := newAdmin(b.deps, b.Frontend, map[string]func() any{"part": func() any { return 7 }})
-	a.sendOrder = func(_ context.Context, _ bbticket.Target, action, _ string) (bbunit.Fence, error) {
+	frontend := newTestFrontend(t, nil)
+	adminServer := newAdmin(frontend.deps, frontend.Frontend, map[string]func() any{"part": func() any { return 7 }})
+	adminServer.sendOrder = func(_ context.Context, _ bbticket.Target, action, _ string) (bbunit.Fence, error) {
 		if action == "fail" {
 			return 4, errors.New("target saw a higher number")
 		}
@@ -40,7 +40,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			resp, err := a.app.Test(httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+			resp, err := adminServer.app.Test(httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 			is.NoErr(err)
 			got, err := io.ReadAll(resp.Body)
 			is.NoErr(err)
@@ -49,8 +49,8 @@
 		})
 	}
 	is := is.New(t)
-	b.deps.Board.Leaving.Store(true) // the balancer learns while requests are still taken
-	resp, err := a.app.Test(httptest.NewRequest("GET", "/readyz", nil))
+	frontend.deps.Board.Leaving.Store(true) // the balancer learns while requests are still taken
+	resp, err := adminServer.app.Test(httptest.NewRequest("GET", "/readyz", nil))
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, 503)
 }
--- a/bluebellport/src/core.go
+++ b/bluebellport/src/core.go
@@ -94,28 +94,28 @@
 	deps.Bus = peers
 	_, closeFollower := NewFollower(deps, peers)
 	defer closeFollower()
-	treasury, closeTreasury := NewBudgetManager(deps)
-	defer closeTreasury()
+	budgets, closeBudgets := NewBudgetManager(deps)
+	defer closeBudgets()
 	recorder, closeRecorder := NewRecorder(deps)
 	defer closeRecorder()
 	router, closeRouter := NewRouter(deps)
 	defer closeRouter()
 	peers.AddGossiper(router)
 
-	runner := newRunner(deps, router, treasury, recorder)
+	runner := newRunner(deps, router, budgets, recorder)
 	defer runner.engineClient.conns.startSweep(deps.Board)()
 	frontend := NewFrontend(deps, runner)
 	frontend.forwarder = newForwarder(frontend, peers)
 	frontend.runner.fetchFromOwner = frontend.forwarder.fetchAnswer
 	adminServer := newAdmin(deps, frontend, map[string]func() any{
-		"money":   func() any { return treasuryStatusOrError(treasury.Status()) },
+		"money":   func() any { return budgetStatusOrError(budgets.Status()) },
 		"records": func() any { return recorder.Status() },
 	})
 	orders, closeOrders := NewOrders(deps)
 	defer closeOrders()
 	adminServer.sendOrder = orders.Order
 	return serveUntilStopped(ctx, deps, frontend, adminServer, peers.Leave, func(ctx context.Context) error {
-		return drainAll(ctx, treasury.Drain, recorder.Drain)
+		return drainAll(ctx, budgets.Drain, recorder.Drain)
 	})
 }
 
@@ -131,7 +131,7 @@
 	}
 }
 
-func newRunner(deps Deps, router *Router, m BudgetReserver, l Journal) *runner {
+func newRunner(deps Deps, router *Router, budgets BudgetReserver, journal Journal) *runner {
 	self := deps.Board.View.Load().Self
 	owner := fmt.Sprintf("%s/%x", self.ID, uint64(self.Inc))
 	conns := &targetConns{}
@@ -139,8 +139,8 @@
 	return &runner{
 		deps:         deps,
 		router:       router,
-		budgets:      m,
-		journal:      l,
+		budgets:      budgets,
+		journal:      journal,
 		engineClient: &engineClient{conns: conns, owner: owner, silenceTimeout: deps.Opts.Front.SilenceTimeout, runInBackground: tasks.Go},
 		plainClient:  &plainClient{conns: conns, owner: owner, silenceTimeout: deps.Opts.Front.SilenceTimeout, lateWindow: deps.Opts.Front.LateAnswerTimeout},
 		owner:        owner,
@@ -214,8 +214,8 @@
 	return p.Wait()
 }
 
-// treasuryStatusOrError is a treasury's status, or why there is none.
-func treasuryStatusOrError(s BudgetManagerStatus, err error) any {
+// budgetStatusOrError is a treasury's status, or why there is none.
+func budgetStatusOrError(s BudgetManagerStatus, err error) any {
 	if err != nil {
 		return map[string]string{"error": err.Error()}
 	}
--- a/bluebellport/src/metrics_doc_test.go
+++ b/bluebellport/src/metrics_doc_test.go
@@ -16,14 +16,14 @@
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	is.NoErr(err)
-	p := newTestFrontend(t).deps // with the router and the front
-	p.Bus = startPeersWithRegistry(t, p)
-	_, stopTreasury := NewBudgetManager(p)
-	t.Cleanup(stopTreasury)
-	_, stopRecorder := NewRecorder(p)
+	deps := newTestFrontend(t).deps // with the router and the front
+	deps.Bus = startPeersWithRegistry(t, deps)
+	_, stopBudgets := NewBudgetManager(deps)
+	t.Cleanup(stopBudgets)
+	_, stopRecorder := NewRecorder(deps)
 	t.Cleanup(stopRecorder)
-	newOrders(p, nil)
-	p.Metrics.Each(func(name string, _ any) {
+	newOrders(deps, nil)
+	deps.Metrics.Each(func(name string, _ any) {
 		if !strings.Contains(string(page), "| `"+name+"` |") {
 			t.Errorf("docs/METRICS.md does not name %s", name)
 		}
@@ -34,7 +34,7 @@
 			if strings.HasPrefix(name, "door.") {
 				continue // TestDoorMetricsNamed holds those
 			}
-			if p.Metrics.Get(name) == nil {
+			if deps.Metrics.Get(name) == nil {
 				t.Errorf("docs/METRICS.md names %s, which no part registers", name)
 			}
 		}
@@ -42,10 +42,10 @@
 }
 
 // startPeersWithRegistry starts peers and a follower that count in the registry of p.
-func startPeersWithRegistry(t *testing.T, p Deps) *Peers {
+func startPeersWithRegistry(t *testing.T, registryOwner Deps) *Peers {
 	t.Helper()
 	l := newFakeList(t)
-	parts := testDeps("m1", "d", l.srv.Listener.Addr().String(), bbstore.NewMem())
-	parts.Metrics = p.Metrics
-	return startInstanceWith(t, parts).peers
+	deps := testDeps("m1", "d", l.srv.Listener.Addr().String(), bbstore.NewMem())
+	deps.Metrics = registryOwner.Metrics
+	return startInstanceWith(t, deps).peers
 }
