--- a/bluebellport/src/drain.go
+++ b/bluebellport/src/drain.go
@@ -7,8 +7,8 @@
 	"bluebellport.example/shared/bbclock"
 )
 
-// frontDrainPoll is how often a stopping instance looks whether its requests ended.
-const frontDrainPoll = 20 * time.Millisecond
+// frontendDrainPollInterval is how often a stopping instance looks whether its requests ended.
+const frontendDrainPollInterval = 20 * time.Millisecond
 
 // drain ends the callers' side: for the linger time it still takes requests,
 // since the balancer learns late that the instance leaves, and asks each caller
@@ -18,7 +18,7 @@
 	bbclock.Wait(ctx, f.opts.LingerTime)
 	f.deps.Board.Draining.Store(true)
 	for f.openRequests.Load() > 0 {
-		if !bbclock.Wait(ctx, frontDrainPoll) {
+		if !bbclock.Wait(ctx, frontendDrainPollInterval) {
 			f.deps.Log.WithField("event", "drain").WithField("open", f.openRequests.Load()).Error("drain limit reached with requests open")
 			return
 		}
--- a/bluebellport/src/gossip.go
+++ b/bluebellport/src/gossip.go
@@ -52,16 +52,16 @@
 // sendRound sends the messages of one round, with all rumors.
 func (g *gossip) sendRound(msgs []bbmember.Message) {
 	for _, msg := range msgs {
-		gossip := &bbwire.Gossip{}
-		for _, r := range g.currentGossipers() {
-			r.Fill(gossip)
+		out := &bbwire.Gossip{}
+		for _, gossiper := range g.currentGossipers() {
+			gossiper.Fill(out)
 		}
-		if proto.Size(gossip) > maxGossiperBytes {
+		if proto.Size(out) > maxGossiperBytes {
 			g.truncated.Inc(1)
-			gossip = &bbwire.Gossip{Number: gossip.Number}
+			out = &bbwire.Gossip{Number: out.Number}
 		}
-		gossip.Members = bbmember.Encode(msg.Reports)
-		g.send(msg.To, gossip)
+		out.Members = bbmember.Encode(msg.Reports)
+		g.send(msg.To, out)
 	}
 }
 
@@ -70,9 +70,9 @@
 	g.send(msg.To, &bbwire.Gossip{Members: bbmember.Encode(msg.Reports)})
 }
 
-func (g *gossip) send(to bbunit.InstanceID, gossip *bbwire.Gossip) {
-	g.sentBytes.Inc(int64(proto.Size(gossip)))
-	_ = g.peers.Send(to, &bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: gossip}})
+func (g *gossip) send(to bbunit.InstanceID, out *bbwire.Gossip) {
+	g.sentBytes.Inc(int64(proto.Size(out)))
+	_ = g.peers.Send(to, &bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: out}})
 }
 
 // receive reads a message from another instance.
@@ -84,8 +84,8 @@
 	}
 	reports := bbmember.Decode(msg.GetMembers())
 	g.members.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.HandleGossip(now, reports) })
-	for _, r := range g.currentGossipers() {
-		r.Take(from, msg)
+	for _, gossiper := range g.currentGossipers() {
+		gossiper.Take(from, msg)
 	}
 	return nil
 }
--- a/bluebellport/src/membership.go
+++ b/bluebellport/src/membership.go
@@ -37,11 +37,11 @@
 		self.Address = peers.ln.Addr().String()
 	}
 	rng := rand.New(rand.NewPCG(uint64(self.Inc), xxhash.Sum64String(string(self.ID))))
-	cfg := bbmember.DefaultConfig(deps.Opts.Peer.GossipPeriod, deps.Opts.Peer.SuspicionTimeout)
+	fleetConfig := bbmember.DefaultConfig(deps.Opts.Peer.GossipPeriod, deps.Opts.Peer.SuspicionTimeout)
 	m := &membership{
 		peers: peers, deps: deps,
 		client:      &fasthttp.Client{MaxResponseBodySize: maxListBytes, ReadTimeout: listTimeout, WriteTimeout: listTimeout},
-		fleet:       bbmember.NewFleet(self, cfg, deps.Now(), rng),
+		fleet:       bbmember.NewFleet(self, fleetConfig, deps.Now(), rng),
 		memberCount: metrics.GetOrRegisterGauge("peer.members", deps.Metrics),
 		listErrors:  metrics.GetOrRegisterCounter("peer.list.bad", deps.Metrics),
 	}
@@ -134,8 +134,8 @@
 		Domain: bbunit.DomainID(h.Domain), Address: h.Address,
 	}
 	m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.HandleHello(now, peer) })
-	for _, r := range m.gossip.currentGossipers() {
-		r.Take(peer.ID, &bbwire.Gossip{Number: h.Number})
+	for _, gossiper := range m.gossip.currentGossipers() {
+		gossiper.Take(peer.ID, &bbwire.Gossip{Number: h.Number})
 	}
 }
 
--- a/bluebellport/src/peer_link.go
+++ b/bluebellport/src/peer_link.go
@@ -168,7 +168,7 @@
 		if s.closed() || (otherIncarnation && !s.dialed) {
 			continue
 		}
-		if best == nil || l.preferred(s, best, viewInc) {
+		if best == nil || l.prefersNewer(s, best, viewInc) {
 			best = s
 		}
 	}
@@ -187,9 +187,9 @@
 	return members[i].Inc
 }
 
-// preferred tells whether the later session b goes before a. Both ends choose the
+// prefersNewer tells whether the later session b goes before a. Both ends choose the
 // same one: that which the instance with the lower id opened.
-func (l *link) preferred(newer, older *session, viewInc bbunit.Incarnation) bool {
+func (l *link) prefersNewer(newer, older *session, viewInc bbunit.Incarnation) bool {
 	switch {
 	case older.incarnation() != newer.incarnation():
 		return older.incarnation() != viewInc
--- a/bluebellport/src/router_gossip.go
+++ b/bluebellport/src/router_gossip.go
@@ -74,11 +74,11 @@
 			g.Poisons = append(g.Poisons, m)
 		}
 	}
-	v := r.deps.Board.View.Load()
+	view := r.deps.Board.View.Load()
 	notified := map[bbunit.DomainID]bool{}
-	for _, m := range v.Members {
-		sameDomain := m.Domain == v.Self.Domain
-		if m.ID == v.Self.ID || !sameDomain && (!crossDomain || notified[m.Domain]) {
+	for _, m := range view.Members {
+		sameDomain := m.Domain == view.Self.Domain
+		if m.ID == view.Self.ID || !sameDomain && (!crossDomain || notified[m.Domain]) {
 			continue
 		}
 		notified[m.Domain] = true
--- a/bluebellport/src/session.go
+++ b/bluebellport/src/session.go
@@ -119,7 +119,7 @@
 
 func (s *session) readHello(in *yamux.Stream) error {
 	e := &bbwire.Envelope{}
-	if err := envelopeDecoding().UnmarshalFrom(byteReader{in}, e); err != nil {
+	if err := envelopeDecodeOptions().UnmarshalFrom(byteReader{in}, e); err != nil {
 		return errors.Annotate(errBadHello, err.Error())
 	}
 	_ = in.SetReadDeadline(time.Time{})
@@ -193,7 +193,7 @@
 // dropped.
 func (s *session) read(handle func(*bbwire.Envelope), onDropped func(error)) {
 	defer s.close()
-	r, opts := bufio.NewReader(s.in), envelopeDecoding()
+	r, opts := bufio.NewReader(s.in), envelopeDecodeOptions()
 	for malformed := 0; ; {
 		e := &bbwire.Envelope{}
 		err := opts.UnmarshalFrom(r, e)
@@ -223,8 +223,8 @@
 	}
 }
 
-// envelopeDecoding returns the bounds of received envelopes.
-func envelopeDecoding() protodelim.UnmarshalOptions {
+// envelopeDecodeOptions returns the bounds of received envelopes.
+func envelopeDecodeOptions() protodelim.UnmarshalOptions {
 	return protodelim.UnmarshalOptions{MaxSize: maxEnvelopeBytes}
 }
 
