--- a/bluebellport/main.go
+++ b/bluebellport/main.go
@@ -1,4 +1,4 @@
-// Command bluebellport runs one instance of the fleet.
+// Command bluebellport runs an instance of the router.
 package main
 
 import (
--- a/bluebellport/src/admin.go
+++ b/bluebellport/src/admin.go
@@ -13,14 +13,15 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// admin serves health, metrics and status to operators.
+// admin serves health checks, metrics, status and orders to targets over HTTP
+// to operators.
 type admin struct {
 	deps     Deps
 	frontend *Frontend
 	app      *fiber.App
-	// statusSources are the controllers' own reports, by name.
+	// statusSources return the status of components, by name.
 	statusSources map[string]func() any
-	// sendOrder gives a target an order; nil when there is none to give.
+	// sendOrder sends an order to a target and returns its fence; may be nil.
 	sendOrder func(ctx context.Context, target bbticket.Target, action, model string) (bbunit.Fence, error)
 }
 
@@ -35,22 +36,23 @@
 	return a
 }
 
-// adminOrderRequest is an operator's order to a target.
+// adminOrderRequest is the body of POST /order: an operator's order to a
+// target.
 type adminOrderRequest struct {
 	Target bbunit.TargetID `json:"target"`
 	Action string          `json:"action"`
 	Model  string          `json:"model"`
 }
 
-// adminOrderResponse is what became of it.
+// adminOrderResponse is the answer to POST /order.
 type adminOrderResponse struct {
 	Fence bbunit.Fence `json:"fence"`
 	Error string       `json:"error,omitempty"`
 }
 
-// handleOrder gives a declared target an order. It answers once the target has
-// acknowledged it, or with why it has not; an order that was accepted stands and
-// is sent on.
+// handleOrder sends an order to a target. It answers when the target has
+// acknowledged the order, or else with the reason. An order that was stored but
+// not acknowledged in time stays in force and is sent again.
 func (a *admin) handleOrder(c *fiber.Ctx) error {
 	var req adminOrderRequest
 	if err := json.Unmarshal(c.Body(), &req); err != nil || req.Action == "" {
@@ -69,6 +71,7 @@
 	return c.JSON(adminOrderResponse{Fence: fence})
 }
 
+// isReady reports whether load balancers should send requests to this instance.
 func (a *admin) isReady() bool {
 	b := a.deps.Board
 	return !b.Leaving.Load() && !b.Draining.Load() && b.Ready.Load() && b.State.Load().Number > 0
--- a/bluebellport/src/admin_test.go
+++ b/bluebellport/src/admin_test.go
@@ -14,7 +14,7 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// TestAdmin is the table of the operators' pages.
+// TestAdmin checks each page of the operators' interface.
 func TestAdmin(t *testing.T) {
 	frontend := newTestFrontend(t, nil)
 	adminServer := newAdmin(frontend.deps, frontend.Frontend, map[string]func() any{"part": func() any { return 7 }})
@@ -49,7 +49,7 @@
 		})
 	}
 	is := is.New(t)
-	frontend.deps.Board.Leaving.Store(true) // the balancer learns while requests are still taken
+	frontend.deps.Board.Leaving.Store(true) // not ready, but requests are still accepted
 	resp, err := adminServer.app.Test(httptest.NewRequest("GET", "/readyz", nil))
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, 503)
--- a/bluebellport/src/board.go
+++ b/bluebellport/src/board.go
@@ -1,5 +1,6 @@
-// Package bbport is one instance of the fleet: it takes callers' requests,
-// checks, routes, streams and bills them.
+// Package bbport implements an instance of the router: it admits the requests
+// of client accounts, reserves tokens of their budgets, sends them to targets,
+// streams the answers back and bills them.
 package bbport
 
 import (
@@ -9,19 +10,22 @@
 	"bluebellport.example/shared/bbticket"
 )
 
-// Board is what controllers read and write: immutable snapshots, each replaced
-// whole by the one controller that owns it. Readers take no lock.
+// Board holds the snapshots that the components of an instance share. Each is
+// immutable and replaced as a whole by the only component that writes it.
+// Readers take no lock.
 type Board struct {
-	// State is what the change tickets have put in force; the follower owns it.
+	// State is the configuration after the last applied change ticket. Written
+	// by the follower.
 	State atomic.Pointer[bbticket.State]
-	// View is the live fleet; the membership controller owns it.
+	// View is the live fleet as this instance sees it. Written by membership.
 	View atomic.Pointer[bbmember.View]
-	// Ready is set once a state is in force that is no older than any that a
-	// reached peer has; the follower owns it.
+	// Ready is set once State is at least as new as that of every peer which
+	// this instance has heard from, or joinTimeout has passed. Written by the
+	// follower.
 	Ready atomic.Bool
-	// Leaving is set once the instance was told to stop.
+	// Leaving is set when the instance is told to stop.
 	Leaving atomic.Bool
-	// Draining is set once the instance refuses new work.
+	// Draining is set when the instance begins to refuse new requests.
 	Draining atomic.Bool
 }
 
--- a/bluebellport/src/core.go
+++ b/bluebellport/src/core.go
@@ -26,7 +26,10 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Main runs the program with the arguments and returns its exit code.
+// Main runs the command that the arguments name, until it ends or a signal
+// stops it, and returns the exit code. Both commands run an instance: serve
+// with settings from flags and environment, native with those of the platform's
+// settings file.
 func Main(args []string, stdout, stderr io.Writer) int {
 	opts := &Options{}
 	app := bbcli.New("bluebellport", "One instance of a fleet of routers for prepaid token budgets.", stdout, stderr)
@@ -37,7 +40,7 @@
 	native := app.Command("native", "Take requests on the platform, as its settings file says, until told to stop.")
 	check := func() []string {
 		if len(args) > 0 && args[0] == native.FullCommand() {
-			return nil // the settings file is checked when it is read
+			return nil // Native checks the settings file when it reads it
 		}
 		return opts.Check()
 	}
@@ -58,19 +61,38 @@
 	return bbcli.ExitOK
 }
 
-// Serve runs an instance until ctx ends, and then stops it without cutting a
-// request. The parts know only the board and the interfaces in parts.go:
+// Serve runs an instance until ctx ends, and then stops it without interrupting
+// a request. Components share snapshots on the Board, and use each other
+// through the interfaces in deps.go.
 //
-//	                 platform: key-value service, list of instances
-//	                    |            |              |
-//	                Follower       Peers        Treasury, Recorder
-//	                    | State      | View         | shares, records
-//	                    v            v              v
-//	                 [ Board ] <-----+---- Bus ---- peers
-//	                    |
-//	caller -> Front -> runner: Admit -> Reserve -> Claim/Open -> attempts -> Bill
-//	   ^                                                           |
-//	   +---------------- Answer <---------- engines, plains <------+--> target
+// The configuration and the live fleet come from outside. All components read
+// them from the Board:
+//
+//	key-value service --change tickets--> Follower --State--> Board
+//	list of instances --members---------> Peers -----View---> Board
+//	other instances <--gossip, envelopes, streams--> Peers (the Bus)
+//
+// A request takes this way, from top to bottom:
+//
+//	caller
+//	  |
+//	Frontend -- id set by the client --> forwarder --> home instance of the id
+//	  |
+//	  | id not set by the client, or no other instance is home, or it is silent
+//	  |
+//	runner
+//	  |-- admit -------> Router          rate limits, queue, poisoned requests
+//	  |-- reserve -----> BudgetManager <--> key-value service, other instances
+//	  |-- claim, open -> Recorder <-------> key-value service, other instances
+//	  |-- pick, retry -> Router
+//	  |-- attempt -----> engineClient, plainClient <--> target
+//	  |                    '-- Answer --> callers of all copies of the request
+//	  |-- commit ------> BudgetManager
+//	  '-- bill --------> Recorder <-------> key-value service, other instances
+//
+// Operators use another address. There, admin serves health, metrics and
+// status, and passes orders to Orders, which stores them and sends them to the
+// target.
 func Serve(ctx context.Context, opts *Options, logs io.Writer) error {
 	log, err := newLogger(opts, logs)
 	if err != nil {
@@ -86,6 +108,7 @@
 	defer closeStore()
 	deps.Store = store
 
+	// Other instances, the live fleet and the configuration.
 	peers, closePeers, err := NewPeers(deps)
 	if err != nil {
 		return err
@@ -94,6 +117,8 @@
 	deps.Bus = peers
 	_, closeFollower := NewFollower(deps, peers)
 	defer closeFollower()
+
+	// What the steps of a request use.
 	budgets, closeBudgets := NewBudgetManager(deps)
 	defer closeBudgets()
 	recorder, closeRecorder := NewRecorder(deps)
@@ -102,11 +127,14 @@
 	defer closeRouter()
 	peers.AddGossiper(router)
 
+	// The path of a request, from its caller to a target.
 	runner := newRunner(deps, router, budgets, recorder)
 	defer runner.engineClient.conns.startSweep(deps.Board)()
 	frontend := NewFrontend(deps, runner)
 	frontend.forwarder = newForwarder(frontend, peers)
 	frontend.runner.fetchFromOwner = frontend.forwarder.fetchAnswer
+
+	// The operators' interface.
 	adminServer := newAdmin(deps, frontend, map[string]func() any{
 		"money":   func() any { return budgetStatusOrError(budgets.Status()) },
 		"records": func() any { return recorder.Status() },
@@ -114,12 +142,14 @@
 	orders, closeOrders := NewOrders(deps)
 	defer closeOrders()
 	adminServer.sendOrder = orders.Order
+
 	return serveUntilStopped(ctx, deps, frontend, adminServer, peers.Leave, func(ctx context.Context) error {
 		return drainAll(ctx, budgets.Drain, recorder.Drain)
 	})
 }
 
-// newDeps returns what all controllers share, without store and bus.
+// newDeps returns the dependencies that all components share, without Store and
+// Bus.
 func newDeps(opts *Options, log logrus.FieldLogger) Deps {
 	self := bbmember.Member{ID: opts.Self.ID(), Inc: newIncarnation(), Domain: bbunit.DomainID(opts.Self.Domain)}
 	return Deps{
@@ -131,6 +161,8 @@
 	}
 }
 
+// newRunner returns a runner for the requests of this instance. The owner of
+// their claims is this incarnation of the instance.
 func newRunner(deps Deps, router *Router, budgets BudgetReserver, journal Journal) *runner {
 	self := deps.Board.View.Load().Self
 	owner := fmt.Sprintf("%s/%x", self.ID, uint64(self.Inc))
@@ -148,9 +180,11 @@
 	}
 }
 
-// serveUntilStopped opens both addresses, serves until ctx ends, and stops: it goes on
-// taking requests while the balancer learns that the instance leaves, then
-// refuses new ones, ends the open ones whole, and hands back what it holds.
+// serveUntilStopped listens on the addresses for callers and operators, and
+// serves until ctx ends or a listener fails. Then it announces that the
+// instance leaves, and drains it for at most DrainTimeout: the frontend still
+// accepts requests for LingerTime, then refuses new ones and lets the open ones
+// end; after that, drain returns budget shares and submits outstanding records.
 func serveUntilStopped(ctx context.Context, deps Deps, frontend *Frontend, adminServer *admin, announceLeave func(), drain func(context.Context) error) error {
 	callerListener, err := listenForCallers(&deps.Opts.Front)
 	if err != nil {
@@ -187,8 +221,8 @@
 	return errors.Trace(err)
 }
 
-// listenForCallers opens the callers' address, with TLS where the settings name a
-// certificate.
+// listenForCallers listens on the address for callers, with TLS if the settings
+// name a certificate.
 func listenForCallers(opts *FrontOptions) (net.Listener, error) {
 	ln, err := net.Listen("tcp", opts.CallerAddress)
 	if err != nil {
@@ -205,7 +239,7 @@
 	return tls.NewListener(ln, &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}), nil
 }
 
-// drainAll runs the drains at the same time, so that none waits for another.
+// drainAll runs the drain functions concurrently and joins their errors.
 func drainAll(ctx context.Context, drains ...func(context.Context) error) error {
 	p := pool.New().WithErrors()
 	for _, d := range drains {
@@ -214,7 +248,8 @@
 	return p.Wait()
 }
 
-// budgetStatusOrError is a treasury's status, or why there is none.
+// budgetStatusOrError returns the status of a BudgetManager, or its error, as a
+// value for JSON.
 func budgetStatusOrError(s BudgetManagerStatus, err error) any {
 	if err != nil {
 		return map[string]string{"error": err.Error()}
--- a/bluebellport/src/drain.go
+++ b/bluebellport/src/drain.go
@@ -7,13 +7,14 @@
 	"bluebellport.example/shared/bbclock"
 )
 
-// frontendDrainPollInterval is how often a stopping instance looks whether its requests ended.
+// frontendDrainPollInterval is the time between two checks whether the open
+// requests have ended.
 const frontendDrainPollInterval = 20 * time.Millisecond
 
-// drain ends the callers' side: for the linger time it still takes requests,
-// since the balancer learns late that the instance leaves, and asks each caller
-// to open a new connection; then it refuses new ones and waits for the open
-// ones until ctx ends.
+// drain stops accepting requests and waits until the open ones have ended or
+// ctx ends. Since the load balancer learns with a delay that the instance
+// leaves, new requests are still accepted for the linger time; their callers
+// are asked to open a new connection. After that they are refused.
 func (f *Frontend) drain(ctx context.Context) {
 	bbclock.Wait(ctx, f.opts.LingerTime)
 	f.deps.Board.Draining.Store(true)
--- a/bluebellport/src/mailbox.go
+++ b/bluebellport/src/mailbox.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// mailbox queues functions for one goroutine. put and nudge never block.
+// mailbox queues functions for the goroutine that receives from wake. put and
+// notify never block on that goroutine.
 type mailbox struct {
 	mu   sync.Mutex
 	fns  []func()
@@ -11,7 +12,7 @@
 
 func newMailbox() mailbox { return mailbox{wake: make(chan struct{}, 1)} }
 
-// put queues fn and wakes the owner.
+// put queues fn and wakes the goroutine.
 func (m *mailbox) put(fn func()) {
 	m.mu.Lock()
 	m.fns = append(m.fns, fn)
@@ -19,7 +20,7 @@
 	m.notify()
 }
 
-// notify wakes the owner without a function; it takes no lock.
+// notify wakes the goroutine without queueing a function. It takes no lock.
 func (m *mailbox) notify() {
 	select {
 	case m.wake <- struct{}{}:
@@ -27,7 +28,7 @@
 	}
 }
 
-// takeAll returns what is queued.
+// takeAll empties the queue and returns its functions in order.
 func (m *mailbox) takeAll() []func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/bluebellport/src/metrics_doc_test.go
+++ b/bluebellport/src/metrics_doc_test.go
@@ -10,13 +10,13 @@
 	"bluebellport.example/shared/bbstore"
 )
 
-// TestMetricsDocumented builds every part on one registry. What is registered and
-// what the page names must be the same.
+// TestMetricsDocumented builds every component with the same registry. The
+// metrics registered there and those named in docs/METRICS.md must be the same.
 func TestMetricsDocumented(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	is.NoErr(err)
-	deps := newTestFrontend(t).deps // with the router and the front
+	deps := newTestFrontend(t).deps // has the metrics of the router and the frontend
 	deps.Bus = startPeersWithRegistry(t, deps)
 	_, stopBudgets := NewBudgetManager(deps)
 	t.Cleanup(stopBudgets)
@@ -32,16 +32,17 @@
 		if name, ok := strings.CutPrefix(line, "| `"); ok {
 			name, _, _ = strings.Cut(name, "`")
 			if strings.HasPrefix(name, "door.") {
-				continue // TestDoorMetricsNamed holds those
+				continue // checked by TestDoorMetricsNamed
 			}
 			if deps.Metrics.Get(name) == nil {
-				t.Errorf("docs/METRICS.md names %s, which no part registers", name)
+				t.Errorf("docs/METRICS.md names %s, which no component registers", name)
 			}
 		}
 	}
 }
 
-// startPeersWithRegistry starts peers and a follower that count in the registry of p.
+// startPeersWithRegistry starts peers and a follower with the metrics registry
+// of p.
 func startPeersWithRegistry(t *testing.T, registryOwner Deps) *Peers {
 	t.Helper()
 	l := newFakeList(t)
--- a/bluebellport/src/native.go
+++ b/bluebellport/src/native.go
@@ -19,28 +19,29 @@
 	"bluebellport.example/shared/bbmember"
 )
 
-// nativeMaxLogRate is how many log lines a second an instance writes at most.
+// nativeMaxLogRate limits an instance's log, in lines per second.
 const nativeMaxLogRate = 100
 
-// nativeTimestampFormat is the form of the time in log lines: milliseconds, so that lines of
-// several instances can be put in order.
+// nativeTimestampFormat has milliseconds, so that the log lines of several
+// instances can be put in order.
 const nativeTimestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Gossip between instances on the platform.
+// Settings of the gossip between instances on the platform.
 const (
 	nativeGossipPeriod     = time.Second
 	nativeSuspicionTimeout = 5 * time.Second
 )
 
-// memoryLimitFraction is the part of the instance's memory that the runtime may fill
-// before it collects garbage at any cost.
+// memoryLimitFraction is the fraction of the instance's memory above which the
+// Go runtime collects garbage as often as needed (its soft memory limit).
 const memoryLimitFraction = 0.7
 
-// Native runs an instance on the platform, whose settings file tells it all,
-// until ctx ends. A SIGHUP reads the settings anew.
+// Native runs an instance on the platform until ctx ends. All its settings come
+// from the platform's settings file, which SIGHUP makes it read again. Log
+// lines go to logs as JSON.
 func Native(ctx context.Context, logs io.Writer) error {
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // first, since it ends a process that has not asked for it
+	signal.Notify(hup, syscall.SIGHUP) // before anything else: by default SIGHUP ends the process
 	defer signal.Stop(hup)
 	out, flush := bblog.NewWriter(logs, nativeMaxLogRate)
 	defer flush(time.Second)
@@ -49,7 +50,7 @@
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: nativeTimestampFormat})
 	settings, err := readSettings(log)
 	if err != nil {
-		return fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("read settings: %w", err)
 	}
 	debug.SetMemoryLimit(int64(float64(settings.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	go func() {
@@ -61,7 +62,7 @@
 	deps := nativeDeps(settings, instanceLog)
 	peers, closePeers, err := NewPeers(deps)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("start peers: %w", err)
 	}
 	defer closePeers()
 	return bbproxy.Serve(ctx, settings, peers, deps.Metrics, instanceLog)
@@ -75,19 +76,20 @@
 	return settings, err
 }
 
-// reloadSettings reads the settings anew and tells what changed. What is in force at
-// the start stays: addresses and bounds do not change under open requests.
+// reloadSettings reads the settings file again and logs whether it changed. The
+// instance keeps running with the settings that it started with, so that
+// addresses and limits do not change under requests in flight.
 func reloadSettings(log logrus.FieldLogger, current bbplatform.Settings) {
 	settings, err := readSettings(log)
 	if err != nil {
-		log.WithError(err).WithField("event", "reload").Error("settings not readable; the old ones stay")
+		log.WithError(err).WithField("event", "reload").Error("cannot read the settings file; keeping the current settings")
 		return
 	}
-	log.WithFields(logrus.Fields{"event": "reload", "changed": !reflect.DeepEqual(settings, current)}).Info("settings read anew; changes hold from the next start")
+	log.WithFields(logrus.Fields{"event": "reload", "changed": !reflect.DeepEqual(settings, current)}).Info("settings file read again; changes take effect at the next start")
 }
 
-// nativeDeps returns what the peers are built from. On the platform an instance
-// is known to the others by the address at which they reach it.
+// nativeDeps returns the dependencies of Peers. On the platform, the id of an
+// instance is the address at which other instances reach it.
 func nativeDeps(settings bbplatform.Settings, log logrus.FieldLogger) Deps {
 	opts := &Options{
 		Self: SelfOptions{Instance: settings.PeerAddress, Domain: string(settings.Domain), StoreAddress: settings.StoreAddress},
@@ -96,10 +98,10 @@
 	return newDeps(opts, log)
 }
 
-// View returns the live fleet.
+// View returns the current membership view.
 func (p *Peers) View() *bbmember.View { return p.deps.Board.View.Load() }
 
-// UpdateList takes the platform's list of instances.
+// UpdateList updates the membership from the platform's list of instances.
 func (p *Peers) UpdateList(list []bbmember.ListEntry) {
 	p.members.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.UpdateList(now, list) })
 }
--- a/bluebellport/src/options.go
+++ b/bluebellport/src/options.go
@@ -14,8 +14,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Options are all settings of an instance. Each part has its own group, which
-// declares its flags and checks its values.
+// Options holds all settings of an instance. Each component has a group of its
+// own, which declares its flags and checks their values.
 type Options struct {
 	Self   SelfOptions
 	Front  FrontOptions
@@ -25,11 +25,11 @@
 	Route  RouteOptions
 }
 
-// optionGroup is one part's settings.
+// optionGroup holds the settings of one component.
 type optionGroup interface {
 	// flags declares the group's flags and environment variables.
 	flags(cmd *kingpin.CmdClause)
-	// check returns one line for each bad value, naming flag and value.
+	// check returns one line for each invalid value, with its flag.
 	check() []string
 }
 
@@ -37,7 +37,7 @@
 	return []optionGroup{&o.Self, &o.Front, &o.Peer, &o.Money, &o.Record, &o.Route}
 }
 
-// Check returns one line for each bad setting of all groups.
+// Check returns one line for each invalid setting of all groups.
 func (o *Options) Check() []string {
 	var problems []string
 	for _, g := range o.groups() {
@@ -46,14 +46,15 @@
 	return problems
 }
 
-// SelfOptions tell an instance who and where it is, and where the platform is.
+// SelfOptions holds the instance's identity, the addresses of the platform's
+// services, and the settings of logs and traces.
 type SelfOptions struct {
 	Instance     string
 	Domain       string
 	StoreAddress string // host:port of the key-value service
-	ListAddress  string // host:port of the list of instances
+	ListAddress  string // host:port of the list of instances; empty: not polled
 	LogLevel     string
-	TraceAddress string // host:port of an OTLP/HTTP collector
+	TraceAddress string // host:port of an OTLP/HTTP collector; empty: no export
 }
 
 func (o *SelfOptions) flags(cmd *kingpin.CmdClause) {
@@ -81,24 +82,29 @@
 	return append(problems, checkAddress("--trace-otlp", o.TraceAddress, false)...)
 }
 
-// ID returns the instance's id.
+// ID returns the instance's name as an id.
 func (o *SelfOptions) ID() bbunit.InstanceID { return bbunit.InstanceID(o.Instance) }
 
-// FrontOptions set where callers and operators reach an instance.
+// FrontOptions holds the settings of the interfaces for callers and operators,
+// and of the requests that callers send.
 type FrontOptions struct {
 	CallerAddress string
 	AdminAddress  string
-	// Cert and Key are PEM files; without them callers speak plain HTTP.
-	Cert, Key       string
-	MaxBodyBytes    int64 // bytes
-	DrainTimeout    time.Duration
+	// Cert and Key are PEM files; without them the interface for callers is
+	// plain HTTP.
+	Cert, Key    string
+	MaxBodyBytes int64
+	// DrainTimeout bounds a planned stop.
+	DrainTimeout time.Duration
+	// DefaultDeadline applies to requests that set none.
 	DefaultDeadline time.Duration
-	// LingerTime is how long a leaving instance still takes new requests.
+	// LingerTime is how long a leaving instance still accepts new requests.
 	LingerTime time.Duration
-	// SilenceTimeout is how long a target may send nothing before it is asked about.
+	// SilenceTimeout is how long a target may send nothing before it is probed
+	// over a new connection.
 	SilenceTimeout time.Duration
-	// LateAnswerTimeout is how long after its deadline the answer to a request that may not
-	// be repeated is still waited for.
+	// LateAnswerTimeout is how long the instance waits, after the deadline of a
+	// request that is not idempotent, for its answer.
 	LateAnswerTimeout time.Duration
 }
 
@@ -137,13 +143,14 @@
 	return append(problems, bbcli.CheckDuration("--timeout", o.DefaultDeadline)...)
 }
 
-// PeerOptions set how instances reach each other.
+// PeerOptions holds the settings of the sessions and the gossip between
+// instances.
 type PeerOptions struct {
 	ListenAddress     string
-	AdvertisedAddress string // empty: the address listened on
+	AdvertisedAddress string // empty: ListenAddress
 	GossipPeriod      time.Duration
 	SuspicionTimeout  time.Duration
-	Cert              string // files in PEM; all three or none
+	Cert              string // Cert, Key and CA are PEM files: all three or none
 	Key               string
 	CA                string
 }
@@ -171,7 +178,8 @@
 	return problems
 }
 
-// ReachableAddress returns the address that other instances connect to.
+// ReachableAddress returns the IP address and port that other instances connect
+// to.
 func (o *PeerOptions) ReachableAddress() string {
 	if o.AdvertisedAddress != "" {
 		return o.AdvertisedAddress
@@ -179,7 +187,8 @@
 	return o.ListenAddress
 }
 
-// checkReachableAddress returns a line when others could not connect to the address.
+// checkReachableAddress returns a line when other instances cannot connect to
+// the address.
 func checkReachableAddress(address string) []string {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Addr().IsUnspecified() {
@@ -188,20 +197,20 @@
 	return nil
 }
 
-// RecordOptions set how claims and bills are kept.
+// RecordOptions holds the settings of claims, bills and kept answers.
 type RecordOptions struct {
 	Retention              time.Duration
 	ClaimPeriod            time.Duration
 	BillPeriod             time.Duration
 	ClaimTimeout           time.Duration
 	TakeoverDelay          time.Duration
-	MaxUnacknowledgedBills int     // records
-	ClaimWriteRate         float64 // a second in the failure domain
-	BillWriteRate          float64 // a second in the failure domain
+	MaxUnacknowledgedBills int
+	ClaimWriteRate         float64 // writes per second in the failure domain
+	BillWriteRate          float64 // writes per second in the failure domain
 	AnswerTTL              time.Duration
-	CallerlessTimeout      time.Duration
-	MaxAnswerBytes         int64 // bytes
-	MaxTotalAnswerBytes    int64 // bytes
+	CallerlessTimeout      time.Duration // from when the last caller leaves
+	MaxAnswerBytes         int64
+	MaxTotalAnswerBytes    int64
 }
 
 func (o *RecordOptions) flags(cmd *kingpin.CmdClause) {
@@ -249,7 +258,7 @@
 	return problems
 }
 
-// RouteOptions set how targets are chosen, limited and retried.
+// RouteOptions holds the settings of choosing targets, queueing and retries.
 type RouteOptions struct {
 	CircuitFailureThreshold int
 	InitialCircuitOpen      time.Duration
@@ -262,7 +271,7 @@
 	MaxQueueWait            time.Duration
 	MaxAttempts             int
 	RetryRatio              float64
-	MinRetryRate            float64 // retries a second
+	MinRetryRate            float64 // retries per second and service
 	PoisonCrashThreshold    int
 }
 
@@ -311,7 +320,7 @@
 	return append(problems, bbcli.CheckDuration("--spill", o.SpillWait)...)
 }
 
-// pickPolicy returns the rule by which targets are chosen.
+// pickPolicy returns the policy for choosing targets.
 func (o *RouteOptions) pickPolicy() bbroute.PickPolicy {
 	return bbroute.PickPolicy{
 		Circuit: bbroute.CircuitPolicy{
@@ -325,22 +334,24 @@
 	}
 }
 
-// admissionPolicy returns the rule of requests that wait.
+// admissionPolicy returns the limits of a service's queue.
 func (o *RouteOptions) admissionPolicy() bbroute.AdmissionPolicy {
 	return bbroute.AdmissionPolicy{MaxQueued: o.MaxQueued, MaxWait: o.MaxQueueWait}
 }
 
-// retryPolicy returns the rule of retries.
+// retryPolicy returns the retry budget of a service and the attempts of a
+// request.
 func (o *RouteOptions) retryPolicy() bbroute.RetryPolicy {
 	return bbroute.RetryPolicy{MaxAttempts: o.MaxAttempts, Ratio: o.RetryRatio, MinPerSecond: o.MinRetryRate}
 }
 
-// poisonPolicy returns the rule of requests that crash targets.
+// poisonPolicy returns the policy for requests that crash targets.
 func (o *RouteOptions) poisonPolicy() bbroute.PoisonPolicy {
 	return bbroute.PoisonPolicy{CrashThreshold: o.PoisonCrashThreshold, SuspectTTL: suspectRetention, MaxFingerprints: maxPoisonRecords}
 }
 
-// checkAddress is bbcli.CheckAddress for a value that may be left out.
+// checkAddress is bbcli.CheckAddress, and accepts an empty value unless it is
+// required.
 func checkAddress(flag, v string, required bool) []string {
 	if v == "" && !required {
 		return nil
--- a/bluebellport/src/options_test.go
+++ b/bluebellport/src/options_test.go
@@ -11,8 +11,8 @@
 	"bluebellport.example/shared/bbcli"
 )
 
-// TestInvalidSettings holds in a golden file what is told of each bad setting; all
-// of them are named at once and the exit code is 2.
+// TestInvalidSettings compares the messages about invalid settings with golden
+// files. All invalid settings are reported at once, and the exit code is 2.
 func TestInvalidSettings(t *testing.T) {
 	valid := []string{"serve", "--instance", "i", "--domain", "d", "--store", "127.0.0.1:1", "--list", "127.0.0.1:2"}
 	for name, args := range map[string][]string{
