--- a/bluebellport/src/bus.go
+++ b/bluebellport/src/bus.go
@@ -15,38 +15,40 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Sentinel errors of received envelopes; each is logged, counted and dropped.
+// Reasons for which a received envelope is dropped. All but errUnexpectedReply
+// are logged and counted.
 const (
 	errNoBody          = errors.ConstError("envelope without a known body")
 	errNoHandler       = errors.ConstError("no handler for the body")
-	errUnexpectedReply = errors.ConstError("answer that nobody waits for")
+	errUnexpectedReply = errors.ConstError("reply to no pending call")
 	errTooManyMembers  = errors.ConstError("too many members in one message")
 	errPanic           = errors.ConstError("handler panicked")
 )
 
-// envelopeHandler answers one kind of body; nil sends no answer.
+// envelopeHandler handles an envelope and returns the reply, or nil for none.
 type envelopeHandler func(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope
 
-// dispatcher pairs answers with questions and hands the rest to the handler of
-// its body's type. The zero value works.
+// dispatcher matches replies with pending calls, and passes all other envelopes
+// to the handler of their type of body. The zero value is ready to use.
 type dispatcher struct {
 	seq      atomic.Uint64
 	pending  sync.Map // seq -> *pendingCall
 	handlers sync.Map // reflect.Type -> envelopeHandler
 }
 
-// pendingCall is a question under way; only the instance asked may answer it.
+// pendingCall is a request that waits for its reply, which only the instance
+// that was called may send.
 type pendingCall struct {
 	to bbunit.InstanceID
-	ch chan *bbwire.Envelope // nil: the peer was lost
+	ch chan *bbwire.Envelope // receives the reply, or nil if the session was lost
 }
 
 func (d *dispatcher) handle(sample *bbwire.Envelope, fn envelopeHandler) {
 	d.handlers.Store(reflect.TypeOf(sample.GetBody()), fn)
 }
 
-// call sends a numbered copy of e and waits for its answer up to the deadline
-// of ctx.
+// call sends a copy of e with a new sequence number and waits for the reply
+// until ctx ends.
 func (d *dispatcher) call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope, send func(*bbwire.Envelope) error) (*bbwire.Envelope, error) {
 	pending := &pendingCall{to: to, ch: make(chan *bbwire.Envelope, 1)}
 	request := &bbwire.Envelope{Seq: d.seq.Add(1), Body: e.Body}
@@ -58,7 +60,7 @@
 	select {
 	case reply := <-pending.ch:
 		if reply == nil {
-			return nil, errors.Annotatef(ErrPeerUnreachable, "session with %s lost", to)
+			return nil, errors.Annotatef(ErrPeerUnreachable, "session with %s lost before it replied", to)
 		}
 		if reply.Error != "" {
 			return nil, errors.Errorf("%s: %s", to, reply.Error)
@@ -69,7 +71,7 @@
 	}
 }
 
-// failCalls ends all questions to an instance whose session broke.
+// failCalls fails all pending calls to an instance whose session was lost.
 func (d *dispatcher) failCalls(to bbunit.InstanceID) {
 	d.pending.Range(func(k, v any) bool {
 		if c := v.(*pendingCall); c.to == to {
@@ -80,7 +82,7 @@
 	})
 }
 
-// complete hands r over unless another answer came first.
+// complete ends the call with a reply, or nil, unless it is already complete.
 func (c *pendingCall) complete(reply *bbwire.Envelope) {
 	select {
 	case c.ch <- reply:
@@ -88,8 +90,8 @@
 	}
 }
 
-// deliver takes one received envelope; reply sends an answer back. An error
-// means that the envelope was dropped.
+// deliver dispatches a received envelope; reply sends the handler's result
+// back. An error means that the envelope was dropped.
 func (d *dispatcher) deliver(from bbunit.InstanceID, e *bbwire.Envelope, reply func(*bbwire.Envelope)) error {
 	if e.Reply {
 		return d.handleReply(from, e)
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// sendReply sends r back when the question asked for an answer.
+// sendReply sends reply if the sender of request expects one.
 func sendReply(request, reply *bbwire.Envelope, send func(*bbwire.Envelope)) {
 	if request.Seq == 0 {
 		return
@@ -132,7 +134,7 @@
 	send(reply)
 }
 
-// dropper logs and counts what is dropped.
+// dropper logs and counts dropped messages.
 type dropper struct {
 	log     logrus.FieldLogger
 	dropped metrics.Counter
--- a/bluebellport/src/bus_loop_test.go
+++ b/bluebellport/src/bus_loop_test.go
@@ -11,8 +11,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// LoopBus joins buses in memory, with links that tests cut, and frames that
-// tests drop.
+// LoopBus connects Bus implementations in memory. Tests can cut its links and
+// drop messages.
 type LoopBus struct {
 	mu      sync.Mutex
 	members map[bbunit.InstanceID]*loopMember
@@ -20,12 +20,13 @@
 	drop    func(from, to bbunit.InstanceID, e *bbwire.Envelope) bool
 }
 
-// NewLoopBus returns a network without members.
+// NewLoopBus returns a LoopBus without members.
 func NewLoopBus() *LoopBus {
 	return &LoopBus{members: map[bbunit.InstanceID]*loopMember{}, cuts: map[[2]bbunit.InstanceID]bool{}}
 }
 
-// loopMember is one member's Bus. Its handlers run one at a time, in order.
+// loopMember is the Bus of one member. Its handlers run one at a time, in the
+// order in which envelopes arrive.
 type loopMember struct {
 	dispatcher
 	id  bbunit.InstanceID
@@ -34,8 +35,8 @@
 	in  chan *bbwire.Envelope
 }
 
-// Join adds a member until the test ends or Leave; a second Join of an id
-// replaces the first.
+// Join adds a member, which stays until the end of the test or a call of Leave.
+// A second Join with the same id replaces the first.
 func (l *LoopBus) Join(t testing.TB, id bbunit.InstanceID, inc bbunit.Incarnation) Bus {
 	n := &loopMember{id: id, inc: inc, net: l, in: make(chan *bbwire.Envelope, 1024)}
 	l.mu.Lock()
@@ -51,21 +52,22 @@
 	return n
 }
 
-// Leave takes a member off the network.
+// Leave removes a member.
 func (l *LoopBus) Leave(id bbunit.InstanceID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.members, id)
 }
 
-// Cut cuts or mends the link between two members, both ways.
+// Cut cuts or restores the link between two members in both directions.
 func (l *LoopBus) Cut(a, b bbunit.InstanceID, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cuts[[2]bbunit.InstanceID{a, b}], l.cuts[[2]bbunit.InstanceID{b, a}] = cut, cut
 }
 
-// Drop sets which frames are lost in silence; nil loses none.
+// Drop sets the condition under which envelopes are lost without an error to
+// the sender; nil for none.
 func (l *LoopBus) Drop(fn func(from, to bbunit.InstanceID, e *bbwire.Envelope) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +86,8 @@
 	}
 }
 
-// Send delivers a copy of e; ErrPeer when the link is cut or the member gone.
+// Send delivers a copy of e. It fails with ErrPeerUnreachable if the link is
+// cut, or if the member has left or its queue is full.
 func (n *loopMember) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
 	c := proto.Clone(e).(*bbwire.Envelope)
 	c.From, c.Inc = string(n.id), uint64(n.inc)
@@ -106,12 +109,12 @@
 	}
 }
 
-// Call sends e and waits for the answer.
+// Call sends e and waits for the reply.
 func (n *loopMember) Call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope) (*bbwire.Envelope, error) {
 	return n.call(ctx, to, e, func(q *bbwire.Envelope) error { return n.Send(to, q) })
 }
 
-// Handle sets the handler of one kind of body.
+// Handle sets the handler of envelopes with the same type of body as sample.
 func (n *loopMember) Handle(sample *bbwire.Envelope, fn func(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope) {
 	n.handle(sample, fn)
 }
--- a/bluebellport/src/bus_test.go
+++ b/bluebellport/src/bus_test.go
@@ -12,10 +12,10 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// busPair is two joined buses, a and b, under the contract's test.
+// busPair holds the connected buses of the instances a and b.
 type busPair struct {
 	a, b Bus
-	// sever breaks the link for good; nil when the pair can't.
+	// sever cuts the link permanently.
 	sever func()
 }
 
@@ -61,7 +61,7 @@
 	is.True(errors.Is(d.deliver("b", reply("late"), nil), errUnexpectedReply))
 }
 
-// busContract holds for every Bus.
+// busContract checks what every implementation of Bus must do.
 func busContract(t *testing.T, pair func(t *testing.T) busPair) {
 	answerAll := func(_ bbunit.InstanceID, _ *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") }
 	t.Run("answer", func(t *testing.T) {
@@ -76,9 +76,9 @@
 		is.NoErr(err)
 		is.Equal(string(r.GetTickettell().State), "7")
 		is.Equal(<-from, bbunit.InstanceID("a"))
-		is.Equal(r.Inc, uint64(2)) // the answer tells the peer's incarnation
+		is.Equal(r.Inc, uint64(2)) // the reply has the peer's incarnation
 	})
-	t.Run("crossed answers reach their own caller", func(t *testing.T) {
+	t.Run("concurrent replies reach their callers", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
 		p.b.Handle(askEnvelope(0), func(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
@@ -103,7 +103,7 @@
 		is.True(err != nil)
 		is.True(time.Since(start) < 4*time.Second)
 	})
-	t.Run("a handler that panics harms nothing else", func(t *testing.T) {
+	t.Run("other handlers work after a panic", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
 		p.b.Handle(tellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { panic("x") })
@@ -113,7 +113,7 @@
 		_, err = busCall(p.a, "b", askEnvelope(1), time.Second)
 		is.NoErr(err)
 	})
-	t.Run("silent handler ends at the deadline", func(t *testing.T) {
+	t.Run("a call without a reply ends at its deadline", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
 		p.b.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return nil })
--- a/bluebellport/src/gossip.go
+++ b/bluebellport/src/gossip.go
@@ -12,17 +12,17 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// gossip carries what instances learn from each other: members, and what the
-// rumors of other parts add.
+// gossip exchanges messages with other instances. They contain reports on
+// members, and what the registered gossipers add.
 type gossip struct {
 	peers   *Peers
 	members *membership
 
-	mu        sync.Mutex // guards rumors
+	mu        sync.Mutex // guards gossipers
 	gossipers []Gossiper
 
-	sentBytes metrics.Counter // bytes of messages
-	truncated metrics.Counter // messages cut down to their members
+	sentBytes metrics.Counter // bytes sent
+	truncated metrics.Counter // messages sent without the gossipers' part, above maxGossiperBytes
 }
 
 func newGossip(peers *Peers, members *membership) *gossip {
@@ -35,7 +35,7 @@
 	return g
 }
 
-// AddGossiper adds a part that spreads what it knows by gossip.
+// AddGossiper registers a component that exchanges data by gossip.
 func (p *Peers) AddGossiper(r Gossiper) {
 	g := p.members.gossip
 	g.mu.Lock()
@@ -49,7 +49,7 @@
 	return g.gossipers
 }
 
-// sendRound sends the messages of one round, with all rumors.
+// sendRound sends the messages of a gossip round, filled by all gossipers.
 func (g *gossip) sendRound(msgs []bbmember.Message) {
 	for _, msg := range msgs {
 		out := &bbwire.Gossip{}
@@ -65,7 +65,7 @@
 	}
 }
 
-// sendUrgent sends reports that can't wait for the next round.
+// sendUrgent sends reports that cannot wait for the next round.
 func (g *gossip) sendUrgent(msg bbmember.Message) {
 	g.send(msg.To, &bbwire.Gossip{Members: bbmember.Encode(msg.Reports)})
 }
@@ -75,7 +75,7 @@
 	_ = g.peers.Send(to, &bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: out}})
 }
 
-// receive reads a message from another instance.
+// receive handles a message from another instance.
 func (g *gossip) receive(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	msg := e.GetGossip()
 	if len(msg.GetMembers()) > maxReportsPerMessage {
--- a/bluebellport/src/membership.go
+++ b/bluebellport/src/membership.go
@@ -14,8 +14,9 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// membership is the controller of the fleet: it feeds the list, greetings and
-// gossip to the decision core, and publishes Board.View.
+// membership passes the platform's list, Hellos, gossip and contacts to the
+// membership state machine (bbmember.Fleet), carries out the actions that it
+// returns and publishes Board.View.
 type membership struct {
 	peers  *Peers
 	deps   Deps
@@ -26,7 +27,7 @@
 	fleet     *bbmember.Fleet
 	leaveSent bool
 
-	listDown    bool // used by the polling goroutine only
+	listDown    bool // used only by the goroutine of pollList
 	memberCount metrics.Gauge
 	listErrors  metrics.Counter
 }
@@ -50,7 +51,8 @@
 	return m
 }
 
-// run ticks the core, and polls the list beside it.
+// run polls the list on a goroutine of its own, and ticks the state machine
+// every gossip period until Peers is closed.
 func (m *membership) run() {
 	m.peers.wg.Go(m.pollList)
 	t := time.NewTicker(m.deps.Opts.Peer.GossipPeriod)
@@ -76,7 +78,7 @@
 	m.execute(bbmember.Actions{Probe: actions.Probe, Superseded: actions.Superseded})
 }
 
-// leave tells the fleet, once, that this instance leaves.
+// leave announces that this instance leaves. Later calls do nothing.
 func (m *membership) leave() {
 	m.mu.Lock()
 	alreadySent := m.leaveSent
@@ -87,7 +89,8 @@
 	}
 }
 
-// update runs one event through the core and publishes the view.
+// update applies an event to the state machine and publishes the view if it has
+// changed. The caller executes the returned actions.
 func (m *membership) update(fn func(f *bbmember.Fleet, now time.Time) bbmember.Actions) bbmember.Actions {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,7 +102,8 @@
 	return actions
 }
 
-// dispatch runs one event through the core and carries out what it asks for.
+// dispatch applies an event to the state machine and executes the returned
+// actions.
 func (m *membership) dispatch(fn func(f *bbmember.Fleet, now time.Time) bbmember.Actions) {
 	m.execute(m.update(fn))
 }
@@ -120,14 +124,14 @@
 	}
 }
 
-// address returns where an instance is reached.
+// address returns the address of an instance, and false if it is not known.
 func (m *membership) address(id bbunit.InstanceID) (string, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.fleet.Address(id)
 }
 
-// handleHello takes the Hello of a fresh session.
+// handleHello handles the Hello of a new session.
 func (m *membership) handleHello(h *bbwire.Hello) {
 	peer := bbmember.Member{
 		ID: bbunit.InstanceID(h.Instance), Inc: bbunit.Incarnation(h.Inc),
@@ -143,8 +147,8 @@
 	m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.RecordFailure(now, id) })
 }
 
-// pollList reads the platform's list, the more seldom the larger it is, so that it
-// costs no more than listRate.
+// pollList reads the platform's list repeatedly. The larger the list, the
+// longer the interval, so that it reads no more than maxListReadRate.
 func (m *membership) pollList() {
 	if m.deps.Opts.Self.ListAddress == "" {
 		return
@@ -160,7 +164,8 @@
 	}
 }
 
-// readList reads the list once and returns its size in bytes.
+// readList reads the list once and returns its size in bytes, or 0 if it is not
+// available.
 func (m *membership) readList() int {
 	code, body, err := m.client.GetTimeout(nil, "http://"+m.deps.Opts.Self.ListAddress+"/v1/instances", listTimeout)
 	if err != nil || code != fasthttp.StatusOK {
--- a/bluebellport/src/peer.go
+++ b/bluebellport/src/peer.go
@@ -16,19 +16,20 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Peers is the Bus over TCP: one yamux session for a pair of instances, opened
-// on demand and kept while used. Envelopes that are malformed, oversized or
-// unknown are logged, counted and dropped.
+// Peers implements Bus over TCP, with one yamux session for each pair of
+// instances, which is opened on demand and closed when idle. It also maintains
+// the membership. Envelopes that are malformed, oversized or of an unknown type
+// are logged, counted and dropped.
 type Peers struct {
 	dispatcher
 	dropper
 	deps      Deps
-	tlsConfig *tls.Config // nil: off
+	tlsConfig *tls.Config // nil: no TLS
 	ln        net.Listener
 	links     sync.Map // bbunit.InstanceID -> *link
 	streams   sync.Map // kind -> func(from, net.Conn)
 
-	mu     sync.Mutex // guards the making and forgetting of links
+	mu     sync.Mutex // held while a link is created or removed
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     conc.WaitGroup
@@ -38,9 +39,9 @@
 	members           *membership
 }
 
-// NewPeers listens for other instances and keeps Board.View. The clean-up
-// function tells the peers that this instance leaves, closes all sessions and
-// waits for what it started.
+// NewPeers listens for other instances and maintains Board.View. The returned
+// function announces that this instance leaves, closes all sessions and waits
+// for all goroutines.
 func NewPeers(deps Deps) (*Peers, func(), error) {
 	cfg, err := deps.Opts.Peer.tlsConfig()
 	if err != nil {
@@ -73,11 +74,11 @@
 	p.wg.Wait()
 }
 
-// Leave tells the fleet that this instance leaves; it does not block, and
+// Leave announces to the fleet that this instance leaves. It does not block;
 // later calls do nothing.
 func (p *Peers) Leave() { p.members.leave() }
 
-// flush waits until what is queued has been sent, up to leaveFlush.
+// flush waits up to leaveFlushTimeout until the queues to all peers are empty.
 func (p *Peers) flush() {
 	for deadline := time.Now().Add(leaveFlushTimeout); time.Now().Before(deadline); time.Sleep(leaveFlushTimeout / 50) {
 		pending := 0
@@ -91,7 +92,8 @@
 	}
 }
 
-// recentContacts returns the members that were heard since the last call.
+// recentContacts returns the members from which something was received since
+// the last call.
 func (p *Peers) recentContacts() []bbmember.Member {
 	var contacts []bbmember.Member
 	p.links.Range(func(_, l any) bool {
@@ -103,7 +105,8 @@
 	return contacts
 }
 
-// probeInBackground connects to an instance, and tells the membership when that fails.
+// probeInBackground checks that an instance can be reached. A failed attempt to
+// connect is reported to the membership.
 func (p *Peers) probeInBackground(id bbunit.InstanceID) {
 	l, err := p.getOrCreateLink(id)
 	if err != nil {
@@ -116,14 +119,14 @@
 	})
 }
 
-// Address returns the address listened on.
+// Address returns the address of the listener.
 func (p *Peers) Address() string { return p.ln.Addr().String() }
 
 func (p *Peers) self() bbmember.Member { return p.deps.Board.View.Load().Self }
 
-// Send queues e for the instance; it does not block, and e must not change
-// after. ErrPeer when the instance is unknown or out of reach, or when too much
-// is queued.
+// Send queues e for the instance. It does not block; e must not be changed
+// afterwards. It fails with ErrPeerUnreachable if the instance is unknown or
+// unreachable, or if the queue is full.
 func (p *Peers) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
 	l, err := p.getOrCreateLink(to)
 	if err != nil {
@@ -132,8 +135,8 @@
 	return l.enqueue(e)
 }
 
-// Call sends e and waits for its answer up to the deadline of ctx; ErrPeer when
-// none came, and then it is not known whether e arrived.
+// Call sends e and waits for the reply until ctx ends. It fails with
+// ErrPeerUnreachable if there is none; e may have been delivered nevertheless.
 func (p *Peers) Call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope) (*bbwire.Envelope, error) {
 	reply, err := p.call(ctx, to, e, func(request *bbwire.Envelope) error { return p.Send(to, request) })
 	if err != nil && ctx.Err() != nil {
@@ -142,8 +145,8 @@
 	return reply, err
 }
 
-// checkSession checks the session with an instance that left a question unanswered: it
-// may have gone silent while new ones work.
+// checkSession probes the session with an instance that did not reply in time:
+// an open connection can stop carrying traffic while new connections work.
 func (p *Peers) checkSession(id bbunit.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,14 +159,14 @@
 	}
 }
 
-// Handle sets the handler of one kind of body.
+// Handle sets the handler of envelopes with the same type of body as sample.
 func (p *Peers) Handle(sample *bbwire.Envelope, fn func(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope) {
 	p.handle(sample, fn)
 }
 
-// OpenStream opens a stream of that kind to the instance; the caller closes it.
-// It blocks up to the deadline of ctx while a session is opened; ErrPeer when
-// none could be, and then nothing was sent.
+// OpenStream opens a stream of the kind to the instance; the caller closes it.
+// It blocks until ctx ends while a session is opened. If it fails with
+// ErrPeerUnreachable, nothing was sent.
 func (p *Peers) OpenStream(ctx context.Context, to bbunit.InstanceID, kind string) (net.Conn, error) {
 	l, err := p.getOrCreateLink(to)
 	if err != nil {
@@ -181,20 +184,20 @@
 	return stream, nil
 }
 
-// HandleStream sets the function that serves streams of that kind, each on a
-// goroutine of its own; the stream is closed when it returns.
+// HandleStream sets the function that serves streams of the kind, each on its
+// own goroutine. The stream is closed when the function returns.
 func (p *Peers) HandleStream(kind string, fn func(from bbunit.InstanceID, conn net.Conn)) {
 	p.streams.Store(kind, fn)
 }
 
-// getOrCreateLink returns the link to an instance, and makes one when its address is
-// known.
+// getOrCreateLink returns the link to an instance, and creates one if the
+// instance has a known address or is this instance.
 func (p *Peers) getOrCreateLink(to bbunit.InstanceID) (*link, error) {
 	if l, ok := p.links.Load(to); ok {
 		return l.(*link), nil
 	}
 	if _, ok := p.members.address(to); !ok && to != p.self().ID {
-		return nil, errors.Annotatef(ErrPeerUnreachable, "%s is not known", to)
+		return nil, errors.Annotatef(ErrPeerUnreachable, "no known address of %q", to)
 	}
 	return p.createLink(to)
 }
@@ -203,7 +206,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ctx.Err() != nil {
-		return nil, errors.Annotate(ErrPeerUnreachable, "closed")
+		return nil, errors.Annotate(ErrPeerUnreachable, "this instance is closing its sessions")
 	}
 	v, exists := p.links.LoadOrStore(to, newLink(p, to))
 	l := v.(*link)
@@ -218,7 +221,8 @@
 	return l, nil
 }
 
-// removeIdleLink drops an idle link, unless something was queued meanwhile.
+// removeIdleLink removes a link and returns true, unless it has queued
+// envelopes or a session.
 func (p *Peers) removeIdleLink(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,7 +233,7 @@
 	return true
 }
 
-// deliverToSelf delivers what this instance sends to itself.
+// deliverToSelf delivers the envelopes that this instance sends to itself.
 func (p *Peers) deliverToSelf(l *link) {
 	for {
 		select {
@@ -244,7 +248,7 @@
 	}
 }
 
-// receive hands a received envelope to its handler or waiter.
+// receive hands an envelope to its handler or to the call that waits for it.
 func (p *Peers) receive(from bbunit.InstanceID, e *bbwire.Envelope) {
 	err := p.deliver(from, e, func(reply *bbwire.Envelope) { _ = p.Send(from, reply) })
 	if err != nil && !errors.Is(err, errUnexpectedReply) {
--- a/bluebellport/src/peer_connect.go
+++ b/bluebellport/src/peer_connect.go
@@ -16,11 +16,12 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// connect opens a session with an instance and checks that it is the one meant.
+// connect opens a session with an instance and checks that this instance, and
+// no other, has answered at the address.
 func (p *Peers) connect(ctx context.Context, to bbunit.InstanceID) (*session, error) {
 	address, ok := p.members.address(to)
 	if !ok {
-		return nil, errors.Errorf("address not known")
+		return nil, errors.Errorf("no known address of %q", to)
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -37,12 +38,12 @@
 	}
 	if s.peer() != to {
 		s.close()
-		return nil, errors.Errorf("%s answers at %s", s.peer(), address)
+		return nil, errors.Errorf("instance %s answered at %s", s.peer(), address)
 	}
 	return s, p.startSession(s)
 }
 
-// acceptConnections takes connections until the listener is closed.
+// acceptConnections accepts connections until Peers is closed.
 func (p *Peers) acceptConnections() {
 	for {
 		conn, err := p.ln.Accept()
@@ -72,7 +73,8 @@
 	}
 }
 
-// handshake shakes hands on a connection, which it closes when that fails.
+// handshake does the TLS handshake, if TLS is on, and the exchange of Hello. It
+// closes the connection if one of them fails.
 func (p *Peers) handshake(ctx context.Context, conn net.Conn, dialed bool) (*session, error) {
 	if c, ok := conn.(*tls.Conn); ok {
 		handshakeCtx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -86,7 +88,8 @@
 	return newSession(ctx, counted, dialed, p.hello(), yamuxLog{p.log})
 }
 
-// hello says who this instance is.
+// hello returns the greeting of this instance, with the number of the last
+// applied ticket.
 func (p *Peers) hello() *bbwire.Hello {
 	m := p.self()
 	return &bbwire.Hello{
@@ -95,7 +98,8 @@
 	}
 }
 
-// startSession serves a new session on goroutines of its own.
+// startSession adds a new session to the peer's link and serves it on new
+// goroutines.
 func (p *Peers) startSession(s *session) error {
 	if s.peer() == p.self().ID {
 		s.close()
@@ -113,7 +117,8 @@
 	return nil
 }
 
-// serveEnvelopes reads envelopes until the session ends.
+// serveEnvelopes reads envelopes until the session ends. If no other session
+// with the peer can be used then, all pending calls to the peer fail.
 func (p *Peers) serveEnvelopes(l *link, s *session) {
 	stop := context.AfterFunc(p.ctx, s.close)
 	defer stop()
@@ -163,30 +168,30 @@
 	}
 }
 
-// countedConn counts the bytes of a connection.
+// countedConn counts the bytes that pass a connection.
 type countedConn struct {
 	net.Conn
 	in, out metrics.Counter
 }
 
-// Read counts what it reads.
+// Read reads from the connection and counts the bytes.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.Inc(int64(n))
 	return n, err
 }
 
-// Write counts what it writes.
+// Write writes to the connection and counts the bytes.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.out.Inc(int64(n))
 	return n, err
 }
 
-// yamuxLog turns yamux's log lines into debug entries.
+// yamuxLog writes yamux's log lines at debug level.
 type yamuxLog struct{ log logrus.FieldLogger }
 
-// Write logs one line.
+// Write logs b as one entry.
 func (l yamuxLog) Write(b []byte) (int, error) {
 	l.log.WithField("lib", "yamux").Debug(string(b))
 	return len(b), nil
--- a/bluebellport/src/peer_constants.go
+++ b/bluebellport/src/peer_constants.go
@@ -4,92 +4,102 @@
 
 // Limits of the sessions between instances.
 const (
-	// maxEnvelopeBytes is the largest envelope taken, in bytes.
+	// maxEnvelopeBytes bounds an accepted envelope.
 	maxEnvelopeBytes = 4 << 20
-	// maxSkippedBytes is the largest oversized envelope that is read past, in bytes;
-	// above it the framing counts as lost.
+	// maxSkippedBytes bounds an oversized envelope that is skipped; a greater
+	// length means that the framing is lost.
 	maxSkippedBytes = 64 << 20
-	// maxConsecutiveMalformed is how many malformed envelopes in a row mean that the
-	// framing is lost.
+	// maxConsecutiveMalformed is how many malformed envelopes in a row are
+	// dropped; one more means that the framing is lost.
 	maxConsecutiveMalformed = 8
-	// maxNameBytes is the longest instance, failure domain or stream kind, in bytes.
+	// maxNameBytes bounds the name of an instance, a failure domain or a kind
+	// of stream.
 	maxNameBytes = 128
-	// maxStreamsPerSession is the most streams a peer may hold open in one session.
+	// maxStreamsPerSession bounds the open streams of a session.
 	maxStreamsPerSession = 4096
 
-	// linkQueueSize is how many envelopes wait for one peer.
+	// linkQueueSize is the capacity of the queue to one peer, in envelopes.
 	linkQueueSize = 256
-	// sessionIdleTimeout is the time without traffic after which a session is closed.
+	// sessionIdleTimeout is how long a session without traffic is kept open.
 	sessionIdleTimeout = 60 * time.Second
-	// dialTimeout bounds connecting and the exchange of Hello.
+	// dialTimeout bounds connecting, the TLS handshake and the exchange of
+	// Hello.
 	dialTimeout = time.Second
-	// dialBackoff is the least time between failed attempts to connect.
+	// dialBackoff is the delay after a failed attempt to connect or to accept.
 	dialBackoff = 250 * time.Millisecond
 	// keepAliveInterval is the time between heartbeats of a session.
 	keepAliveInterval = 2 * time.Second
-	// keepAliveTimeout is the longest wait for a heartbeat's answer and for a
-	// write to be taken.
+	// keepAliveTimeout bounds the answer to a heartbeat and a write.
 	keepAliveTimeout = 2 * time.Second
-	// probeTimeout bounds the probe of a session that is in doubt.
+	// probeTimeout bounds the ping that checks a session.
 	probeTimeout = time.Second
 )
 
 // Limits of the list of instances and of gossip.
 const (
-	// minListPeriods is the least time between two reads of the list, in periods of
-	// gossip.
+	// minListPeriods is the least time between two reads of the list, in gossip
+	// periods.
 	minListPeriods = 2
-	// maxListReadRate is the most that reading the list costs, in bytes a second.
+	// maxListReadRate bounds the traffic of reading the list, in bytes per
+	// second.
 	maxListReadRate = 1 << 10
 	// listTimeout bounds one read of the list.
 	listTimeout = 2 * time.Second
-	// maxListBytes is the largest list, in bytes.
+	// maxListBytes bounds the accepted list.
 	maxListBytes = 4 << 20
-	// maxGossiperBytes is the most that rumors add to a message, in bytes.
+	// maxGossiperBytes bounds what all gossipers together add to a message.
 	maxGossiperBytes = 32 << 10
-	// maxReportsPerMessage is the most members in one message.
+	// maxReportsPerMessage bounds the member reports in a received message.
 	maxReportsPerMessage = 256
-	// leaveFlushTimeout is the longest wait for the last messages to be sent.
+	// leaveFlushTimeout bounds the wait until a leaving instance has sent its
+	// queued messages.
 	leaveFlushTimeout = 500 * time.Millisecond
 )
 
-// Limits of following the log of tickets.
+// Limits of following the log of change tickets.
 const (
-	// followInterval is the time between two looks at what is to be done.
+	// followInterval is the time between two ticks of the follower.
 	followInterval = 250 * time.Millisecond
-	// headReadInterval is the time between two reads of the head beside the watch.
+	// headReadInterval is the time between two reads of the log's head, which
+	// check that the watch is not silent.
 	headReadInterval = 5 * time.Second
-	// joinReadInterval is the time between two reads of the head before any state is
-	// known.
+	// joinReadInterval is the time between two reads of the head until a state
+	// is loaded.
 	joinReadInterval = time.Second
-	// headReadTimeout bounds one read of the head and of the state.
+	// headReadTimeout bounds one read of the head and, if needed, of the state.
 	headReadTimeout = 5 * time.Second
-	// maxWatchLag is how long a watch may be behind a read before it counts as
-	// silent.
+	// maxWatchLag is how long a watch may lack a revision that a read returned;
+	// after that it is restarted.
 	maxWatchLag = time.Second
-	// watchRestartDelay is the least time between two watches.
+	// watchRestartDelay is the delay after a watch has failed.
 	watchRestartDelay = 500 * time.Millisecond
-	// pushTreeFanout is how many instances of its failure domain one tells.
+	// pushTreeFanout is the number of children of an instance in the push tree
+	// of its failure domain.
 	pushTreeFanout = 4
-	// pushDomainFanout is how many other failure domains the first of one tells.
+	// pushDomainFanout is how many other failure domains a watcher pushes to.
 	pushDomainFanout = 2
-	// pushGracePeriod is the time that tickets have to arrive by themselves before
-	// an instance that is behind is told.
+	// pushGracePeriod is the time that a push has to reach every instance.
+	// Until then, gossip from an instance that is behind is not answered with
+	// tickets.
 	pushGracePeriod = 500 * time.Millisecond
-	// minTicketRequestInterval is the least time between two questions for tickets.
+	// minTicketRequestInterval is the least time between two requests for
+	// tickets.
 	minTicketRequestInterval = 100 * time.Millisecond
-	// stateTransferTimeout bounds the transfer of a whole state.
+	// stateTransferTimeout bounds the transfer of a full state.
 	stateTransferTimeout = 10 * time.Second
-	// maxStateBytes is the largest whole state, in bytes of JSON.
+	// maxStateBytes bounds the JSON of a full state.
 	maxStateBytes = 128 << 20
-	// joinTimeout is how long a joining instance waits for a state that a peer
-	// spoke of.
+	// joinTimeout is how long a joining instance waits for a ticket number that
+	// a peer has announced; then it becomes ready without it.
 	joinTimeout = 10 * time.Second
-	// maxPushedTickets is the most tickets pushed at once; more are asked for.
+	// maxPushedTickets bounds the tickets of a push. If there are more, nothing
+	// is pushed and the other instances request them.
 	maxPushedTickets = 32
-	// maxTicketLookahead is how far ahead of the state a ticket is held.
+	// maxTicketLookahead is how far a ticket may be ahead of the state to be
+	// kept until the tickets before it arrive.
 	maxTicketLookahead = 256
-	// maxRetainedTickets and maxKeptBytes bound the tickets kept to pass on.
+	// maxRetainedTickets and maxRetainedBytes bound the applied tickets that
+	// are kept to send them to other instances.
 	maxRetainedTickets = 256
 	maxRetainedBytes   = 1 << 20
 )
--- a/bluebellport/src/peer_instance_test.go
+++ b/bluebellport/src/peer_instance_test.go
@@ -19,7 +19,7 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// fakeList is the platform's list of instances, set by the test.
+// fakeList serves the platform's list of instances, as the test sets it.
 type fakeList struct {
 	mu      sync.Mutex
 	entries []map[string]any
@@ -54,7 +54,7 @@
 	l.down = down
 }
 
-// testInstance is one instance's peers and follower on loopback.
+// testInstance has the peers and the follower of an instance, on loopback.
 type testInstance struct {
 	id       bbunit.InstanceID
 	deps     Deps
@@ -83,7 +83,8 @@
 	}
 }
 
-// startInstance starts an instance, puts it on the list and stops it at the end.
+// startInstance starts an instance, which is stopped at the end of the test,
+// and adds it to the list.
 func startInstance(t testing.TB, id, domain string, l *fakeList, store bbstore.Store) *testInstance {
 	t.Helper()
 	n := startInstanceWith(t, testDeps(id, domain, l.srv.Listener.Addr().String(), store))
@@ -91,7 +92,8 @@
 	return n
 }
 
-// startInstanceWith starts an instance and stops it at the end.
+// startInstanceWith starts an instance, which is stopped at the end of the
+// test.
 func startInstanceWith(t testing.TB, p Deps) *testInstance {
 	t.Helper()
 	n := &testInstance{id: p.Opts.Self.ID(), deps: p}
@@ -115,7 +117,7 @@
 
 func (n *testInstance) address() string { return n.view().Self.Address }
 
-// kill stops the instance without a word to the others.
+// kill stops the instance without announcing that it leaves.
 func (n *testInstance) kill() {
 	n.peers.members.mu.Lock()
 	n.peers.members.leaveSent = true
@@ -127,13 +129,15 @@
 
 func (n *testInstance) number() bbunit.TicketNumber { return n.deps.Board.State.Load().Number }
 
-// sees tells whether the instance has another in its view, not leaving.
+// sees reports whether the instance's view contains another that is not
+// leaving.
 func (n *testInstance) sees(id bbunit.InstanceID) bool {
 	m, ok := n.view().Find(id)
 	return ok && !m.Leaving
 }
 
-// within waits until ok holds and returns how long that took.
+// within waits until ok returns true and returns the time that this took. It
+// fails the test if that is longer than d.
 func within(t testing.TB, d time.Duration, what string, ok func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -146,8 +150,8 @@
 	return time.Since(start)
 }
 
-// tcpProxy passes connections on; freeze makes those that are open silent for
-// good, while new ones work.
+// tcpProxy forwards connections. freeze silences the open ones permanently,
+// while new ones work.
 type tcpProxy struct {
 	ln     net.Listener
 	mu     sync.Mutex
--- a/bluebellport/src/peer_link.go
+++ b/bluebellport/src/peer_link.go
@@ -15,14 +15,15 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// link is the way to one peer: a bounded queue, emptied by one goroutine, and
-// the sessions that stand. Two instances that connect to each other at once
-// have two sessions for a while; the one not preferred goes idle and is closed.
+// link holds a bounded queue of envelopes to one peer, which one goroutine
+// sends, and the open sessions with the peer. Two instances that connect to
+// each other at the same time have two sessions for a while, until the one that
+// is not preferred has been idle for sessionIdleTimeout.
 type link struct {
 	peers           *Peers
 	id              bbunit.InstanceID
 	queue           chan *bbwire.Envelope
-	dialLock        chan struct{} // held by the one who connects
+	dialLock        chan struct{} // held by the goroutine that connects
 	pending         atomic.Int64  // envelopes queued or being written
 	lastDialFailure atomic.Int64  // last failed attempt, in ns since the epoch
 
@@ -34,7 +35,8 @@
 	return &link{peers: p, id: id, queue: make(chan *bbwire.Envelope, linkQueueSize), dialLock: make(chan struct{}, 1)}
 }
 
-// enqueue queues e; ErrPeer when the queue is full or the peer out of reach.
+// enqueue queues e. It fails with ErrPeerUnreachable if the queue is full, or
+// if there is no session and connecting has just failed.
 func (l *link) enqueue(e *bbwire.Envelope) error {
 	if l.inDialBackoff() && l.preferredSession() == nil {
 		return errors.Annotatef(ErrPeerUnreachable, "no session with %s", l.id)
@@ -54,7 +56,7 @@
 	return time.Since(time.Unix(0, l.lastDialFailure.Load())) < dialBackoff
 }
 
-// run sends what is queued until the link has been idle or ctx ends.
+// run sends queued envelopes until the link is idle and removed, or ctx ends.
 func (l *link) run(ctx context.Context) {
 	tick := time.NewTicker(sessionIdleTimeout / 4)
 	defer tick.Stop()
@@ -74,7 +76,8 @@
 	}
 }
 
-// send writes e, over a fresh session when the one at hand turns out broken.
+// send writes e, with a second attempt on another session if the first is
+// broken. When e cannot be sent and is a request, all calls to the peer fail.
 func (l *link) send(ctx context.Context, e *bbwire.Envelope) {
 	for range 2 {
 		s, err := l.getSession(ctx)
@@ -91,8 +94,8 @@
 	}
 }
 
-// getSession returns a live session and opens one when there is none. It blocks
-// up to the deadline of ctx and to dialTimeout.
+// getSession returns the preferred session, and opens one if there is none. It
+// blocks until ctx ends or, while connecting, for dialTimeout.
 func (l *link) getSession(ctx context.Context) (*session, error) {
 	if s := l.preferredSession(); s != nil {
 		return s, nil
@@ -107,7 +110,7 @@
 		return s, nil
 	}
 	if l.inDialBackoff() {
-		return nil, errors.Annotatef(ErrPeerUnreachable, "%s was out of reach just now", l.id)
+		return nil, errors.Annotatef(ErrPeerUnreachable, "%s not tried again within %s of a failed connection attempt", l.id, dialBackoff)
 	}
 	s, err := l.peers.connect(ctx, l.id)
 	if err != nil {
@@ -120,8 +123,8 @@
 	return s, nil
 }
 
-// addSession takes a new session in; the older ones are in doubt until a probe shows
-// that they still carry traffic.
+// addSession adds a new session. The older ones become suspect until a probe
+// shows that they still carry traffic.
 func (l *link) addSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +134,8 @@
 	l.sessions = append(l.sessions, s)
 }
 
-// probeInBackground probes a session beside the caller, unless that is under way.
+// probeInBackground marks a session as suspect and probes it on a new
+// goroutine, unless it is closed or suspect already.
 func (l *link) probeInBackground(s *session) {
 	if s.closed() || s.suspect.Swap(true) {
 		return
@@ -143,7 +147,7 @@
 	})
 }
 
-// removeSession drops a session that ended.
+// removeSession removes a session that has ended.
 func (l *link) removeSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,9 +159,9 @@
 	}
 }
 
-// preferredSession returns the preferred live session, or nil. A session that another
-// life of the instance than the one in the view opened is not used: an earlier
-// life may have resumed.
+// preferredSession returns the open session to send on, or nil. A session
+// opened by another incarnation of the peer than the one in the view is not
+// used, since an earlier incarnation may have resumed after a pause.
 func (l *link) preferredSession() *session {
 	viewInc := l.viewIncarnation()
 	l.mu.Lock()
@@ -175,7 +179,8 @@
 	return best
 }
 
-// viewIncarnation returns the incarnation in the view, or 0.
+// viewIncarnation returns the peer's incarnation in the view, or 0 if the view
+// does not contain the peer.
 func (l *link) viewIncarnation() bbunit.Incarnation {
 	members := l.peers.deps.Board.View.Load().Members
 	i, ok := slices.BinarySearchFunc(members, l.id, func(m bbmember.Member, id bbunit.InstanceID) int {
@@ -187,8 +192,10 @@
 	return members[i].Inc
 }
 
-// prefersNewer tells whether the later session b goes before a. Both ends choose the
-// same one: that which the instance with the lower id opened.
+// prefersNewer reports whether to send on the newer session rather than on the
+// older. A session of the incarnation in the view comes first, then one that is
+// not suspect, then the one opened by the instance with the lower id: on this
+// one both ends agree.
 func (l *link) prefersNewer(newer, older *session, viewInc bbunit.Incarnation) bool {
 	switch {
 	case older.incarnation() != newer.incarnation():
@@ -201,7 +208,7 @@
 	return true
 }
 
-// closeIdle closes sessions without traffic; it returns whether none is left.
+// closeIdle closes idle sessions. It returns true when the link has no session.
 func (l *link) closeIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,7 +229,8 @@
 	}
 }
 
-// takeContact returns the member whose traffic came in since the last call.
+// takeContact returns the peer and true if something was received on the
+// preferred session since the last call.
 func (l *link) takeContact() (bbmember.Member, bool) {
 	s := l.preferredSession()
 	if s == nil || !s.received.Swap(false) {
@@ -231,8 +239,8 @@
 	return bbmember.Member{ID: l.id, Inc: s.incarnation()}, true
 }
 
-// probe tells whether the peer can be reached, by the session at hand or by a
-// fresh connection.
+// probe reports whether the peer can be reached on the preferred session or by
+// a new connection.
 func (l *link) probe(ctx context.Context) bool {
 	if s := l.preferredSession(); s != nil && s.probe() {
 		s.received.Store(true)
--- a/bluebellport/src/peer_test.go
+++ b/bluebellport/src/peer_test.go
@@ -71,7 +71,7 @@
 	conn, err = a.peers.OpenStream(ctx, "b", "nothing")
 	is.NoErr(err)
 	_, err = io.ReadAll(conn)
-	is.NoErr(err) // an unknown kind is closed, and the session stands
+	is.NoErr(err) // a stream of unknown kind is closed, the session is not
 	is.True(b.peers.dropped.Count() > 0)
 	is.True(a.peers.existingLink("b").preferredSession() != nil)
 }
@@ -84,7 +84,7 @@
 	return v.(*link)
 }
 
-// startPair starts two instances that see each other.
+// startPair starts two instances and waits until they see each other.
 func startPair(t *testing.T) (a, b *testInstance, l *fakeList) {
 	l = newFakeList(t)
 	store := bbstore.NewMem()
@@ -105,7 +105,7 @@
 	proxies := map[string]*tcpProxy{"a": newTCPProxy(t), "b": newTCPProxy(t)}
 	start := func(id string) *testInstance {
 		p := testDeps(id, "d1", l.srv.Listener.Addr().String(), store)
-		p.Opts.Peer.SuspicionTimeout = time.Minute // no probe finds the silence
+		p.Opts.Peer.SuspicionTimeout = time.Minute // the membership does not probe
 		v := *p.Board.View.Load()
 		v.Self.Address = proxies[id].ln.Addr().String()
 		p.Board.View.Store(&v)
@@ -124,7 +124,7 @@
 		is.True(!canCall(a, "b"))
 		took := within(t, keepAliveTimeout, "an answer over a fresh connection", func() bool { return canCall(a, "b") })
 		t.Logf("answered again %s after the connection went silent", took.Round(10*time.Millisecond))
-		is.True(a.sees("b")) // the instance itself is not suspected
+		is.True(a.sees("b")) // the instance itself is not suspect
 	}
 }
 
@@ -148,17 +148,17 @@
 	within(t, 5*time.Second, "six members", all(func(n *testInstance) bool { return len(n.view().Members) == 6 }))
 	leaver := instances[0]
 	leaver.peers.Leave()
-	is.True(!leaver.sees("a")) // Self is not home to anything any more
+	is.True(!leaver.sees("a")) // a leaving instance takes itself off its view
 	instances = instances[1:]
-	took := within(t, 2*time.Second, "leaving known", all(func(n *testInstance) bool { return !n.sees("a") }))
-	t.Logf("leaving known everywhere after %s, with the list unchanged", took)
+	took := within(t, 2*time.Second, "the leave is known to all", all(func(n *testInstance) bool { return !n.sees("a") }))
+	t.Logf("leave known to all instances after %s, with the list unchanged", took)
 	instances[0].kill()
 	instances = instances[1:]
-	took = within(t, 15*testSuspicionTimeout, "death known", all(func(n *testInstance) bool { return !n.sees("b") }))
-	t.Logf("death known everywhere after %s, with the list unchanged", took)
+	took = within(t, 15*testSuspicionTimeout, "the crash is known to all", all(func(n *testInstance) bool { return !n.sees("b") }))
+	t.Logf("crash known to all instances after %s, with the list unchanged", took)
 	l.setDown(true)
 	time.Sleep(2 * testSuspicionTimeout)
-	is.True(instances[0].sees("f")) // the list's outage changes nothing
+	is.True(instances[0].sees("f")) // an outage of the list does not change the view
 }
 
 func TestInstanceRestart(t *testing.T) {
@@ -170,7 +170,7 @@
 	p.Opts.Peer.ListenAddress = b.peers.Address() // the same name at the same address
 	restarted := startInstanceWith(t, p)
 	restarted.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("new") })
-	within(t, 5*time.Second, "the new life in view", func() bool {
+	within(t, 5*time.Second, "the new incarnation in view", func() bool {
 		m, ok := a.view().Find("b")
 		return ok && m.Inc == restarted.view().Self.Inc
 	})
@@ -188,13 +188,13 @@
 		misdelivered.Add(1)
 		return nil
 	})
-	l.add("c", "d1", b.address()) // the list is behind: b has the address now
+	l.add("c", "d1", b.address()) // the list is outdated: b has the address now
 	within(t, 5*time.Second, "c is listed", func() bool { return a.sees("c") })
 	for range 5 {
 		_ = a.peers.Send("c", tellEnvelope("for c"))
 		time.Sleep(10 * time.Millisecond)
 	}
-	within(t, 5*time.Second, "c is found to be gone", func() bool { return !a.sees("c") && a.sees("b") })
+	within(t, 5*time.Second, "c is removed from the view", func() bool { return !a.sees("c") && a.sees("b") })
 	_, err := busCall(a.peers, "c", askEnvelope(1), time.Second)
 	is.True(errors.Is(err, ErrPeerUnreachable))
 	is.True(canCall(a, "b"))
@@ -244,33 +244,34 @@
 	})
 }
 
-// TestDuplicateInstanceName has an earlier life resume beside the later one:
-// what is sent to the name reaches the later.
+// TestDuplicateInstanceName runs an earlier incarnation of an instance beside
+// the later one, as after a pause. Messages to the instance reach the later
+// one.
 func TestDuplicateInstanceName(t *testing.T) {
 	is := is.New(t)
 	a, older, l := startPair(t)
 	newer := startInstanceWith(t, testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem()))
-	newer.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("young") })
-	within(t, 5*time.Second, "the later life in view", func() bool {
+	newer.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("newer") })
+	within(t, 5*time.Second, "the later incarnation in view", func() bool {
 		m, ok := a.view().Find("b")
 		return ok && m.Inc == newer.view().Self.Inc && m.Address == newer.address()
 	})
 	for range 20 {
-		_ = older.peers.Send("a", tellEnvelope("from the earlier life"))
+		_ = older.peers.Send("a", tellEnvelope("from the earlier incarnation"))
 		if l := older.peers.existingLink("a"); l != nil {
-			l.closeAll() // it connects afresh each time
+			l.closeAll() // it opens a new connection each time
 		}
 		time.Sleep(20 * time.Millisecond)
 		m, ok := a.view().Find("b")
 		is.True(ok)
 		is.Equal(m.Inc, newer.view().Self.Inc)
 	}
-	within(t, 3*time.Second, "sent to the later life", func() bool {
+	within(t, 3*time.Second, "messages reach the later incarnation", func() bool {
 		r, err := busCall(a.peers, "b", askEnvelope(1), 300*time.Millisecond)
 		return err == nil && r.Inc == uint64(newer.view().Self.Inc)
 	})
 	for range 20 {
-		_ = older.peers.Send("a", tellEnvelope("from the earlier life"))
+		_ = older.peers.Send("a", tellEnvelope("from the earlier incarnation"))
 		r, err := busCall(a.peers, "b", askEnvelope(1), time.Second)
 		is.NoErr(err)
 		is.Equal(r.Inc, uint64(newer.view().Self.Inc))
--- a/bluebellport/src/peer_tls.go
+++ b/bluebellport/src/peer_tls.go
@@ -11,8 +11,8 @@
 // peerName is the DNS name that an instance's certificate must carry.
 const peerName = "bluebellport-peer"
 
-// tlsConfig returns the settings of mutual TLS, or nil when it is off. The
-// errors name the flag and the file.
+// tlsConfig returns the configuration of mutual TLS, or nil when it is off.
+// Errors name the flag and the file.
 func (o *PeerOptions) tlsConfig() (*tls.Config, error) {
 	if o.Cert == "" && o.Key == "" && o.CA == "" {
 		return nil, nil
@@ -43,8 +43,8 @@
 	}, nil
 }
 
-// checkPeerName refuses certificates of the same authority that were not made
-// for an instance.
+// checkPeerName rejects certificates that the same authority has issued for
+// other purposes than an instance.
 func checkPeerName(cs tls.ConnectionState) error {
 	if len(cs.PeerCertificates) == 0 {
 		return errors.New("no certificate")
--- a/bluebellport/src/peer_tls_test.go
+++ b/bluebellport/src/peer_tls_test.go
@@ -23,7 +23,7 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// testCA signs certificates into files.
+// testCA is a certificate authority that writes its certificates to files.
 type testCA struct {
 	dir  string
 	cert *x509.Certificate
@@ -36,7 +36,8 @@
 	return ca
 }
 
-// issue writes NAME.pem and NAME.key.
+// issue writes a certificate to NAME.pem and its key to NAME.key. The first one
+// is self-signed and becomes the authority's own.
 func (ca *testCA) issue(t *testing.T, name string, c *x509.Certificate) (*ecdsa.PrivateKey, *x509.Certificate) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -66,7 +67,8 @@
 	}
 }
 
-// peerOptions issues a certificate for a DNS name and returns the options for it.
+// peerOptions issues a certificate for a DNS name and returns options that use
+// it.
 func (ca *testCA) peerOptions(t *testing.T, name, dns string) PeerOptions {
 	ca.issue(t, name, &x509.Certificate{
 		DNSNames:    []string{dns},
@@ -97,7 +99,7 @@
 	for id, o := range map[string]PeerOptions{
 		"plain":   {ListenAddress: "127.0.0.1:0", GossipPeriod: testGossipPeriod, SuspicionTimeout: testSuspicionTimeout},
 		"foreign": other.peerOptions(t, "foreign", peerName),
-		"caller":  ca.peerOptions(t, "caller", "api.example"), // same authority, not for an instance
+		"caller":  ca.peerOptions(t, "caller", "api.example"), // issued by the same authority, but not for an instance
 	} {
 		before := a.peers.dropped.Count()
 		n := start(id, o)
@@ -110,7 +112,7 @@
 	stranger := other.peerOptions(t, "stranger", peerName)
 	cert, err := tls.LoadX509KeyPair(stranger.Cert, stranger.Key)
 	is.NoErr(err)
-	for name, certs := range map[string][]tls.Certificate{"no certificate": nil, "another authority's": {cert}} {
+	for name, certs := range map[string][]tls.Certificate{"no certificate": nil, "certificate of another authority": {cert}} {
 		conn, err := tls.Dial("tcp", a.peers.Address(), &tls.Config{InsecureSkipVerify: true, Certificates: certs})
 		if err == nil {
 			_ = conn.SetReadDeadline(time.Now().Add(dialTimeout / 2))
@@ -133,17 +135,17 @@
 		invalidate func(o *PeerOptions)
 		want       string
 	}{
-		"good":                 {func(*PeerOptions) {}, ""},
-		"no TLS":               {func(o *PeerOptions) { o.Cert, o.Key, o.CA = "", "", "" }, ""},
-		"address":              {func(o *PeerOptions) { o.ListenAddress = "8082" }, "--peer: "},
-		"advertised by name":   {func(o *PeerOptions) { o.AdvertisedAddress = "host:1" }, `--peer-advertise: not an IP number and port that others can reach: "host:1"`},
-		"advertised wildcard":  {func(o *PeerOptions) { o.ListenAddress = "0.0.0.0:1" }, "--peer-advertise: "},
-		"period":               {func(o *PeerOptions) { o.GossipPeriod = 0 }, "--gossip-period: must be above 0"},
-		"suspicion":            {func(o *PeerOptions) { o.SuspicionTimeout = o.GossipPeriod }, "--suspicion: must be at least 3 times"},
-		"key without the rest": {func(o *PeerOptions) { o.Cert, o.CA = "", "" }, "set all three or none"},
-		"no such certificate":  {func(o *PeerOptions) { o.Cert = "nowhere.pem" }, `--peer-cert "nowhere.pem"`},
-		"no such authority":    {func(o *PeerOptions) { o.CA = "nowhere.pem" }, "--peer-ca: "},
-		"empty authority":      {func(o *PeerOptions) { o.CA = o.Key }, "holds no certificate"},
+		"good":                        {func(*PeerOptions) {}, ""},
+		"no TLS":                      {func(o *PeerOptions) { o.Cert, o.Key, o.CA = "", "", "" }, ""},
+		"address":                     {func(o *PeerOptions) { o.ListenAddress = "8082" }, "--peer: "},
+		"advertised host name":        {func(o *PeerOptions) { o.AdvertisedAddress = "host:1" }, `--peer-advertise: not an IP number and port that others can reach: "host:1"`},
+		"advertised wildcard":         {func(o *PeerOptions) { o.ListenAddress = "0.0.0.0:1" }, "--peer-advertise: "},
+		"period":                      {func(o *PeerOptions) { o.GossipPeriod = 0 }, "--gossip-period: must be above 0"},
+		"suspicion":                   {func(o *PeerOptions) { o.SuspicionTimeout = o.GossipPeriod }, "--suspicion: must be at least 3 times"},
+		"key alone":                   {func(o *PeerOptions) { o.Cert, o.CA = "", "" }, "set all three or none"},
+		"no certificate file":         {func(o *PeerOptions) { o.Cert = "nowhere.pem" }, `--peer-cert "nowhere.pem"`},
+		"no CA file":                  {func(o *PeerOptions) { o.CA = "nowhere.pem" }, "--peer-ca: "},
+		"CA file without certificate": {func(o *PeerOptions) { o.CA = o.Key }, "holds no certificate"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/bluebellport/src/router_gossip.go
+++ b/bluebellport/src/router_gossip.go
@@ -9,7 +9,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Fill adds poison marks, leaving targets and this instance's usage of limits.
+// Fill adds poison records, leaving targets and this instance's usage of
+// limits.
 func (r *Router) Fill(g *bbwire.Gossip) {
 	now := r.deps.Now()
 	r.poison.fillGossip(g, now)
@@ -21,8 +22,9 @@
 	}
 }
 
-// Take reads another instance's. What is malformed or unknown is counted and
-// dropped.
+// Take merges the gossip of another instance. Entries that are malformed or
+// refer to unknown targets are counted and dropped. New poison records from
+// another failure domain are passed on within the own one.
 func (r *Router) Take(from bbunit.InstanceID, g *bbwire.Gossip) {
 	now := r.deps.Now()
 	newSuspects, dropped := r.poison.mergeGossip(g.GetPoisons(), now)
@@ -47,7 +49,7 @@
 	}
 }
 
-// busiestUsageKeys returns the keys that are used at all, the busiest first.
+// busiestUsageKeys returns the keys that are in use, the highest rate first.
 func busiestUsageKeys(usage map[string]bbroute.Usage) []string {
 	keys := make([]string, 0, len(usage))
 	for k, u := range usage {
@@ -61,9 +63,10 @@
 	return keys
 }
 
-// broadcastPoisons tells at once what is newly known of crashes: the own failure domain,
-// and, where the crash was seen here, one instance of each other one, which
-// tells its own.
+// broadcastPoisons sends the poison records of the fingerprints at once,
+// instead of with the next gossip round, to all instances of the own failure
+// domain. If crossDomain is set, as for crashes seen by this instance, it also
+// sends them to one instance of each other domain, which passes them on there.
 func (r *Router) broadcastPoisons(fingerprints []uint64, crossDomain bool) {
 	if len(fingerprints) == 0 || r.deps.Bus == nil {
 		return
@@ -82,7 +85,7 @@
 			continue
 		}
 		notified[m.Domain] = true
-		// One that cannot be reached learns by gossip.
+		// An instance that cannot be reached gets them by gossip.
 		_ = r.deps.Bus.Send(m.ID, &bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: g}})
 	}
 }
--- a/bluebellport/src/router_gossip_test.go
+++ b/bluebellport/src/router_gossip_test.go
@@ -17,7 +17,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// gossipNet hands gossip from router to router and counts it.
+// gossipNet delivers gossip between routers and counts the messages of each
+// sender.
 type gossipNet struct {
 	mu      sync.Mutex
 	routers map[bbunit.InstanceID]*Router
@@ -47,9 +48,10 @@
 func (b gossipBus) Handle(*bbwire.Envelope, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {
 }
 
-// TestPoisonBroadcastReachesEveryInstance: a crash seen by one instance is known to all
-// without a round of gossip, in messages that grow with the failure domains and
-// the instances of one.
+// TestPoisonBroadcastReachesEveryInstance checks that a crash seen by one
+// instance is known to all without a gossip round, and that the messages of
+// each instance are bounded by the number of failure domains and of instances
+// in a domain.
 func TestPoisonBroadcastReachesEveryInstance(t *testing.T) {
 	is := is.New(t)
 	net := &gossipNet{routers: map[bbunit.InstanceID]*Router{}, sent: map[bbunit.InstanceID]int{}}
@@ -74,7 +76,7 @@
 	is.True(reporter.poison.recordCrash(42, "t2", time.Now()))
 	reporter.broadcastPoisons([]uint64{42}, true)
 	for id, r := range net.routers {
-		is.True(r.poison.isPoisoned(42)) // known everywhere
+		is.True(r.poison.isPoisoned(42)) // known to all
 		is.True(net.sent[id] <= 2*(2+2))
 	}
 	reporter.broadcastPoisons(nil, true)
--- a/bluebellport/src/session.go
+++ b/bluebellport/src/session.go
@@ -20,33 +20,34 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// envelopeStreamKind is the kind of the stream that carries envelopes.
+// envelopeStreamKind is the kind of stream that carries envelopes.
 const envelopeStreamKind = "envelope"
 
 const (
-	errBadHello          = errors.ConstError("bad hello")
+	errBadHello          = errors.ConstError("invalid hello")
 	errFramingLost       = errors.ConstError("framing lost")
 	errUnknownStreamKind = errors.ConstError("unknown kind of stream")
 )
 
-// session is one connection to a peer: a yamux session with one long-lived
-// envelope stream each way, and short streams of other kinds.
+// session is a connection to a peer: a yamux session with a long-lived envelope
+// stream in each direction, and streams of other kinds that are opened as
+// needed.
 type session struct {
-	hello     *bbwire.Hello // what the peer said of itself
+	hello     *bbwire.Hello // sent by the peer
 	mux       *yamux.Session
-	dialed    bool
+	dialed    bool // opened by this instance
 	createdAt time.Time
 
 	mu  sync.Mutex // guards writes to out
 	out *yamux.Stream
 	in  *yamux.Stream
 
-	suspect    atomic.Bool  // a probe is under way
+	suspect    atomic.Bool  // being probed, or failed the probe
 	lastUsedAt atomic.Int64 // last traffic, in ns since the epoch
-	received   atomic.Bool  // something came in since the flag was last cleared
+	received   atomic.Bool  // an envelope was received since the flag was last cleared
 }
 
-// muxConfig returns the settings of a yamux session.
+// muxConfig returns the configuration of a yamux session.
 func muxConfig(log io.Writer) *yamux.Config {
 	cfg := yamux.DefaultConfig()
 	cfg.KeepAliveInterval = keepAliveInterval
@@ -56,8 +57,8 @@
 	return cfg
 }
 
-// newSession exchanges Hello over conn. It blocks up to dialTimeout and closes
-// conn when it fails.
+// newSession starts yamux on conn and exchanges Hello. It blocks for up to
+// dialTimeout, and closes conn if it fails.
 func newSession(ctx context.Context, conn net.Conn, dialed bool, self *bbwire.Hello, log io.Writer) (*session, error) {
 	mux, err := startMux(conn, dialed, log)
 	if err != nil {
@@ -80,8 +81,8 @@
 	return yamux.Server(conn, muxConfig(log))
 }
 
-// exchangeHello opens the outgoing envelope stream with this instance's Hello and
-// accepts the peer's.
+// exchangeHello opens the outgoing envelope stream with this instance's Hello
+// and accepts the peer's.
 func (s *session) exchangeHello(ctx context.Context, self *bbwire.Hello) error {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -106,8 +107,8 @@
 	return s.readHello(in)
 }
 
-// acceptStream waits for a stream of the peer; it ends the session when ctx ends
-// first.
+// acceptStream waits for the peer to open a stream. If ctx ends first, it
+// closes the session.
 func acceptStream(ctx context.Context, mux *yamux.Session) (*yamux.Stream, error) {
 	stop := context.AfterFunc(ctx, func() { _ = mux.Close() })
 	stream, err := mux.AcceptStream()
@@ -127,7 +128,7 @@
 	return checkHello(s.hello)
 }
 
-// checkHello refuses a Hello that does not name the peer.
+// checkHello rejects a Hello without a valid identity and address.
 func checkHello(h *bbwire.Hello) error {
 	switch {
 	case h.GetInstance() == "" || len(h.GetInstance()) > maxNameBytes:
@@ -148,7 +149,8 @@
 
 func (s *session) touch() { s.lastUsedAt.Store(time.Now().UnixNano()) }
 
-// idle tells whether nothing went either way, and no stream was open, for d.
+// idle reports whether the session has not been used for d and has no open
+// streams besides the two envelope streams.
 func (s *session) idle(d time.Duration) bool {
 	return time.Since(time.Unix(0, s.lastUsedAt.Load())) > d && s.mux.NumStreams() <= 2
 }
@@ -157,8 +159,8 @@
 
 func (s *session) close() { _ = s.mux.Close() }
 
-// write sends one envelope; it blocks up to keepAliveTimeout. A write that was
-// cut short loses the framing, so that the session is closed.
+// write sends one envelope. It blocks for up to keepAliveTimeout. If it fails,
+// it closes the session, since a partial write breaks the framing.
 func (s *session) write(e *bbwire.Envelope) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,7 +173,8 @@
 	return nil
 }
 
-// probe checks that the peer still answers; it closes the session if not.
+// probe pings the peer, and closes the session if there is no answer within
+// probeTimeout.
 func (s *session) probe() bool {
 	done := make(chan error, 1)
 	go func() {
@@ -189,8 +192,8 @@
 	return false
 }
 
-// read hands each envelope to fn until the session ends; bad gets what is
-// dropped.
+// read passes each received envelope to handle until the session ends. For each
+// envelope that is dropped it calls onDropped.
 func (s *session) read(handle func(*bbwire.Envelope), onDropped func(error)) {
 	defer s.close()
 	r, opts := bufio.NewReader(s.in), envelopeDecodeOptions()
@@ -223,12 +226,12 @@
 	}
 }
 
-// envelopeDecodeOptions returns the bounds of received envelopes.
+// envelopeDecodeOptions returns the options for decoding received envelopes.
 func envelopeDecodeOptions() protodelim.UnmarshalOptions {
 	return protodelim.UnmarshalOptions{MaxSize: maxEnvelopeBytes}
 }
 
-// openStream opens a stream that begins with its kind.
+// openStream opens a stream and writes its kind as the header.
 func openStream(mux *yamux.Session, kind string) (*yamux.Stream, error) {
 	stream, err := mux.OpenStream()
 	if err != nil {
@@ -243,7 +246,7 @@
 	return stream, nil
 }
 
-// readStreamKind reads the header that a stream begins with.
+// readStreamKind reads the header of a stream that the peer has opened.
 func readStreamKind(stream *yamux.Stream) (string, error) {
 	kind := &wrapperspb.StringValue{}
 	opts := protodelim.UnmarshalOptions{MaxSize: maxNameBytes}
@@ -253,10 +256,11 @@
 	return kind.Value, nil
 }
 
-// byteReader reads single bytes without reading ahead.
+// byteReader adds ReadByte to a reader, without buffering, so that nothing
+// beyond the current message is consumed.
 type byteReader struct{ io.Reader }
 
-// ReadByte reads one byte.
+// ReadByte reads a single byte.
 func (r byteReader) ReadByte() (byte, error) {
 	var b [1]byte
 	_, err := io.ReadFull(r.Reader, b[:])
--- a/bluebellport/src/session_close_test.go
+++ b/bluebellport/src/session_close_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// slowCloseConn is a connection whose end takes a while, as that of one whose
-// process gets no processor.
+// slowCloseConn is a connection that takes a while to close, as when the
+// process does not get the CPU.
 type slowCloseConn struct{ net.Conn }
 
 const slowCloseDelay = 400 * time.Millisecond
@@ -22,15 +22,16 @@
 	return c.Conn.Close()
 }
 
-// testCPUTime returns what this process has used.
+// testCPUTime returns the CPU time that this process has used.
 func testCPUTime(t *testing.T) time.Duration {
 	var u syscall.Rusage
 	is.New(t).NoErr(syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// While a session closes, its reader waits: it does not keep the processor from
-// the one that closes it.
+// TestReaderBlocksWhileSessionCloses guards against a reader that spins while
+// its session is being closed, and so takes the CPU from the goroutine that
+// closes it.
 func TestReaderBlocksWhileSessionCloses(t *testing.T) {
 	is := is.New(t)
 	a, b := net.Pipe()
@@ -50,11 +51,11 @@
 		_, err := in.Read(make([]byte, 1))
 		ended <- err
 	}(in)
-	time.Sleep(20 * time.Millisecond) // the reader waits
+	time.Sleep(20 * time.Millisecond) // until the reader blocks
 	before := testCPUTime(t)
 	_ = closing.Close()
 	is.True(<-ended != nil)
 	cpuUsed := testCPUTime(t) - before
-	t.Log("processor time:", cpuUsed)
+	t.Log("CPU time:", cpuUsed)
 	is.True(cpuUsed < slowCloseDelay/2)
 }
--- a/bluebellport/src/session_test.go
+++ b/bluebellport/src/session_test.go
@@ -20,7 +20,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// rawPeer is a session whose frames the test writes itself.
+// rawPeer returns a session with an instance, on which the test writes the
+// frames.
 func rawPeer(t *testing.T, address string) *session {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -36,7 +37,8 @@
 	return s
 }
 
-// frame is a length and bytes.
+// frame returns a length prefix followed by body, which need not have that
+// length.
 func frame(size uint64, body []byte) []byte {
 	return append(binary.AppendUvarint(nil, size), body...)
 }
@@ -44,7 +46,7 @@
 func TestMalformedFrames(t *testing.T) {
 	garbage := bytes.Repeat([]byte{0xff}, 64)
 	unknown, _ := proto.Marshal(&bbwire.Envelope{Seq: 1, Reply: false})
-	unknown = append(unknown, 0xa2, 0x3f, 0x01, 'x') // field 1012, which no version has
+	unknown = append(unknown, 0xa2, 0x3f, 0x01, 'x') // field 1012, which does not exist
 	gossip, _ := proto.Marshal(&bbwire.Envelope{Body: &bbwire.Envelope_Gossip{Gossip: &bbwire.Gossip{
 		Members: []*bbwire.Member{{Instance: "x", Inc: 1, Domain: "d", Address: "nowhere", Beat: 1}, nil},
 	}}})
@@ -65,23 +67,23 @@
 	unexpectedReply, _ := proto.Marshal(&bbwire.Envelope{Seq: 77, Reply: true, Body: &bbwire.Envelope_Ticketask{}})
 	cases := map[string]struct {
 		frame  []byte
-		closed bool // the framing is lost: the session ends
-		silent bool // expected in normal work, not counted
+		closed bool // the framing is lost and the session is closed
+		silent bool // happens in normal operation and is not counted
 	}{
-		"garbage":               {frame: frame(64, garbage)},
-		"empty":                 {frame: frame(0, nil)},
-		"unknown body":          {frame: frame(uint64(len(unknown)), unknown)},
-		"oversized":             {frame: frame(maxEnvelopeBytes+1, make([]byte, maxEnvelopeBytes+1))},
-		"malformed member":      {frame: frame(uint64(len(gossip)), gossip)},
-		"too many members":      {frame: frame(uint64(len(flood)), flood)},
-		"malformed ticket":      {frame: frame(uint64(len(ticket)), ticket)},
-		"ticket of no number":   {frame: frame(uint64(len(unnumbered)), unnumbered)},
-		"malformed state":       {frame: frame(uint64(len(state)), state)},
-		"answer to nothing":     {frame: frame(uint64(len(unexpectedReply)), unexpectedReply), silent: true},
-		"impossible length":     {frame: frame(1<<60, nil), closed: true},
-		"overflowing length":    {frame: bytes.Repeat([]byte{0xff}, 400), closed: true},
-		"garbage without end":   {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxConsecutiveMalformed+1), closed: true},
-		"some garbage in a row": {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxConsecutiveMalformed)},
+		"garbage":                   {frame: frame(64, garbage)},
+		"empty":                     {frame: frame(0, nil)},
+		"unknown body":              {frame: frame(uint64(len(unknown)), unknown)},
+		"oversized":                 {frame: frame(maxEnvelopeBytes+1, make([]byte, maxEnvelopeBytes+1))},
+		"malformed member":          {frame: frame(uint64(len(gossip)), gossip)},
+		"too many members":          {frame: frame(uint64(len(flood)), flood)},
+		"malformed ticket":          {frame: frame(uint64(len(ticket)), ticket)},
+		"ticket without number":     {frame: frame(uint64(len(unnumbered)), unnumbered)},
+		"malformed state":           {frame: frame(uint64(len(state)), state)},
+		"reply to no call":          {frame: frame(uint64(len(unexpectedReply)), unexpectedReply), silent: true},
+		"impossible length":         {frame: frame(1<<60, nil), closed: true},
+		"overflowing length":        {frame: bytes.Repeat([]byte{0xff}, 400), closed: true},
+		"too much garbage in a row": {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxConsecutiveMalformed+1), closed: true},
+		"some garbage in a row":     {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxConsecutiveMalformed)},
 	}
 	l := newFakeList(t)
 	n := startInstance(t, "n", "d1", l, bbstore.NewMem())
@@ -95,13 +97,13 @@
 			before := n.peers.dropped.Count() + n.follower.dropped.Count()
 			s := rawPeer(t, n.peers.Address())
 			_, err := s.out.Write(c.frame)
-			is.True(err == nil || c.closed) // the other end may close before it has read all
+			is.True(err == nil || c.closed) // the instance may close the session before it has read all
 			if c.closed {
 				within(t, 3*time.Second, "session closed", s.closed)
 				s = rawPeer(t, n.peers.Address())
 			}
 			is.NoErr(s.write(&bbwire.Envelope{Seq: 5, Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{}}}))
-			is.True(readsReply(s, 5)) // the session, or a new one, still serves
+			is.True(readsReply(s, 5)) // the session, or a new one, still works
 			if !c.silent {
 				is.True(n.peers.dropped.Count()+n.follower.dropped.Count() > before)
 			}
@@ -109,10 +111,10 @@
 			is.True(!n.sees("flood0"))
 		})
 	}
-	within(t, 3*time.Second, "the others are not harmed", func() bool { return bystander.sees("n") && n.sees("o") })
+	within(t, 3*time.Second, "the instances still see each other", func() bool { return bystander.sees("n") && n.sees("o") })
 }
 
-// readsReply reads until the answer to seq comes.
+// readsReply reads until it gets the reply to seq, for up to 3 seconds.
 func readsReply(s *session, seq uint64) bool {
 	_ = s.in.SetReadDeadline(time.Now().Add(3 * time.Second))
 	for {
@@ -128,13 +130,13 @@
 
 func TestInvalidHellos(t *testing.T) {
 	cases := map[string]*bbwire.Hello{
-		"none":            nil,
-		"no instance":     {Inc: 1, Domain: "d", Address: "127.0.0.1:1"},
-		"long instance":   {Instance: strings.Repeat("x", 200), Inc: 1, Domain: "d", Address: "127.0.0.1:1"},
-		"no domain":       {Instance: "x", Inc: 1, Address: "127.0.0.1:1"},
-		"no incarnation":  {Instance: "x", Domain: "d", Address: "127.0.0.1:1"},
-		"address by name": {Instance: "x", Inc: 1, Domain: "d", Address: "host:1"},
-		"its own name":    {Instance: "n", Inc: 1, Domain: "d", Address: "127.0.0.1:1"},
+		"no hello":                nil,
+		"no instance":             {Inc: 1, Domain: "d", Address: "127.0.0.1:1"},
+		"long instance":           {Instance: strings.Repeat("x", 200), Inc: 1, Domain: "d", Address: "127.0.0.1:1"},
+		"no domain":               {Instance: "x", Inc: 1, Address: "127.0.0.1:1"},
+		"no incarnation":          {Instance: "x", Domain: "d", Address: "127.0.0.1:1"},
+		"address with host name":  {Instance: "x", Inc: 1, Domain: "d", Address: "host:1"},
+		"the instance's own name": {Instance: "n", Inc: 1, Domain: "d", Address: "127.0.0.1:1"},
 	}
 	n := startInstance(t, "n", "d1", newFakeList(t), bbstore.NewMem())
 	for name, hello := range cases {
@@ -152,7 +154,7 @@
 			is.Equal(len(n.view().Members), 1)
 		})
 	}
-	t.Run("a connection that says nothing", func(t *testing.T) {
+	t.Run("silent connection", func(t *testing.T) {
 		is := is.New(t)
 		conn, err := net.Dial("tcp", n.peers.Address())
 		is.NoErr(err)
@@ -162,15 +164,15 @@
 		for err == nil {
 			_, err = conn.Read(make([]byte, 64))
 		}
-		is.True(time.Since(start) < 4*time.Second) // closed by the other end
+		is.True(time.Since(start) < 4*time.Second) // the instance has closed the connection
 	})
-	t.Run("another kind of stream first", func(t *testing.T) {
+	t.Run("first stream is of another kind", func(t *testing.T) {
 		is := is.New(t)
 		conn, err := net.Dial("tcp", n.peers.Address())
 		is.NoErr(err)
 		mux, err := yamux.Client(conn, muxConfig(&bytes.Buffer{}))
 		is.NoErr(err)
-		_, _ = openStream(mux, "state") // fails when the other end closes first
+		_, _ = openStream(mux, "state") // fails if the instance closes the connection first
 		within(t, 3*time.Second, "session closed", mux.IsClosed)
 	})
 }
@@ -191,7 +193,7 @@
 	expire()
 	l.closeIdle()
 	time.Sleep(50 * time.Millisecond)
-	is.True(!s.closed()) // a request may stream for long without an envelope
+	is.True(!s.closed()) // an open stream counts as use
 
 	close(release)
 	is.NoErr(st.Close())
@@ -199,7 +201,7 @@
 	l.preferredSession().touch()
 	l.closeIdle()
 	time.Sleep(50 * time.Millisecond)
-	is.True(!s.closed()) // used just now
+	is.True(!s.closed()) // just used
 	expire()
 	l.closeIdle()
 	within(t, 3*time.Second, "the session closed", s.closed)
