--- a/bluebellport/src/follower.go
+++ b/bluebellport/src/follower.go
@@ -17,34 +17,35 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// watchKey ranks the instances of a failure domain: the first watches the log,
-// and the tree that spreads tickets follows the order.
+// watchKey is the key by which rendezvous hashing ranks the instances of a
+// failure domain. The first is the domain's watcher: it watches the ticket log.
+// The others get the tickets along a tree in the order of the ranking.
 const watchKey = "ticket/watch"
 
-// Follower owns Board.State: it keeps every accepted change ticket in force
-// here, from the log in the key-value service and from other instances, and
-// never goes back.
+// Follower maintains Board.State: it applies every accepted change ticket,
+// which it reads from the log in the key-value service or receives from other
+// instances. The ticket number of the state never decreases.
 //
-//	log head --watch--> first of the failure domain --tell--> its children, ...
-//	                                    \--tell--> firsts of a few other domains
-//	gossip (number) --behind--> ask --> tell
+//	head of the log --watch--> watcher of the domain --push--> its children --> ...
+//	                                        \--push--> watchers of other domains
+//	gossip with a higher number --> TicketAsk --> TicketTell
 type Follower struct {
 	deps      Deps
 	peers     *Peers
 	ticketLog *bbticket.Log
 	log       logrus.FieldLogger
 
-	mu                sync.Mutex // guards replica, known and the writing of Board.State
+	mu                sync.Mutex // guards replica, stateLoaded and writes of Board.State
 	replica           replica
-	stateLoaded       bool          // the state in force was read from the service or a peer
-	maxPeerNumber     atomic.Uint64 // highest number that a peer spoke of
-	maxPeerNumberAt   atomic.Int64  // when wanted rose, in ns since the epoch
-	advancedAt        atomic.Int64  // when the state last rose, in ns since the epoch
-	fetching, reading atomic.Bool
-	lastRequestAt     atomic.Int64 // when a peer was last asked, in ns since the epoch
+	stateLoaded       bool          // the state was read from the key-value service or a peer
+	maxPeerNumber     atomic.Uint64 // highest ticket number announced by a peer
+	maxPeerNumberAt   atomic.Int64  // last increase of maxPeerNumber, in ns since the epoch
+	advancedAt        atomic.Int64  // last increase of the state's number, in ns since the epoch
+	fetching, reading atomic.Bool   // a fetch of the state, or a read of the head, is in progress
+	lastRequestAt     atomic.Int64  // last TicketAsk sent, in ns since the epoch
 
 	watch          *watch
-	lastHeadReadAt time.Time // last read of the head
+	lastHeadReadAt time.Time // start of the last read of the head
 	ctx            context.Context
 	cancel         context.CancelFunc
 	wg             conc.WaitGroup
@@ -52,8 +53,8 @@
 	dropped        metrics.Counter
 }
 
-// NewFollower starts following the log of tickets. The clean-up function stops
-// it and waits for what it started.
+// NewFollower starts to follow the log of change tickets. The returned function
+// stops the follower and waits for its goroutines.
 func NewFollower(deps Deps, peers *Peers) (*Follower, func()) {
 	f := &Follower{
 		deps: deps, peers: peers, ticketLog: bbticket.NewLog(deps.Store), log: deps.Log.WithField("part", "follower"),
@@ -73,8 +74,7 @@
 	}
 }
 
-// run reads the head until the state is known, and watches it while this
-// instance is the first of its failure domain.
+// run ticks every followInterval until the follower is stopped.
 func (f *Follower) run() {
 	f.tick()
 	t := time.NewTicker(followInterval)
@@ -89,6 +89,10 @@
 	}
 }
 
+// tick runs the watch if this instance is the watcher of its failure domain,
+// and stops it if not. It also reads the head: every headReadInterval on the
+// watcher, to detect a silent watch, and every joinReadInterval on any instance
+// that has not loaded a state.
 func (f *Follower) tick() {
 	view := f.deps.Board.View.Load()
 	watcher, ok := view.Home(watchKey, view.Self.Domain)
@@ -108,7 +112,8 @@
 	f.updateReady()
 }
 
-// startHeadRead reads the head beside the loop, unless a read is under way.
+// startHeadRead reads the head on a new goroutine, unless a read is in
+// progress.
 func (f *Follower) startHeadRead() {
 	if !f.reading.CompareAndSwap(false, true) {
 		return
@@ -120,14 +125,14 @@
 	})
 }
 
-// readHead reads the log's head from the service, and the whole state when the
-// one here is too old for it.
+// readHead reads the log's head from the key-value service and applies it. It
+// records the revision in w, which may be nil.
 func (f *Follower) readHead(w *watch) {
 	ctx, cancel := context.WithTimeout(f.ctx, headReadTimeout)
 	defer cancel()
 	head, rev, err := f.ticketLog.Head(ctx)
 	if err != nil {
-		f.log.WithError(err).Debug("head of the ticket log not read")
+		f.log.WithError(err).Debug("cannot read the head of the ticket log; trying again later")
 		return
 	}
 	w.recordRead(rev)
@@ -135,7 +140,8 @@
 	f.updateReady()
 }
 
-// applyHead puts in force what the head has above the state here.
+// applyHead applies the tickets of the head. If the state is too old for them,
+// it loads the full state from the key-value service instead.
 func (f *Follower) applyHead(ctx context.Context, head bbticket.Head) {
 	if f.deps.Board.State.Load().Number < head.SnapshotNumber {
 		s, err := f.ticketLog.Load(ctx)
@@ -153,21 +159,23 @@
 	f.applyTickets(tickets, "")
 }
 
-// applyTickets puts tickets in force as far as they follow on, and asks for what
-// lies between. from is empty for the service.
+// applyTickets applies tickets from another instance, or from the key-value
+// service if from is empty. If tickets before them are missing, it requests
+// these from that instance.
 func (f *Follower) applyTickets(tickets []bbticket.Ticket, from bbunit.InstanceID) {
 	if f.update(from, func(r *replica) bool { return r.applyTickets(tickets) }) && from != "" {
 		f.requestTickets(from)
 	}
 }
 
-// mergeState joins a whole state. from is empty for the service.
+// mergeState merges a full state from another instance, or from the key-value
+// service if from is empty.
 func (f *Follower) mergeState(s *bbticket.State, from bbunit.InstanceID) {
 	f.update(from, func(r *replica) bool { return r.mergeState(s) })
 }
 
-// update changes the replica, publishes the state and passes on what is new; it
-// returns whether tickets are held beyond a gap.
+// update changes the replica, publishes its state and pushes new tickets to
+// other instances. It returns whether the replica has tickets beyond a gap.
 func (f *Follower) update(from bbunit.InstanceID, change func(r *replica) bool) bool {
 	f.mu.Lock()
 	before := f.replica.state.Number
@@ -184,7 +192,7 @@
 	return hasGap
 }
 
-// publish replaces Board.State. f.mu is held.
+// publish replaces Board.State. The caller holds f.mu.
 func (f *Follower) publish(s *bbticket.State) {
 	f.deps.Board.State.Store(s)
 	f.advancedAt.Store(time.Now().UnixNano())
@@ -192,8 +200,9 @@
 	f.log.WithField("ticket", s.Number).Info("ticket in force")
 }
 
-// updateReady marks the instance ready once it knows a state that is no older than
-// any that a peer spoke of.
+// updateReady sets Board.Ready once a state is loaded that is at least as new
+// as every one that a peer has announced. After joinTimeout it does not wait
+// for the announced number any longer.
 func (f *Follower) updateReady() {
 	if f.deps.Board.Ready.Load() {
 		return
@@ -212,8 +221,7 @@
 	}
 }
 
-// maintainWatch starts or stops the watch, and starts it anew when a read showed
-// that it has gone silent.
+// maintainWatch starts or stops the watch, and restarts it if it is stale.
 func (f *Follower) maintainWatch(isWatcher bool) {
 	if f.watch != nil && (!isWatcher || f.watch.stale()) {
 		f.watch.cancel()
@@ -224,28 +232,32 @@
 	}
 }
 
-// watch is one waiting watch of the log's head.
+// watch is a watch of the log's head in the key-value service.
 type watch struct {
 	cancel        context.CancelFunc
-	readRevision  atomic.Int64 // newest revision that a read showed
-	watchRevision atomic.Int64 // newest revision that the watch brought
-	behindSince   atomic.Int64 // when read went ahead of told, in ns since the epoch
+	readRevision  atomic.Int64 // latest revision that a read has returned
+	watchRevision atomic.Int64 // latest revision that the watch has delivered
+	behindSince   atomic.Int64 // last change of readRevision, in ns since the epoch
 	ended         atomic.Bool
 }
 
-// recordRead notes the revision that a read showed; w may be nil.
+// recordRead records the revision that a read has returned; w may be nil.
 func (w *watch) recordRead(rev bbstore.Revision) {
 	if w != nil && w.readRevision.Swap(int64(rev)) != int64(rev) {
 		w.behindSince.Store(time.Now().UnixNano())
 	}
 }
 
-// stale tells whether the watch ended, or did not bring what a read showed.
+// stale reports whether the watch has ended, or has not delivered within
+// maxWatchLag the revision that a read returned.
 func (w *watch) stale() bool {
 	behind := w.readRevision.Load() > w.watchRevision.Load()
 	return w.ended.Load() || (behind && time.Since(time.Unix(0, w.behindSince.Load())) > maxWatchLag)
 }
 
+// startWatch reads the head and watches it from that revision, on a new
+// goroutine. If the read or the watch fails, the watch counts as ended after
+// watchRestartDelay, and the next tick starts another.
 func (f *Follower) startWatch() *watch {
 	ctx, cancel := context.WithCancel(f.ctx)
 	w := &watch{cancel: cancel}
@@ -271,7 +283,8 @@
 	return w
 }
 
-// delayRestart keeps a broken watch from being started again at once.
+// delayRestart waits for watchRestartDelay, so that a failed watch is not
+// restarted at once.
 func (w *watch) delayRestart(ctx context.Context) {
 	select {
 	case <-time.After(watchRestartDelay):
@@ -300,13 +313,15 @@
 	f.log.WithField("peer", from).WithError(err).Warn("ticket message dropped")
 }
 
-// Fill adds the number in force to a gossip message.
+// Fill adds the number of the last applied ticket.
 func (f *Follower) Fill(g *bbwire.Gossip) {
 	g.Number = uint64(f.deps.Board.State.Load().Number)
 }
 
-// Take compares the number that another instance has in force: it asks when
-// that is higher, and tells when it is lower.
+// Take compares the ticket number of another instance with the own one. It
+// requests the missing tickets if the other number is higher. If it is lower,
+// and the state has not advanced for pushGracePeriod, so that a push should
+// have arrived, it sends them.
 func (f *Follower) Take(from bbunit.InstanceID, g *bbwire.Gossip) {
 	own := uint64(f.deps.Board.State.Load().Number)
 	switch {
@@ -318,7 +333,7 @@
 	}
 }
 
-// recordPeerNumber notes a number that a peer has in force.
+// recordPeerNumber raises maxPeerNumber to a number that a peer has announced.
 func (f *Follower) recordPeerNumber(n uint64) {
 	for {
 		old := f.maxPeerNumber.Load()
--- a/bluebellport/src/follower_bench_test.go
+++ b/bluebellport/src/follower_bench_test.go
@@ -17,9 +17,9 @@
 	benchIdle    = 5 * time.Second
 )
 
-// BenchmarkTicketInForce prints the time from the acceptance of a ticket until
-// the last instance has it in force, and what an idle instance spends for
-// control, against the number of instances.
+// BenchmarkTicketInForce measures, for several numbers of instances, the time
+// from the acceptance of a ticket until the last instance has applied it, and
+// the traffic and CPU time of an idle instance.
 func BenchmarkTicketInForce(b *testing.B) {
 	for _, n := range []int{2, 4, 8, 16, 32} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// benchFleet starts instances with the settings' defaults and waits until they
-// see each other.
+// benchFleet starts instances with the default gossip settings and waits until
+// they see each other.
 func benchFleet(b *testing.B, n int, l *fakeList, store bbstore.Store) []*testInstance {
 	instances := make([]*testInstance, n)
 	for i := range instances {
@@ -60,7 +60,7 @@
 		instances[i] = startInstanceWith(b, p)
 		l.add(id, domain, instances[i].address())
 	}
-	within(b, 30*time.Second, "all see all", func() bool {
+	within(b, 30*time.Second, "every instance sees all others", func() bool {
 		for _, d := range instances {
 			if len(d.view().Members) != n || d.number() != 1 {
 				return false
@@ -71,8 +71,8 @@
 	return instances
 }
 
-// idleCost returns what an instance sends and receives in a second, in bytes,
-// and the part of a core that it uses.
+// idleCost returns the mean traffic of an instance, in bytes per second, and
+// the fraction of a CPU core that it uses.
 func idleCost(instances []*testInstance) (bytes, cpu float64) {
 	total := func() (sum int64) {
 		for _, d := range instances {
--- a/bluebellport/src/follower_fault_test.go
+++ b/bluebellport/src/follower_fault_test.go
@@ -16,14 +16,14 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// partitionedStore is one failure domain's way to the service, which the test cuts.
+// partitionedStore is a store that the test can make unreachable.
 type partitionedStore struct {
 	bbstore.Store
 	down      atomic.Bool
-	staleHead atomic.Pointer[bbstore.Entry] // what Get reads instead
+	staleHead atomic.Pointer[bbstore.Entry] // if set, the result of each Get
 }
 
-// Get reads unless the way is cut.
+// Get reads an entry, unless the store is unreachable.
 func (s *partitionedStore) Get(ctx context.Context, key string) (bbstore.Entry, error) {
 	if s.down.Load() {
 		return bbstore.Entry{}, bbstore.ErrDown
@@ -34,7 +34,7 @@
 	return s.Store.Get(ctx, key)
 }
 
-// List reads unless the way is cut.
+// List lists entries, unless the store is unreachable.
 func (s *partitionedStore) List(ctx context.Context, prefix string) ([]bbstore.Entry, bbstore.Revision, error) {
 	if s.down.Load() {
 		return nil, 0, bbstore.ErrDown
@@ -42,7 +42,8 @@
 	return s.Store.List(ctx, prefix)
 }
 
-// Watch watches unless the way is cut; a cut ends it.
+// Watch watches entries, and fails at the first event after the store has
+// become unreachable.
 func (s *partitionedStore) Watch(ctx context.Context, prefix string, from bbstore.Revision, fn func(bbstore.Event) error) error {
 	if s.down.Load() {
 		return bbstore.ErrDown
@@ -55,7 +56,7 @@
 	})
 }
 
-// haveTicket tells whether all the instances have the ticket in force.
+// haveTicket returns a condition: all instances have applied the ticket.
 func haveTicket(n bbunit.TicketNumber, instances ...*testInstance) func() bool {
 	return func() bool {
 		for _, d := range instances {
@@ -72,19 +73,19 @@
 	l, store := newFakeList(t), bbstore.NewMem()
 	partitioned := &partitionedStore{Store: store}
 	acceptTicket(t, store, 1)
-	a, b := startInstance(t, "a", "cut", l, partitioned), startInstance(t, "b", "cut", l, partitioned)
-	c, d := startInstance(t, "c", "whole", l, store), startInstance(t, "d", "whole", l, store)
-	within(t, 10*time.Second, "all know all", func() bool {
+	a, b := startInstance(t, "a", "partitioned", l, partitioned), startInstance(t, "b", "partitioned", l, partitioned)
+	c, d := startInstance(t, "c", "connected", l, store), startInstance(t, "d", "connected", l, store)
+	within(t, 10*time.Second, "every instance sees all others", func() bool {
 		return len(a.view().Members) == 4 && len(b.view().Members) == 4 && len(c.view().Members) == 4 && haveTicket(1, a, b, c, d)()
 	})
 	partitioned.down.Store(true)
 	acceptTicket(t, store, 2)
-	took := within(t, 3*time.Second, "ticket 2 on the side that is cut from the service", haveTicket(2, a, b, c, d))
-	t.Logf("in force on the cut side after %s", took)
+	took := within(t, 3*time.Second, "ticket 2 in the partitioned domain", haveTicket(2, a, b, c, d))
+	t.Logf("applied in the partitioned domain after %s", took)
 
-	joiner := startInstance(t, "e", "cut", l, partitioned)
+	joiner := startInstance(t, "e", "partitioned", l, partitioned)
 	took = within(t, 5*time.Second, "the joining instance is ready", joiner.deps.Board.Ready.Load)
-	t.Logf("joined without the service after %s", took)
+	t.Logf("joined without the key-value service after %s", took)
 	is.Equal(joiner.number(), bbunit.TicketNumber(2))
 }
 
@@ -104,7 +105,7 @@
 	b := startInstance(t, "b", "d1", l, unreachable)
 	within(t, 5*time.Second, "ready", b.deps.Board.Ready.Load)
 	is.Equal(b.number(), a.number())
-	is.Equal(len(b.deps.Board.State.Load().ByKey), len(a.deps.Board.State.Load().ByKey)) // indexes too
+	is.Equal(len(b.deps.Board.State.Load().ByKey), len(a.deps.Board.State.Load().ByKey)) // the indexes are rebuilt too
 }
 
 func TestStaleStateIsIgnored(t *testing.T) {
@@ -119,7 +120,7 @@
 	a := startInstance(t, "a", "d1", l, staleStore)
 	within(t, 5*time.Second, "ticket 3", haveTicket(3, a))
 	before := a.deps.Board.State.Load()
-	staleStore.staleHead.Store(&e) // the service answers with an old head from now on
+	staleStore.staleHead.Store(&e) // from now on the store returns an old head
 	a.follower.readHead(nil)
 	oldState, err := json.Marshal((*bbticket.State)(nil).Apply(testTicket(1)))
 	is.NoErr(err)
@@ -141,8 +142,8 @@
 	staleStore.staleHead.Store(&e)
 	staleStore.down.Store(true)
 	a := startInstance(t, "a", "d1", l, staleStore)
-	a.follower.Take("x", &bbwire.Gossip{Number: 2}) // a peer that was reached has 2
-	staleStore.down.Store(false)                    // the service only shows 1
+	a.follower.Take("x", &bbwire.Gossip{Number: 2}) // a peer announces 2
+	staleStore.down.Store(false)                    // the store has only 1
 	a.follower.readHead(nil)
 	is.Equal(a.number(), bbunit.TicketNumber(1))
 	is.True(!a.deps.Board.Ready.Load())
@@ -160,11 +161,11 @@
 	})
 	store.SilenceWatches()
 	acceptTicket(t, store, 2)
-	took := within(t, headReadInterval+3*time.Second, "ticket 2 in spite of the silent watch", haveTicket(2, a, b))
-	t.Logf("in force %s after the watch went silent", took)
+	took := within(t, headReadInterval+3*time.Second, "ticket 2 despite the silent watch", haveTicket(2, a, b))
+	t.Logf("applied %s after the watch went silent", took)
 	time.Sleep(maxWatchLag + 2*followInterval)
 	acceptTicket(t, store, 3)
-	within(t, 2*time.Second, "ticket 3 by a new watch", haveTicket(3, a, b))
+	within(t, 2*time.Second, "ticket 3 from the new watch", haveTicket(3, a, b))
 }
 
 func TestWatchFailover(t *testing.T) {
@@ -189,7 +190,7 @@
 	acceptTicket(t, store, 2)
 	for _, n := range instances {
 		took := within(t, 5*time.Second, "ticket 2", haveTicket(2, n))
-		t.Logf("in force %s after the watching instance was killed", took)
+		t.Logf("applied %s after the watcher was killed", took)
 	}
 }
 
@@ -200,11 +201,11 @@
 	unreachable.down.Store(true)
 	a, b := startInstance(t, "a", "d1", l, unreachable), startInstance(t, "b", "d1", l, unreachable)
 	within(t, 5*time.Second, "a and b see each other", func() bool { return a.sees("b") && b.sees("a") })
-	b.follower.mu.Lock() // b has tickets that it did not pass on
+	b.follower.mu.Lock() // b has tickets that it has not pushed
 	b.follower.replica.applyTickets([]bbticket.Ticket{testTicket(1), testTicket(2), testTicket(3)})
 	b.follower.publish(b.follower.replica.state)
 	b.follower.mu.Unlock()
 	a.follower.applyTickets([]bbticket.Ticket{testTicket(3)}, "b")
-	within(t, 3*time.Second, "the gap is filled", haveTicket(3, a))
+	within(t, 3*time.Second, "the gap is closed", haveTicket(3, a))
 	is.Equal(a.deps.Board.State.Load().Accounts["own1"].Number, bbunit.TicketNumber(1))
 }
--- a/bluebellport/src/follower_push.go
+++ b/bluebellport/src/follower_push.go
@@ -16,14 +16,14 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// stateStreamKind is the kind of stream that carries a whole state as JSON.
+// stateStreamKind is the kind of stream that carries a full state as JSON.
 const stateStreamKind = "state"
 
-const errNoTicketNumber = errors.ConstError("no ticket number")
+const errNoTicketNumber = errors.ConstError("ticket or state without a number")
 
-// pushTickets passes the tickets above after on: to this instance's children in the
-// tree of its failure domain, from the first of the domain to a few other
-// domains, and to the first when the news came from elsewhere.
+// pushTickets sends the tickets above after to the instances that
+// pushRecipients selects; from is the instance that sent them, empty for the
+// key-value service.
 func (f *Follower) pushTickets(after bbunit.TicketNumber, from bbunit.InstanceID) {
 	view := f.deps.Board.View.Load()
 	msg := f.ticketMessage(uint64(after))
@@ -35,8 +35,12 @@
 	}
 }
 
-// pushRecipients returns whom an instance tells news that it heard from another; from
-// is empty when the news came from the service.
+// pushRecipients returns the instances to which this one pushes tickets that it
+// got from another instance, or from the key-value service if from is empty:
+//   - its children in the push tree of its failure domain,
+//   - if it is the watcher of its domain: the watchers of some other domains,
+//   - if it is not, and got them from another domain or from the service: the
+//     watcher of its domain.
 func pushRecipients(view *bbmember.View, from bbunit.InstanceID, intN func(int) int) []bbunit.InstanceID {
 	var recipients []bbunit.InstanceID
 	ranked := view.Rank(watchKey, view.Self.Domain, len(view.Members))
@@ -60,7 +64,8 @@
 	return recipients
 }
 
-// otherDomainWatchers returns the first instances of a few other failure domains.
+// otherDomainWatchers returns the watchers of up to pushDomainFanout other
+// failure domains, chosen at random.
 func otherDomainWatchers(view *bbmember.View, intN func(int) int) []bbunit.InstanceID {
 	seen := map[bbunit.DomainID]bool{view.Self.Domain: true}
 	var domains []bbunit.DomainID
@@ -81,8 +86,8 @@
 	return watchers
 }
 
-// ticketMessage returns a message with the tickets above a number, or nil when
-// they are not at hand.
+// ticketMessage returns a message with the tickets above a number, or nil if
+// there are none or not all are retained.
 func (f *Follower) ticketMessage(after uint64) *bbwire.Envelope {
 	f.mu.Lock()
 	raw, ok := f.replica.ticketsAfter(bbunit.TicketNumber(after))
@@ -93,8 +98,8 @@
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Tickettell{Tickettell: &bbwire.TicketTell{Tickets: raw}}}
 }
 
-// requestTickets asks an instance for what is above the number here, not more often than
-// each askPause.
+// requestTickets asks an instance for the tickets above the own number, at most
+// once in minTicketRequestInterval.
 func (f *Follower) requestTickets(to bbunit.InstanceID) {
 	now := time.Now().UnixNano()
 	last := f.lastRequestAt.Load()
@@ -110,8 +115,9 @@
 	return nil
 }
 
-// sendMissing tells an instance what it lacks: tickets where they are at hand, else
-// an empty message, on which it fetches the whole state.
+// sendMissing sends an instance the tickets above a number. If they are not all
+// retained, it sends an empty message, upon which the instance fetches the full
+// state.
 func (f *Follower) sendMissing(to bbunit.InstanceID, after uint64) {
 	if after >= uint64(f.deps.Board.State.Load().Number) {
 		return
@@ -156,7 +162,8 @@
 	f.mergeState(state, from)
 }
 
-// fetchState takes the whole state from an instance; one at a time.
+// fetchState fetches the full state from an instance, unless a fetch is in
+// progress.
 func (f *Follower) fetchState(from bbunit.InstanceID) {
 	if !f.fetching.CompareAndSwap(false, true) {
 		return
@@ -172,14 +179,14 @@
 	_ = conn.SetDeadline(time.Now().Add(stateTransferTimeout))
 	encoded, err := io.ReadAll(io.LimitReader(conn, maxStateBytes+1))
 	if err != nil || len(encoded) > maxStateBytes {
-		f.drop(from, errors.Errorf("whole state: %d bytes, %v", len(encoded), err))
+		f.drop(from, errors.Errorf("full state not received: %d bytes read, %v", len(encoded), err))
 		return
 	}
 	f.mergeEncodedState(from, encoded)
 	f.updateReady()
 }
 
-// serveState sends the whole state.
+// serveState sends the full state on a stream that another instance has opened.
 func (f *Follower) serveState(from bbunit.InstanceID, conn net.Conn) {
 	encoded, err := json.Marshal(f.deps.Board.State.Load())
 	if err != nil {
--- a/bluebellport/src/follower_replica.go
+++ b/bluebellport/src/follower_replica.go
@@ -7,24 +7,25 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// replica is the state in force as it grows from tickets and whole states that
-// come in any order, late or twice: it goes only forward. It has no clock and
-// no I/O, and is not safe for concurrent use. The zero value is empty.
+// replica builds the state from tickets and full states, which may arrive in
+// any order, late or more than once. The state's number never decreases. A
+// replica has no clock and does no I/O. It is not safe for concurrent use.
 type replica struct {
 	state         *bbticket.State
-	pending       map[bbunit.TicketNumber]bbticket.Ticket // beyond a gap
-	lastRetained  bbunit.TicketNumber                     // number of the newest of kept
-	retained      [][]byte                                // JSON of the tickets up to last, without gaps
-	retainedBytes int                                     // size of kept
+	pending       map[bbunit.TicketNumber]bbticket.Ticket // received, not applied as earlier ones are missing
+	lastRetained  bbunit.TicketNumber                     // number of the last ticket in retained
+	retained      [][]byte                                // JSON of consecutive applied tickets
+	retainedBytes int                                     // size of retained
 }
 
-// newReplica returns a replica that goes on from a state.
+// newReplica returns a replica that starts with a state.
 func newReplica(s *bbticket.State) replica {
 	return replica{state: s, pending: map[bbunit.TicketNumber]bbticket.Ticket{}}
 }
 
-// applyTickets puts tickets in force as far as they follow on without a gap and
-// holds the others; it returns whether the state rose.
+// applyTickets applies the tickets that follow the state without a gap, and
+// keeps the others, up to maxTicketLookahead, until the gap is closed. It
+// returns whether the state has advanced.
 func (r *replica) applyTickets(tickets []bbticket.Ticket) bool {
 	for _, t := range tickets {
 		if t.Number > r.state.Number && t.Number-r.state.Number <= maxTicketLookahead {
@@ -34,8 +35,8 @@
 	return r.advance()
 }
 
-// mergeState joins a whole state, object by object, if it is newer; it returns
-// whether the state rose.
+// mergeState merges a full state, object by object, if it is newer. It returns
+// whether the state has advanced.
 func (r *replica) mergeState(s *bbticket.State) bool {
 	if s.Number <= r.state.Number {
 		return false
@@ -50,6 +51,7 @@
 	return true
 }
 
+// advance applies the pending tickets that follow the state without a gap.
 func (r *replica) advance() bool {
 	before := r.state.Number
 	for {
@@ -63,10 +65,10 @@
 	}
 }
 
-// hasGap tells whether tickets are held that do not follow on.
+// hasGap reports whether tickets are pending that do not follow the state.
 func (r *replica) hasGap() bool { return len(r.pending) > 0 }
 
-// retain remembers a ticket in force to pass it on.
+// retain keeps an applied ticket to send it to other instances.
 func (r *replica) retain(t bbticket.Ticket) {
 	b, err := json.Marshal(t)
 	if err != nil || t.Number != r.lastRetained+1 {
@@ -84,8 +86,8 @@
 	}
 }
 
-// ticketsAfter returns the JSON of the tickets above a number, and false when not all
-// of them are kept.
+// ticketsAfter returns the JSON of the applied tickets above a number. It
+// returns false if there are none, or if not all of them are retained.
 func (r *replica) ticketsAfter(n bbunit.TicketNumber) ([][]byte, bool) {
 	current := r.state.Number
 	if r.lastRetained != current || n >= current || current-n > bbunit.TicketNumber(len(r.retained)) {
--- a/bluebellport/src/follower_replica_test.go
+++ b/bluebellport/src/follower_replica_test.go
@@ -12,8 +12,9 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// TestReplicaNeverRegresses tells a replica tickets and whole states in any
-// order: whatever it has in force is what the log had at that number.
+// TestReplicaNeverRegresses gives a replica tickets and full states in any
+// order. Its number never decreases, and its state is always that of the log at
+// its number.
 func TestReplicaNeverRegresses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log, states := drawLog(t)
@@ -21,13 +22,13 @@
 		last := len(states) - 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			before := r.state.Number
-			if rapid.Bool().Draw(t, "whole") {
+			if rapid.Bool().Draw(t, "full state") {
 				r.mergeState(roundTrip(t, states[rapid.IntRange(0, last).Draw(t, "state")]))
 			} else {
 				r.applyTickets(rapid.SliceOfN(rapid.SampledFrom(log), 1, 5).Draw(t, "tickets"))
 			}
 			if r.state.Number < before {
-				t.Fatalf("went back from %d to %d", before, r.state.Number)
+				t.Fatalf("state went back from %d to %d", before, r.state.Number)
 			}
 			requireSameState(t, r.state, states[r.state.Number])
 			checkRetained(t, &r)
@@ -35,7 +36,7 @@
 		r.applyTickets(log)
 		requireSameState(t, r.state, states[last])
 		if r.hasGap() {
-			t.Fatal("tickets are held at the end of the log")
+			t.Fatal("tickets are pending after the last one of the log")
 		}
 	})
 }
@@ -49,7 +50,7 @@
 		ticket := bbticket.Ticket{Number: n}
 		for _, id := range rapid.SliceOfNDistinct(rapid.IntRange(0, 3), 1, 3, rapid.ID).Draw(t, "accounts") {
 			ticket.Accounts = append(ticket.Accounts, bbticket.Account{
-				ID: bbunit.AccountID(fmt.Sprint(id)), Priority: bbunit.Priority(n), Deleted: rapid.Bool().Draw(t, "gone"),
+				ID: bbunit.AccountID(fmt.Sprint(id)), Priority: bbunit.Priority(n), Deleted: rapid.Bool().Draw(t, "deleted"),
 			})
 		}
 		log = append(log, ticket)
@@ -58,7 +59,7 @@
 	return log, states
 }
 
-// roundTrip is the state as another instance gets it.
+// roundTrip encodes and decodes a state, as on its way to another instance.
 func roundTrip(t *rapid.T, s *bbticket.State) *bbticket.State {
 	out := &bbticket.State{}
 	b, err := json.Marshal(s)
@@ -75,11 +76,12 @@
 	g, _ := json.Marshal(got.Accounts)
 	w, _ := json.Marshal(want.Accounts)
 	if got.Number != want.Number || string(g) != string(w) {
-		t.Fatalf("in force at %d: %s, the log had %s", got.Number, g, w)
+		t.Fatalf("state at %d is %s, want %s", got.Number, g, w)
 	}
 }
 
-// checkRetained checks that what would be passed on is what the asker lacks.
+// checkRetained checks for each number that, if the replica returns tickets
+// above it, these are all of them, in order.
 func checkRetained(t *rapid.T, r *replica) {
 	for n := range r.state.Number {
 		raw, ok := r.ticketsAfter(n)
@@ -92,11 +94,11 @@
 		}
 		for i, ticket := range tickets {
 			if ticket.Number != n+bbunit.TicketNumber(i)+1 {
-				t.Fatalf("asked above %d, got %d in place %d", n, ticket.Number, i)
+				t.Fatalf("tickets after %d: got %d at index %d", n, ticket.Number, i)
 			}
 		}
 		if len(tickets) != int(r.state.Number-n) {
-			t.Fatalf("asked above %d of %d, got %d", n, r.state.Number, len(tickets))
+			t.Fatalf("tickets after %d, up to %d: got only %d", n, r.state.Number, len(tickets))
 		}
 	}
 }
@@ -105,7 +107,7 @@
 	is := is.New(t)
 	r := newReplica(&bbticket.State{})
 	r.applyTickets([]bbticket.Ticket{testTicket(maxTicketLookahead + 1), testTicket(2), testTicket(1 << 40)})
-	is.Equal(len(r.pending), 1) // those too far ahead are asked for again
+	is.Equal(len(r.pending), 1) // those too far ahead are dropped, and requested again later
 	for n := 1; n <= 3*maxRetainedTickets; n++ {
 		r.applyTickets([]bbticket.Ticket{testTicket(n)})
 	}
--- a/bluebellport/src/follower_test.go
+++ b/bluebellport/src/follower_test.go
@@ -13,7 +13,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// testTicket is a ticket that writes one account of its own and one shared.
+// testTicket returns a ticket that writes two accounts: one that no other
+// ticket writes, and one that every ticket writes.
 func testTicket(n int) bbticket.Ticket {
 	key := func(s string) []string { return []string{fmt.Sprintf("sha256:%064s", s)} }
 	return bbticket.Ticket{Number: bbunit.TicketNumber(n), Accounts: []bbticket.Account{
@@ -55,5 +56,5 @@
 	for _, d := range instances {
 		is.Equal(d.deps.Board.State.Load().Accounts["shared"].Object.Priority, bbunit.Priority(2))
 	}
-	within(t, 2*time.Second, "one waiting watch a failure domain", func() bool { return store.Counts().OpenWatches == 2 })
+	within(t, 2*time.Second, "one open watch for each failure domain", func() bool { return store.Counts().OpenWatches == 2 })
 }
