--- a/bluebellport/src/bus_loop_test.go
+++ b/bluebellport/src/bus_loop_test.go
@@ -38,18 +38,18 @@
 // Join adds a member, which stays until the end of the test or a call of Leave.
 // A second Join with the same id replaces the first.
 func (l *LoopBus) Join(t testing.TB, id bbunit.InstanceID, inc bbunit.Incarnation) Bus {
-	n := &loopMember{id: id, inc: inc, net: l, in: make(chan *bbwire.Envelope, 1024)}
+	m := &loopMember{id: id, inc: inc, net: l, in: make(chan *bbwire.Envelope, 1024)}
 	l.mu.Lock()
-	l.members[id] = n
+	l.members[id] = m
 	l.mu.Unlock()
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	wg.Go(func() { n.run(stop) })
+	wg.Go(func() { m.run(stop) })
 	t.Cleanup(func() {
 		close(stop)
 		wg.Wait()
 	})
-	return n
+	return m
 }
 
 // Leave removes a member.
@@ -74,12 +74,12 @@
 	l.drop = fn
 }
 
-func (n *loopMember) run(stop chan struct{}) {
+func (m *loopMember) run(stop chan struct{}) {
 	for {
 		select {
-		case e := <-n.in:
+		case e := <-m.in:
 			from := bbunit.InstanceID(e.From)
-			_ = n.deliver(from, e, func(r *bbwire.Envelope) { _ = n.Send(from, r) })
+			_ = m.deliver(from, e, func(reply *bbwire.Envelope) { _ = m.Send(from, reply) })
 		case <-stop:
 			return
 		}
@@ -88,17 +88,17 @@
 
 // Send delivers a copy of e. It fails with ErrPeerUnreachable if the link is
 // cut, or if the member has left or its queue is full.
-func (n *loopMember) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
+func (m *loopMember) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
 	c := proto.Clone(e).(*bbwire.Envelope)
-	c.From, c.Inc = string(n.id), uint64(n.inc)
-	n.net.mu.Lock()
-	peer, drop := n.net.members[to], n.net.drop
-	cut := n.net.cuts[[2]bbunit.InstanceID{n.id, to}]
-	n.net.mu.Unlock()
+	c.From, c.Inc = string(m.id), uint64(m.inc)
+	m.net.mu.Lock()
+	peer, drop := m.net.members[to], m.net.drop
+	cut := m.net.cuts[[2]bbunit.InstanceID{m.id, to}]
+	m.net.mu.Unlock()
 	if peer == nil || cut {
 		return ErrPeerUnreachable
 	}
-	if drop != nil && drop(n.id, to, c) {
+	if drop != nil && drop(m.id, to, c) {
 		return nil
 	}
 	select {
@@ -110,11 +110,11 @@
 }
 
 // Call sends e and waits for the reply.
-func (n *loopMember) Call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope) (*bbwire.Envelope, error) {
-	return n.call(ctx, to, e, func(q *bbwire.Envelope) error { return n.Send(to, q) })
+func (m *loopMember) Call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope) (*bbwire.Envelope, error) {
+	return m.call(ctx, to, e, func(request *bbwire.Envelope) error { return m.Send(to, request) })
 }
 
 // Handle sets the handler of envelopes with the same type of body as sample.
-func (n *loopMember) Handle(sample *bbwire.Envelope, fn func(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope) {
-	n.handle(sample, fn)
+func (m *loopMember) Handle(sample *bbwire.Envelope, fn func(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope) {
+	m.handle(sample, fn)
 }
--- a/bluebellport/src/bus_test.go
+++ b/bluebellport/src/bus_test.go
@@ -43,8 +43,8 @@
 	sent := make(chan uint64, 1)
 	done := make(chan *bbwire.Envelope, 1)
 	go func() {
-		r, _ := d.call(context.Background(), "b", askEnvelope(1), func(q *bbwire.Envelope) error {
-			sent <- q.Seq
+		r, _ := d.call(context.Background(), "b", askEnvelope(1), func(request *bbwire.Envelope) error {
+			sent <- request.Seq
 			return nil
 		})
 		done <- r
--- a/bluebellport/src/follower_bench_test.go
+++ b/bluebellport/src/follower_bench_test.go
@@ -55,14 +55,14 @@
 	instances := make([]*testInstance, n)
 	for i := range instances {
 		id, domain := fmt.Sprintf("i%02d", i), fmt.Sprintf("d%d", i%benchDomains)
-		p := testDeps(id, domain, l.srv.Listener.Addr().String(), store)
-		p.Opts.Peer.GossipPeriod, p.Opts.Peer.SuspicionTimeout = time.Second, 5*time.Second
-		instances[i] = startInstanceWith(b, p)
+		deps := testDeps(id, domain, l.srv.Listener.Addr().String(), store)
+		deps.Opts.Peer.GossipPeriod, deps.Opts.Peer.SuspicionTimeout = time.Second, 5*time.Second
+		instances[i] = startInstanceWith(b, deps)
 		l.add(id, domain, instances[i].address())
 	}
 	within(b, 30*time.Second, "every instance sees all others", func() bool {
-		for _, d := range instances {
-			if len(d.view().Members) != n || d.number() != 1 {
+		for _, inst := range instances {
+			if len(inst.view().Members) != n || inst.number() != 1 {
 				return false
 			}
 		}
@@ -75,8 +75,8 @@
 // the fraction of a CPU core that it uses.
 func idleCost(instances []*testInstance) (bytes, cpu float64) {
 	total := func() (sum int64) {
-		for _, d := range instances {
-			sum += d.peers.bytesIn.Count() + d.peers.bytesOut.Count()
+		for _, inst := range instances {
+			sum += inst.peers.bytesIn.Count() + inst.peers.bytesOut.Count()
 		}
 		return sum
 	}
--- a/bluebellport/src/follower_fault_test.go
+++ b/bluebellport/src/follower_fault_test.go
@@ -59,8 +59,8 @@
 // haveTicket returns a condition: all instances have applied the ticket.
 func haveTicket(n bbunit.TicketNumber, instances ...*testInstance) func() bool {
 	return func() bool {
-		for _, d := range instances {
-			if d.number() < n {
+		for _, inst := range instances {
+			if inst.number() < n {
 				return false
 			}
 		}
@@ -173,12 +173,12 @@
 	acceptTicket(t, store, 1)
 	instances := map[bbunit.InstanceID]*testInstance{}
 	for i := range 3 {
-		n := startInstance(t, fmt.Sprint("i", i), "d1", l, store)
-		instances[n.id] = n
+		inst := startInstance(t, fmt.Sprint("i", i), "d1", l, store)
+		instances[inst.id] = inst
 	}
 	within(t, 5*time.Second, "all ready", func() bool {
-		for _, n := range instances {
-			if len(n.view().Members) != 3 || !n.deps.Board.Ready.Load() {
+		for _, inst := range instances {
+			if len(inst.view().Members) != 3 || !inst.deps.Board.Ready.Load() {
 				return false
 			}
 		}
@@ -188,8 +188,8 @@
 	instances[watcher.ID].kill()
 	delete(instances, watcher.ID)
 	acceptTicket(t, store, 2)
-	for _, n := range instances {
-		took := within(t, 5*time.Second, "ticket 2", haveTicket(2, n))
+	for _, inst := range instances {
+		took := within(t, 5*time.Second, "ticket 2", haveTicket(2, inst))
 		t.Logf("applied %s after the watcher was killed", took)
 	}
 }
--- a/bluebellport/src/follower_test.go
+++ b/bluebellport/src/follower_test.go
@@ -42,8 +42,8 @@
 	}
 	all := func(n bbunit.TicketNumber) func() bool {
 		return func() bool {
-			for _, d := range instances {
-				if d.number() != n || !d.deps.Board.Ready.Load() || len(d.view().Members) != len(instances) {
+			for _, inst := range instances {
+				if inst.number() != n || !inst.deps.Board.Ready.Load() || len(inst.view().Members) != len(instances) {
 					return false
 				}
 			}
@@ -53,8 +53,8 @@
 	within(t, 10*time.Second, "ticket 1 everywhere", all(1))
 	acceptTicket(t, store, 2)
 	within(t, 2*time.Second, "ticket 2 everywhere", all(2))
-	for _, d := range instances {
-		is.Equal(d.deps.Board.State.Load().Accounts["shared"].Object.Priority, bbunit.Priority(2))
+	for _, inst := range instances {
+		is.Equal(inst.deps.Board.State.Load().Accounts["shared"].Object.Priority, bbunit.Priority(2))
 	}
 	within(t, 2*time.Second, "one open watch for each failure domain", func() bool { return store.Counts().OpenWatches == 2 })
 }
--- a/bluebellport/src/gossip.go
+++ b/bluebellport/src/gossip.go
@@ -36,11 +36,11 @@
 }
 
 // AddGossiper registers a component that exchanges data by gossip.
-func (p *Peers) AddGossiper(r Gossiper) {
+func (p *Peers) AddGossiper(gossiper Gossiper) {
 	g := p.members.gossip
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.gossipers = append(g.gossipers[:len(g.gossipers):len(g.gossipers)], r)
+	g.gossipers = append(g.gossipers[:len(g.gossipers):len(g.gossipers)], gossiper)
 }
 
 func (g *gossip) currentGossipers() []Gossiper {
--- a/bluebellport/src/peer_instance_test.go
+++ b/bluebellport/src/peer_instance_test.go
@@ -87,52 +87,52 @@
 // and adds it to the list.
 func startInstance(t testing.TB, id, domain string, l *fakeList, store bbstore.Store) *testInstance {
 	t.Helper()
-	n := startInstanceWith(t, testDeps(id, domain, l.srv.Listener.Addr().String(), store))
-	l.add(id, domain, n.address())
-	return n
+	inst := startInstanceWith(t, testDeps(id, domain, l.srv.Listener.Addr().String(), store))
+	l.add(id, domain, inst.address())
+	return inst
 }
 
 // startInstanceWith starts an instance, which is stopped at the end of the
 // test.
-func startInstanceWith(t testing.TB, p Deps) *testInstance {
+func startInstanceWith(t testing.TB, deps Deps) *testInstance {
 	t.Helper()
-	n := &testInstance{id: p.Opts.Self.ID(), deps: p}
-	peers, stopPeers, err := NewPeers(n.deps)
+	inst := &testInstance{id: deps.Opts.Self.ID(), deps: deps}
+	peers, stopPeers, err := NewPeers(inst.deps)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.peers, n.deps.Bus = peers, peers
-	follower, stopFollower := NewFollower(n.deps, peers)
-	n.follower = follower
+	inst.peers, inst.deps.Bus = peers, peers
+	follower, stopFollower := NewFollower(inst.deps, peers)
+	inst.follower = follower
 	var once sync.Once
-	n.stop = func() {
+	inst.stop = func() {
 		once.Do(func() {
 			stopFollower()
 			stopPeers()
 		})
 	}
-	t.Cleanup(n.stop)
-	return n
+	t.Cleanup(inst.stop)
+	return inst
 }
 
-func (n *testInstance) address() string { return n.view().Self.Address }
+func (i *testInstance) address() string { return i.view().Self.Address }
 
 // kill stops the instance without announcing that it leaves.
-func (n *testInstance) kill() {
-	n.peers.members.mu.Lock()
-	n.peers.members.leaveSent = true
-	n.peers.members.mu.Unlock()
-	n.stop()
+func (i *testInstance) kill() {
+	i.peers.members.mu.Lock()
+	i.peers.members.leaveSent = true
+	i.peers.members.mu.Unlock()
+	i.stop()
 }
 
-func (n *testInstance) view() *bbmember.View { return n.deps.Board.View.Load() }
+func (i *testInstance) view() *bbmember.View { return i.deps.Board.View.Load() }
 
-func (n *testInstance) number() bbunit.TicketNumber { return n.deps.Board.State.Load().Number }
+func (i *testInstance) number() bbunit.TicketNumber { return i.deps.Board.State.Load().Number }
 
 // sees reports whether the instance's view contains another that is not
 // leaving.
-func (n *testInstance) sees(id bbunit.InstanceID) bool {
-	m, ok := n.view().Find(id)
+func (i *testInstance) sees(id bbunit.InstanceID) bool {
+	m, ok := i.view().Find(id)
 	return ok && !m.Leaving
 }
 
--- a/bluebellport/src/peer_test.go
+++ b/bluebellport/src/peer_test.go
@@ -104,12 +104,12 @@
 	l, store := newFakeList(t), bbstore.NewMem()
 	proxies := map[string]*tcpProxy{"a": newTCPProxy(t), "b": newTCPProxy(t)}
 	start := func(id string) *testInstance {
-		p := testDeps(id, "d1", l.srv.Listener.Addr().String(), store)
-		p.Opts.Peer.SuspicionTimeout = time.Minute // the membership does not probe
-		v := *p.Board.View.Load()
+		deps := testDeps(id, "d1", l.srv.Listener.Addr().String(), store)
+		deps.Opts.Peer.SuspicionTimeout = time.Minute // the membership does not probe
+		v := *deps.Board.View.Load()
 		v.Self.Address = proxies[id].ln.Addr().String()
-		p.Board.View.Store(&v)
-		n := startInstanceWith(t, p)
+		deps.Board.View.Store(&v)
+		n := startInstanceWith(t, deps)
 		proxies[id].setTarget(n.peers.Address())
 		l.add(id, "d1", v.Self.Address)
 		n.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") })
@@ -118,8 +118,8 @@
 	a, _ := start("a"), start("b")
 	within(t, 5*time.Second, "an answer through the proxy", func() bool { return canCall(a, "b") })
 	for range 2 {
-		for _, p := range proxies {
-			p.freeze()
+		for _, deps := range proxies {
+			deps.freeze()
 		}
 		is.True(!canCall(a, "b"))
 		took := within(t, keepAliveTimeout, "an answer over a fresh connection", func() bool { return canCall(a, "b") })
@@ -135,26 +135,26 @@
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		instances = append(instances, startInstance(t, id, "d"+string('1'+id[0]%2), l, store))
 	}
-	all := func(ok func(n *testInstance) bool) func() bool {
+	all := func(ok func(inst *testInstance) bool) func() bool {
 		return func() bool {
-			for _, n := range instances {
-				if !ok(n) {
+			for _, inst := range instances {
+				if !ok(inst) {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	within(t, 5*time.Second, "six members", all(func(n *testInstance) bool { return len(n.view().Members) == 6 }))
+	within(t, 5*time.Second, "six members", all(func(inst *testInstance) bool { return len(inst.view().Members) == 6 }))
 	leaver := instances[0]
 	leaver.peers.Leave()
 	is.True(!leaver.sees("a")) // a leaving instance takes itself off its view
 	instances = instances[1:]
-	took := within(t, 2*time.Second, "the leave is known to all", all(func(n *testInstance) bool { return !n.sees("a") }))
+	took := within(t, 2*time.Second, "the leave is known to all", all(func(inst *testInstance) bool { return !inst.sees("a") }))
 	t.Logf("leave known to all instances after %s, with the list unchanged", took)
 	instances[0].kill()
 	instances = instances[1:]
-	took = within(t, 15*testSuspicionTimeout, "the crash is known to all", all(func(n *testInstance) bool { return !n.sees("b") }))
+	took = within(t, 15*testSuspicionTimeout, "the crash is known to all", all(func(inst *testInstance) bool { return !inst.sees("b") }))
 	t.Logf("crash known to all instances after %s, with the list unchanged", took)
 	l.setDown(true)
 	time.Sleep(2 * testSuspicionTimeout)
@@ -166,9 +166,9 @@
 	a, b, l := startPair(t)
 	oldInc := b.view().Self.Inc
 	b.kill()
-	p := testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem())
-	p.Opts.Peer.ListenAddress = b.peers.Address() // the same name at the same address
-	restarted := startInstanceWith(t, p)
+	deps := testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem())
+	deps.Opts.Peer.ListenAddress = b.peers.Address() // the same name at the same address
+	restarted := startInstanceWith(t, deps)
 	restarted.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("new") })
 	within(t, 5*time.Second, "the new incarnation in view", func() bool {
 		m, ok := a.view().Find("b")
@@ -227,8 +227,8 @@
 	is := is.New(t)
 	a, b, _ := startPair(t)
 	for range 20 {
-		for _, n := range []*testInstance{a, b} {
-			if l := n.peers.existingLink("a"); n == b && l != nil {
+		for _, inst := range []*testInstance{a, b} {
+			if l := inst.peers.existingLink("a"); inst == b && l != nil {
 				l.closeAll()
 			}
 		}
--- a/bluebellport/src/peer_tls_test.go
+++ b/bluebellport/src/peer_tls_test.go
@@ -86,12 +86,12 @@
 	ca, other := newTestCA(t), newTestCA(t)
 	l, store := newFakeList(t), bbstore.NewMem()
 	start := func(id string, o PeerOptions) *testInstance {
-		p := testDeps(id, "d1", l.srv.Listener.Addr().String(), store)
-		p.Opts.Peer = o
-		n := startInstanceWith(t, p)
-		n.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") })
-		l.add(id, "d1", n.address())
-		return n
+		deps := testDeps(id, "d1", l.srv.Listener.Addr().String(), store)
+		deps.Opts.Peer = o
+		inst := startInstanceWith(t, deps)
+		inst.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") })
+		l.add(id, "d1", inst.address())
+		return inst
 	}
 	a := start("a", ca.peerOptions(t, "a", peerName))
 	start("b", ca.peerOptions(t, "b", peerName))
@@ -102,15 +102,15 @@
 		"caller":  ca.peerOptions(t, "caller", "api.example"), // issued by the same authority, but not for an instance
 	} {
 		before := a.peers.dropped.Count()
-		n := start(id, o)
-		within(t, 5*time.Second, id+" knows a", func() bool { _, ok := n.peers.members.address("a"); return ok })
-		is.True(!canCall(n, "a"))
+		inst := start(id, o)
+		within(t, 5*time.Second, id+" knows a", func() bool { _, ok := inst.peers.members.address("a"); return ok })
+		is.True(!canCall(inst, "a"))
 		is.True(!canCall(a, bbunit.InstanceID(id)))
 		within(t, 5*time.Second, id+" refused, logged and counted", func() bool { return a.peers.dropped.Count() > before })
 	}
 	is.True(canCall(a, "b"))
-	stranger := other.peerOptions(t, "stranger", peerName)
-	cert, err := tls.LoadX509KeyPair(stranger.Cert, stranger.Key)
+	foreignPeer := other.peerOptions(t, "stranger", peerName)
+	cert, err := tls.LoadX509KeyPair(foreignPeer.Cert, foreignPeer.Key)
 	is.NoErr(err)
 	for name, certs := range map[string][]tls.Certificate{"no certificate": nil, "certificate of another authority": {cert}} {
 		conn, err := tls.Dial("tcp", a.peers.Address(), &tls.Config{InsecureSkipVerify: true, Certificates: certs})
--- a/bluebellport/src/router_gossip_test.go
+++ b/bluebellport/src/router_gossip_test.go
@@ -54,7 +54,7 @@
 // in a domain.
 func TestPoisonBroadcastReachesEveryInstance(t *testing.T) {
 	is := is.New(t)
-	net := &gossipNet{routers: map[bbunit.InstanceID]*Router{}, sent: map[bbunit.InstanceID]int{}}
+	network := &gossipNet{routers: map[bbunit.InstanceID]*Router{}, sent: map[bbunit.InstanceID]int{}}
 	var members []bbmember.Member
 	for _, id := range []string{"a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2", "c3"} {
 		members = append(members, bbmember.Member{ID: bbunit.InstanceID(id), Inc: 1, Domain: bbunit.DomainID(id[:1])})
@@ -64,20 +64,20 @@
 	for _, m := range members {
 		o := &Options{}
 		parseOptions(t, o, "--instance", string(m.ID), "--domain", string(m.Domain), "--store", "127.0.0.1:1")
-		p := Deps{Board: NewBoard(m), Store: bbstore.NewMem(), Bus: gossipBus{net, m.ID}, Log: log, Metrics: metrics.NewRegistry(), Opts: o, Now: time.Now}
-		p.Board.View.Store(&bbmember.View{Self: m, Members: members})
-		r, stop := NewRouter(p)
+		deps := Deps{Board: NewBoard(m), Store: bbstore.NewMem(), Bus: gossipBus{network, m.ID}, Log: log, Metrics: metrics.NewRegistry(), Opts: o, Now: time.Now}
+		deps.Board.View.Store(&bbmember.View{Self: m, Members: members})
+		r, stop := NewRouter(deps)
 		t.Cleanup(stop)
-		net.routers[m.ID] = r
+		network.routers[m.ID] = r
 	}
-	reporter := net.routers["a2"]
+	reporter := network.routers["a2"]
 	is.True(reporter.poison.recordCrash(42, "t1", time.Now()))
 	reporter.broadcastPoisons([]uint64{42}, true)
 	is.True(reporter.poison.recordCrash(42, "t2", time.Now()))
 	reporter.broadcastPoisons([]uint64{42}, true)
-	for id, r := range net.routers {
+	for id, r := range network.routers {
 		is.True(r.poison.isPoisoned(42)) // known to all
-		is.True(net.sent[id] <= 2*(2+2))
+		is.True(network.sent[id] <= 2*(2+2))
 	}
 	reporter.broadcastPoisons(nil, true)
 }
--- a/bluebellport/src/session_test.go
+++ b/bluebellport/src/session_test.go
@@ -86,32 +86,32 @@
 		"some garbage in a row":     {frame: bytes.Repeat(frame(2, []byte{0xff, 0xff}), maxConsecutiveMalformed)},
 	}
 	l := newFakeList(t)
-	n := startInstance(t, "n", "d1", l, bbstore.NewMem())
+	inst := startInstance(t, "n", "d1", l, bbstore.NewMem())
 	bystander := startInstance(t, "o", "d1", l, bbstore.NewMem())
-	n.peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Loads{}}, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
+	inst.peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Loads{}}, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
 		return &bbwire.Envelope{Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{}}}
 	})
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			before := n.peers.dropped.Count() + n.follower.dropped.Count()
-			s := rawPeer(t, n.peers.Address())
+			before := inst.peers.dropped.Count() + inst.follower.dropped.Count()
+			s := rawPeer(t, inst.peers.Address())
 			_, err := s.out.Write(c.frame)
 			is.True(err == nil || c.closed) // the instance may close the session before it has read all
 			if c.closed {
 				within(t, 3*time.Second, "session closed", s.closed)
-				s = rawPeer(t, n.peers.Address())
+				s = rawPeer(t, inst.peers.Address())
 			}
 			is.NoErr(s.write(&bbwire.Envelope{Seq: 5, Body: &bbwire.Envelope_Loads{Loads: &bbwire.Loads{}}}))
 			is.True(readsReply(s, 5)) // the session, or a new one, still works
 			if !c.silent {
-				is.True(n.peers.dropped.Count()+n.follower.dropped.Count() > before)
+				is.True(inst.peers.dropped.Count()+inst.follower.dropped.Count() > before)
 			}
-			is.Equal(n.number(), bbunit.TicketNumber(0))
-			is.True(!n.sees("flood0"))
+			is.Equal(inst.number(), bbunit.TicketNumber(0))
+			is.True(!inst.sees("flood0"))
 		})
 	}
-	within(t, 3*time.Second, "the instances still see each other", func() bool { return bystander.sees("n") && n.sees("o") })
+	within(t, 3*time.Second, "the instances still see each other", func() bool { return bystander.sees("n") && inst.sees("o") })
 }
 
 // readsReply reads until it gets the reply to seq, for up to 3 seconds.
@@ -138,25 +138,25 @@
 		"address with host name":  {Instance: "x", Inc: 1, Domain: "d", Address: "host:1"},
 		"the instance's own name": {Instance: "n", Inc: 1, Domain: "d", Address: "127.0.0.1:1"},
 	}
-	n := startInstance(t, "n", "d1", newFakeList(t), bbstore.NewMem())
+	inst := startInstance(t, "n", "d1", newFakeList(t), bbstore.NewMem())
 	for name, hello := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			before := n.peers.dropped.Count()
-			conn, err := net.Dial("tcp", n.peers.Address())
+			before := inst.peers.dropped.Count()
+			conn, err := net.Dial("tcp", inst.peers.Address())
 			is.NoErr(err)
 			s, err := newSession(context.Background(), conn, true, hello, &bytes.Buffer{})
 			if err == nil {
 				defer s.close()
 				within(t, 3*time.Second, "session closed", s.closed)
 			}
-			within(t, 3*time.Second, "refusal counted", func() bool { return n.peers.dropped.Count() > before })
-			is.Equal(len(n.view().Members), 1)
+			within(t, 3*time.Second, "refusal counted", func() bool { return inst.peers.dropped.Count() > before })
+			is.Equal(len(inst.view().Members), 1)
 		})
 	}
 	t.Run("silent connection", func(t *testing.T) {
 		is := is.New(t)
-		conn, err := net.Dial("tcp", n.peers.Address())
+		conn, err := net.Dial("tcp", inst.peers.Address())
 		is.NoErr(err)
 		defer func() { _ = conn.Close() }()
 		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -168,7 +168,7 @@
 	})
 	t.Run("first stream is of another kind", func(t *testing.T) {
 		is := is.New(t)
-		conn, err := net.Dial("tcp", n.peers.Address())
+		conn, err := net.Dial("tcp", inst.peers.Address())
 		is.NoErr(err)
 		mux, err := yamux.Client(conn, muxConfig(&bytes.Buffer{}))
 		is.NoErr(err)
@@ -179,15 +179,15 @@
 
 func TestIdleSessionsAreClosed(t *testing.T) {
 	is := is.New(t)
-	n := startInstance(t, "n", "d1", newFakeList(t), bbstore.NewMem())
+	inst := startInstance(t, "n", "d1", newFakeList(t), bbstore.NewMem())
 	release := make(chan struct{})
-	n.peers.HandleStream("long", func(bbunit.InstanceID, net.Conn) { <-release })
-	s := rawPeer(t, n.peers.Address())
-	within(t, 3*time.Second, "a link", func() bool { return n.peers.existingLink("raw") != nil })
-	l := n.peers.existingLink("raw")
+	inst.peers.HandleStream("long", func(bbunit.InstanceID, net.Conn) { <-release })
+	s := rawPeer(t, inst.peers.Address())
+	within(t, 3*time.Second, "a link", func() bool { return inst.peers.existingLink("raw") != nil })
+	l := inst.peers.existingLink("raw")
 	expire := func() { l.preferredSession().lastUsedAt.Store(time.Now().Add(-2 * sessionIdleTimeout).UnixNano()) }
 
-	st, err := openStream(s.mux, "long")
+	stream, err := openStream(s.mux, "long")
 	is.NoErr(err)
 	within(t, 3*time.Second, "the stream", func() bool { return l.preferredSession().mux.NumStreams() == 3 })
 	expire()
@@ -196,7 +196,7 @@
 	is.True(!s.closed()) // an open stream counts as use
 
 	close(release)
-	is.NoErr(st.Close())
+	is.NoErr(stream.Close())
 	within(t, 3*time.Second, "the stream's end", func() bool { return l.preferredSession().mux.NumStreams() == 2 })
 	l.preferredSession().touch()
 	l.closeIdle()
@@ -206,6 +206,6 @@
 	l.closeIdle()
 	within(t, 3*time.Second, "the session closed", s.closed)
 	within(t, 3*time.Second, "no session left", l.closeIdle)
-	is.True(n.peers.removeIdleLink(l))
-	is.True(n.peers.existingLink("raw") == nil)
+	is.True(inst.peers.removeIdleLink(l))
+	is.True(inst.peers.existingLink("raw") == nil)
 }
