--- a/bluebellport/src/follower_replica_test.go
+++ b/bluebellport/src/follower_replica_test.go
@@ -98,7 +98,7 @@
 			}
 		}
 		if len(tickets) != int(r.state.Number-n) {
-			t.Fatalf("tickets after %d, up to %d: got only %d", n, r.state.Number, len(tickets))
+			t.Fatalf("tickets after %d, up to %d: got %d of them", n, r.state.Number, len(tickets))
 		}
 	}
 }
--- a/bluebellport/src/metrics_doc_test.go
+++ b/bluebellport/src/metrics_doc_test.go
@@ -42,7 +42,7 @@
 }
 
 // startPeersWithRegistry starts peers and a follower with the metrics registry
-// of p.
+// of registryOwner.
 func startPeersWithRegistry(t *testing.T, registryOwner Deps) *Peers {
 	t.Helper()
 	l := newFakeList(t)
--- a/bluebellport/src/options.go
+++ b/bluebellport/src/options.go
@@ -199,11 +199,11 @@
 
 // RecordOptions holds the settings of claims, bills and kept answers.
 type RecordOptions struct {
-	Retention              time.Duration
-	ClaimPeriod            time.Duration
-	BillPeriod             time.Duration
+	Retention              time.Duration // of request ids
+	ClaimPeriod            time.Duration // longest wait of a claim to share a write with others
+	BillPeriod             time.Duration // longest wait of a bill to share a write with others
 	ClaimTimeout           time.Duration
-	TakeoverDelay          time.Duration
+	TakeoverDelay          time.Duration // until peers submit the records of a missing instance
 	MaxUnacknowledgedBills int
 	ClaimWriteRate         float64 // writes per second in the failure domain
 	BillWriteRate          float64 // writes per second in the failure domain
--- a/bluebellport/src/peer_test.go
+++ b/bluebellport/src/peer_test.go
@@ -122,7 +122,7 @@
 			deps.freeze()
 		}
 		is.True(!canCall(a, "b"))
-		took := within(t, keepAliveTimeout, "an answer over a fresh connection", func() bool { return canCall(a, "b") })
+		took := within(t, keepAliveTimeout, "an answer over a new connection", func() bool { return canCall(a, "b") })
 		t.Logf("answered again %s after the connection went silent", took.Round(10*time.Millisecond))
 		is.True(a.sees("b")) // the instance itself is not suspect
 	}
@@ -148,7 +148,7 @@
 	within(t, 5*time.Second, "six members", all(func(inst *testInstance) bool { return len(inst.view().Members) == 6 }))
 	leaver := instances[0]
 	leaver.peers.Leave()
-	is.True(!leaver.sees("a")) // a leaving instance takes itself off its view
+	is.True(!leaver.sees("a")) // a leaving instance is home to no key any more
 	instances = instances[1:]
 	took := within(t, 2*time.Second, "the leave is known to all", all(func(inst *testInstance) bool { return !inst.sees("a") }))
 	t.Logf("leave known to all instances after %s, with the list unchanged", took)
@@ -233,7 +233,7 @@
 			}
 		}
 		done := make(chan bool, 2)
-		go func() { done <- within(t, 3*time.Second, "a asks b", func() bool { return canCall(a, "b") }) > 0 }()
+		go func() { done <- within(t, 3*time.Second, "a calls b", func() bool { return canCall(a, "b") }) > 0 }()
 		go func() { done <- b.peers.Send("a", tellEnvelope("x")) == nil }()
 		is.True(<-done)
 		<-done
--- a/bluebellport/src/peer_tls.go
+++ b/bluebellport/src/peer_tls.go
@@ -43,8 +43,8 @@
 	}, nil
 }
 
-// checkPeerName rejects certificates that the same authority has issued for
-// other purposes than an instance.
+// checkPeerName rejects certificates that the same authority has issued, but
+// not for an instance.
 func checkPeerName(cs tls.ConnectionState) error {
 	if len(cs.PeerCertificates) == 0 {
 		return errors.New("no certificate")
--- a/bluebellport/src/peer_tls_test.go
+++ b/bluebellport/src/peer_tls_test.go
@@ -95,7 +95,7 @@
 	}
 	a := start("a", ca.peerOptions(t, "a", peerName))
 	start("b", ca.peerOptions(t, "b", peerName))
-	within(t, 5*time.Second, "a asks b", func() bool { return canCall(a, "b") })
+	within(t, 5*time.Second, "a calls b", func() bool { return canCall(a, "b") })
 	for id, o := range map[string]PeerOptions{
 		"plain":   {ListenAddress: "127.0.0.1:0", GossipPeriod: testGossipPeriod, SuspicionTimeout: testSuspicionTimeout},
 		"foreign": other.peerOptions(t, "foreign", peerName),
@@ -135,7 +135,7 @@
 		invalidate func(o *PeerOptions)
 		want       string
 	}{
-		"good":                        {func(*PeerOptions) {}, ""},
+		"valid":                       {func(*PeerOptions) {}, ""},
 		"no TLS":                      {func(o *PeerOptions) { o.Cert, o.Key, o.CA = "", "", "" }, ""},
 		"address":                     {func(o *PeerOptions) { o.ListenAddress = "8082" }, "--peer: "},
 		"advertised host name":        {func(o *PeerOptions) { o.AdvertisedAddress = "host:1" }, `--peer-advertise: not an IP number and port that others can reach: "host:1"`},
