--- a/bluebellctl/src/budget.go
+++ b/bluebellctl/src/budget.go
@@ -122,7 +122,7 @@
 	undo := func() {
 		for _, id := range capped {
 			if err := bbledger.Uncap(context.WithoutCancel(ctx), e.store, id, t.Number, nonce); err != nil {
-				fmt.Fprintf(e.stderr, "budget %s: the cap of the refused ticket %d was not removed and stays until a later ticket sets the budget: %s\n", id, t.Number, err)
+				fmt.Fprintf(e.stderr, "budget %s: the cap of refused ticket %d stands until a ticket sets the budget: %s\n", id, t.Number, err)
 			}
 		}
 	}
--- a/bluebellctl/src/cause.go
+++ b/bluebellctl/src/cause.go
@@ -20,7 +20,7 @@
 	case "attempt failed":
 		return explainFailure(&last.Line)
 	case "request cut":
-		return fmt.Sprintf("the instance stopped %s after the request arrived; target %q had not completed its answer", milliseconds(last.Line.number("ms")), last.Line.text("target"))
+		return fmt.Sprintf("the instance stopped %s after the request came; target %q had not answered whole", milliseconds(last.Line.number("ms")), last.Line.text("target"))
 	case "served":
 		return fmt.Sprintf("answered by target %s after %.0f ms and %.0f sends", last.Line.text("target"), last.Line.number("ms"), last.Line.number("sends"))
 	}
