--- a/bluebellport/src/recorder_backup.go
+++ b/bluebellport/src/recorder_backup.go
@@ -30,7 +30,7 @@
 	peers   map[bbunit.InstanceID]*backupPeer
 
 	mu     sync.Mutex
-	copies map[instanceLife]*backupCopy
+	copies map[incarnationKey]*backupCopy
 }
 
 // backupEvent adds a record, or ends the owner's.
@@ -51,8 +51,8 @@
 	needsFull atomic.Bool // the peer needs the whole
 }
 
-// instanceLife names a life of an instance.
-type instanceLife struct {
+// incarnationKey names a life of an instance.
+type incarnationKey struct {
 	instance bbunit.InstanceID
 	inc      bbunit.Incarnation
 }
@@ -67,7 +67,7 @@
 func newRecordBackup(r *Recorder) *recordBackup {
 	return &recordBackup{
 		r: r, records: map[string]*bbwire.Record{},
-		peers: map[bbunit.InstanceID]*backupPeer{}, copies: map[instanceLife]*backupCopy{},
+		peers: map[bbunit.InstanceID]*backupPeer{}, copies: map[incarnationKey]*backupCopy{},
 	}
 }
 
@@ -258,7 +258,7 @@
 // handleShadow keeps what another instance tells.
 func (b *recordBackup) handleShadow(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	m := e.GetShadow()
-	id := instanceLife{from, bbunit.Incarnation(m.Inc)}
+	id := incarnationKey{from, bbunit.Incarnation(m.Inc)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.copies[id]
@@ -284,7 +284,7 @@
 }
 
 // dropCopy drops a copy. The shadow is locked.
-func (b *recordBackup) dropCopy(id instanceLife) {
+func (b *recordBackup) dropCopy(id incarnationKey) {
 	if c := b.copies[id]; c != nil {
 		b.copyCount.Add(-int64(len(c.records)))
 		delete(b.copies, id)
--- a/bluebellport/src/recorder_fleet_test.go
+++ b/bluebellport/src/recorder_fleet_test.go
@@ -38,7 +38,7 @@
 	id    bbunit.InstanceID
 	stop  func()
 	store *blockingStore
-	bus   *recordBus
+	bus   *recorderBus
 }
 
 func testRecordOptions() RecordOptions {
@@ -72,7 +72,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	inst := &recorderInstance{fleet: f, id: id, store: &blockingStore{Store: f.store}}
-	inst.bus = newRecordBus(f, id)
+	inst.bus = newRecorderBus(f, id)
 	self := bbmember.Member{ID: id, Inc: bbunit.Incarnation(f.seq), Domain: d}
 	inst.Recorder, inst.stop = NewRecorder(Deps{
 		Board: NewBoard(self), Store: inst.store, Bus: inst.bus, Log: log, Metrics: metrics.NewRegistry(),
@@ -251,8 +251,8 @@
 	}
 }
 
-// recordBus delivers envelopes within a fleet, in order for each receiver.
-type recordBus struct {
+// recorderBus delivers envelopes within a fleet, in order for each receiver.
+type recorderBus struct {
 	fleet        *recorderFleet
 	id           bbunit.InstanceID
 	mu           sync.Mutex
@@ -264,8 +264,8 @@
 	done         chan struct{}
 }
 
-func newRecordBus(f *recorderFleet, id bbunit.InstanceID) *recordBus {
-	b := &recordBus{
+func newRecorderBus(f *recorderFleet, id bbunit.InstanceID) *recorderBus {
+	b := &recorderBus{
 		fleet: f, id: id, handlers: map[reflect.Type]func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope{},
 		in: make(chan func(), 10000), done: make(chan struct{}),
 	}
@@ -288,22 +288,22 @@
 	return b
 }
 
-func (b *recordBus) close() { close(b.done) }
+func (b *recorderBus) close() { close(b.done) }
 
-func (b *recordBus) setDisconnected(disconnected bool) {
+func (b *recorderBus) setDisconnected(disconnected bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.disconnected = disconnected
 }
 
-func (b *recordBus) isDisconnected() bool {
+func (b *recorderBus) isDisconnected() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.disconnected
 }
 
 // block keeps the messages to this instance back until release.
-func (b *recordBus) block() (release func()) {
+func (b *recorderBus) block() (release func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	unblocked := make(chan struct{})
@@ -316,19 +316,19 @@
 	}
 }
 
-func (b *recordBus) dropIf(shouldDrop func(e *bbwire.Envelope) bool) {
+func (b *recorderBus) dropIf(shouldDrop func(e *bbwire.Envelope) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.shouldDrop = shouldDrop
 }
 
-func (b *recordBus) Handle(sample *bbwire.Envelope, fn func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {
+func (b *recorderBus) Handle(sample *bbwire.Envelope, fn func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.handlers[reflect.TypeOf(sample.Body)] = fn
 }
 
-func (b *recordBus) deliver(to bbunit.InstanceID, e *bbwire.Envelope, onReply func(*bbwire.Envelope)) error {
+func (b *recorderBus) deliver(to bbunit.InstanceID, e *bbwire.Envelope, onReply func(*bbwire.Envelope)) error {
 	inst := b.fleet.instances[to]
 	if inst == nil || b.isDisconnected() || inst.bus.isDisconnected() {
 		return ErrPeerUnreachable
@@ -348,11 +348,11 @@
 	return nil
 }
 
-func (b *recordBus) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
+func (b *recorderBus) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
 	return b.deliver(to, e, nil)
 }
 
-func (b *recordBus) Call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope) (*bbwire.Envelope, error) {
+func (b *recorderBus) Call(ctx context.Context, to bbunit.InstanceID, e *bbwire.Envelope) (*bbwire.Envelope, error) {
 	replies := make(chan *bbwire.Envelope, 1)
 	if err := b.deliver(to, e, func(reply *bbwire.Envelope) { replies <- reply }); err != nil {
 		return nil, err
