--- a/bluebellport/src/bill_test.go
+++ b/bluebellport/src/bill_test.go
@@ -46,17 +46,17 @@
 	}},
 	{"other body", func(f *recorderFleet) {
 		f.instances["a1"].billAndWait("r", 5)
-		r := f.instances["b1"].newRecord("r")
-		r.Print, r.Amount = 8, 9
-		f.checkVerdict(f.instances["b1"].billRecordAndWait(r), bbwire.Verdict_MISMATCH)
+		rec := f.instances["b1"].newRecord("r")
+		rec.Print, rec.Amount = 8, 9
+		f.checkVerdict(f.instances["b1"].billRecordAndWait(rec), bbwire.Verdict_MISMATCH)
 	}},
 	{"unknown, then the result is known", func(f *recorderFleet) {
-		n := f.instances["a1"]
-		r := n.newRecord("r")
-		r.Kind = bbwire.Record_UNKNOWN
-		f.checkVerdict(n.billRecordAndWait(r), bbwire.Verdict_TAKEN)
-		r.Kind, r.Amount = bbwire.Record_BILL, 5
-		f.checkVerdict(n.billRecordAndWait(r), bbwire.Verdict_TAKEN)
+		inst := f.instances["a1"]
+		rec := inst.newRecord("r")
+		rec.Kind = bbwire.Record_UNKNOWN
+		f.checkVerdict(inst.billRecordAndWait(rec), bbwire.Verdict_TAKEN)
+		rec.Kind, rec.Amount = bbwire.Record_BILL, 5
+		f.checkVerdict(inst.billRecordAndWait(rec), bbwire.Verdict_TAKEN)
 	}},
 	{"store's reply lost", func(f *recorderFleet) {
 		f.store.SetFaults(bbstore.Faults{LoseNextAnswers: 1})
@@ -77,51 +77,51 @@
 		f.checkVerdict(f.instances["a1"].billAndWait("r", 5), bbwire.Verdict_TAKEN)
 	}},
 	{"home's verdict lost", func(f *recorderFleet) {
-		n := f.otherInDomain(f.homeOf("r", "a"))
-		n.bus.dropIf(func(e *bbwire.Envelope) bool { return e.GetBatchtell() != nil })
-		f.checkVerdict(n.billAndWait("r", 5), bbwire.Verdict_TAKEN)
+		inst := f.otherInDomain(f.homeOf("r", "a"))
+		inst.bus.dropIf(func(e *bbwire.Envelope) bool { return e.GetBatchtell() != nil })
+		f.checkVerdict(inst.billAndWait("r", 5), bbwire.Verdict_TAKEN)
 	}},
 	{"home's verdict late", func(f *recorderFleet) {
-		n := f.otherInDomain(f.homeOf("r", "a"))
-		release := n.bus.block()
+		inst := f.otherInDomain(f.homeOf("r", "a"))
+		release := inst.bus.block()
 		time.AfterFunc(900*time.Millisecond, release)
-		f.checkVerdict(n.billAndWait("r", 5), bbwire.Verdict_TAKEN)
+		f.checkVerdict(inst.billAndWait("r", 5), bbwire.Verdict_TAKEN)
 	}},
 	{"two homes at once", func(f *recorderFleet) {
 		for _, id := range f.order[:3] {
-			n := f.instances[id]
-			n.Board.View.Store(&bbmember.View{Self: n.self, Members: []bbmember.Member{n.self}})
-			n.bill("r", 5)
+			inst := f.instances[id]
+			inst.Board.View.Store(&bbmember.View{Self: inst.self, Members: []bbmember.Member{inst.self}})
+			inst.bill("r", 5)
 		}
 	}},
 	{"instance killed before its bill is written", func(f *recorderFleet) {
-		n := f.instances["a1"]
-		n.store.block()
+		inst := f.instances["a1"]
+		inst.store.block()
 		f.store.SetFaults(bbstore.Faults{Down: true})
-		n.bill("r", 5)
+		inst.bill("r", 5)
 		f.waitForCopies("a1", 1)
 		f.kill("a1")
 		f.store.SetFaults(bbstore.Faults{})
 	}},
 	{"instance killed, its caller retries elsewhere", func(f *recorderFleet) {
-		n := f.instances["a1"]
-		r := n.newRecord("r")
-		n.Open(r)
+		inst := f.instances["a1"]
+		rec := inst.newRecord("r")
+		inst.Open(rec)
 		f.waitForCopies("a1", 1)
 		f.kill("a1")
 		f.instances["b1"].billAndWait("r", 5)
 		time.Sleep(300 * time.Millisecond)
 	}},
 	{"instance missing for a while, then back", func(f *recorderFleet) {
-		n := f.instances["a1"]
-		r := n.newRecord("r")
-		n.Open(r)
+		inst := f.instances["a1"]
+		rec := inst.newRecord("r")
+		inst.Open(rec)
 		f.waitForCopies("a1", 1)
 		f.publishView("a1")
 		f.waitForRecord("r", bbwire.Record_UNKNOWN)
 		f.publishView()
-		r.Amount = 5
-		f.checkVerdict(n.billRecordAndWait(r), bbwire.Verdict_TAKEN)
+		rec.Amount = 5
+		f.checkVerdict(inst.billRecordAndWait(rec), bbwire.Verdict_TAKEN)
 	}},
 }
 
--- a/bluebellport/src/budget_manager.go
+++ b/bluebellport/src/budget_manager.go
@@ -23,7 +23,7 @@
 	deps         Deps
 	self         bbmember.Member
 	policy       bbledger.Policy
-	wait         time.Duration
+	maxShareWait time.Duration
 	wallet       *bbledger.Wallet
 	tasks        mailbox
 	ctx          context.Context
@@ -39,8 +39,8 @@
 	view             *bbmember.View
 	refresher        pageRefresher
 
-	reserved, refusedExhausted, refusedShare, waited metrics.Counter
-	writes, reads, conflicts, unknowns               metrics.Counter
+	reserved, refusedExhausted, refusedNoShare, waited metrics.Counter
+	writes, reads, conflicts, unknowns                 metrics.Counter
 }
 
 // NewBudgetManager returns a running budget manager and a function that stops
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	view := deps.Board.View.Load()
 	bm := &BudgetManager{
-		deps: deps, self: view.Self, policy: deps.Opts.Money.policy(), wait: deps.Opts.Money.maxShareWait(),
+		deps: deps, self: view.Self, policy: deps.Opts.Money.policy(), maxShareWait: deps.Opts.Money.maxShareWait(),
 		tasks: newMailbox(), ctx: ctx, allocators: map[int]*bbledger.Allocator{}, view: view,
 		refresher: pageRefresher{lastRead: map[int]time.Time{}},
 	}
@@ -66,7 +66,7 @@
 func (bm *BudgetManager) registerMetrics() {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter(name, bm.deps.Metrics) }
 	bm.reserved, bm.waited = counter("money.reserved"), counter("money.waited")
-	bm.refusedExhausted, bm.refusedShare = counter("money.refused.budget"), counter("money.refused.share")
+	bm.refusedExhausted, bm.refusedNoShare = counter("money.refused.budget"), counter("money.refused.share")
 	bm.reads, bm.writes = counter("money.store.reads"), counter("money.store.writes")
 	bm.conflicts, bm.unknowns = counter("money.store.conflicts"), counter("money.store.unknowns")
 }
@@ -123,7 +123,7 @@
 // reserved for it or refused it.
 func (bm *BudgetManager) reserveSlow(ctx context.Context, budgets []bbunit.BudgetID, amount bbunit.Tokens) (*Reservation, error) {
 	bm.waited.Inc(1)
-	ctx, cancel := context.WithTimeout(ctx, bm.wait)
+	ctx, cancel := context.WithTimeout(ctx, bm.maxShareWait)
 	defer cancel()
 	w := &shareWaiter{budgets: budgets, amount: amount, done: make(chan struct{})}
 	bm.tasks.put(func() { bm.addWaiter(w) })
@@ -139,7 +139,7 @@
 		bm.refusedExhausted.Inc(1)
 		return nil, err
 	case err != nil:
-		bm.refusedShare.Inc(1)
+		bm.refusedNoShare.Inc(1)
 		return nil, err
 	}
 	bm.reserved.Inc(1)
--- a/bluebellport/src/budget_manager_fault_test.go
+++ b/bluebellport/src/budget_manager_fault_test.go
@@ -67,11 +67,11 @@
 // unreachableStore is the store as seen by an instance that cannot reach it.
 type unreachableStore struct{ bbstore.Store }
 
-func (d *unreachableStore) Get(context.Context, string) (bbstore.Entry, error) {
+func (s *unreachableStore) Get(context.Context, string) (bbstore.Entry, error) {
 	return bbstore.Entry{}, bbstore.ErrDown
 }
 
-func (d *unreachableStore) CAS(context.Context, string, []byte, bbstore.Revision, bbstore.LeaseID) (bbstore.Revision, error) {
+func (s *unreachableStore) CAS(context.Context, string, []byte, bbstore.Revision, bbstore.LeaseID) (bbstore.Revision, error) {
 	return 0, bbstore.ErrDown
 }
 
@@ -143,8 +143,8 @@
 	s := f.budgetStatus("b")
 	is.True(s.Settled <= spent)
 	is.True(s.Settled+s.Stuck >= spent)
-	for _, holder := range s.StuckGrants {
-		is.Equal(bbledger.ParsePeer(holder.Grantee).ID, home.ID) // only the killed instance's
+	for _, grant := range s.StuckGrants {
+		is.Equal(bbledger.ParsePeer(grant.Grantee).ID, home.ID) // only the killed instance's
 	}
 	is.True(s.Stuck < 2000)
 }
@@ -246,7 +246,7 @@
 	f := newBudgetFleet(t, testMember("a1", "a"), testMember("a2", "a"))
 	f.setBudget("b", 100)
 	f.setBudget("c", 10)
-	f.managers["a1"].wait = 5 * time.Second
+	f.managers["a1"].maxShareWait = 5 * time.Second
 	time.Sleep(4 * bbledger.TickInterval) // until the instances see each other
 	open, err := f.managers["a2"].Reserve(context.Background(), []bbunit.BudgetID{"b"}, 100)
 	is.NoErr(err)
--- a/bluebellport/src/budget_manager_test.go
+++ b/bluebellport/src/budget_manager_test.go
@@ -38,11 +38,11 @@
 func (b *fakeBus) Send(to bbunit.InstanceID, e *bbwire.Envelope) error {
 	b.net.mu.Lock()
 	defer b.net.mu.Unlock()
-	x := b.net.buses[to]
-	if x == nil || b.net.cut[[2]bbunit.InstanceID{b.id, to}] {
+	peer := b.net.buses[to]
+	if peer == nil || b.net.cut[[2]bbunit.InstanceID{b.id, to}] {
 		return ErrPeerUnreachable
 	}
-	if fn := x.handlers[fmt.Sprintf("%T", e.Body)]; fn != nil {
+	if fn := peer.handlers[fmt.Sprintf("%T", e.Body)]; fn != nil {
 		fn(b.id, proto.Clone(e).(*bbwire.Envelope))
 	}
 	return nil
@@ -136,20 +136,20 @@
 // spend runs n requests one after the other. It returns the tokens spent and
 // how many requests were refused with ErrBudgetExhausted and with another
 // error.
-func (f *budgetFleet) spend(id bbunit.InstanceID, b bbunit.BudgetID, n int, amount, used bbunit.Tokens) (spent bbunit.Tokens, budget, share int) {
+func (f *budgetFleet) spend(id bbunit.InstanceID, b bbunit.BudgetID, n int, amount, used bbunit.Tokens) (spent bbunit.Tokens, exhausted, noShare int) {
 	for range n {
-		h, err := f.managers[id].Reserve(context.Background(), []bbunit.BudgetID{b}, amount)
+		res, err := f.managers[id].Reserve(context.Background(), []bbunit.BudgetID{b}, amount)
 		switch {
 		case errors.Is(err, ErrBudgetExhausted):
-			budget++
+			exhausted++
 		case err != nil:
-			share++
+			noShare++
 		default:
-			h.Commit(used)
+			res.Commit(used)
 			spent += min(used, amount)
 		}
 	}
-	return spent, budget, share
+	return spent, exhausted, noShare
 }
 
 func (f *budgetFleet) budgetStatus(b bbunit.BudgetID) bbledger.BudgetStatus {
--- a/bluebellport/src/budget_options.go
+++ b/bluebellport/src/budget_options.go
@@ -10,12 +10,12 @@
 )
 
 // BudgetOptions configure how budget shares are drawn and granted. The preset
-// sets every value; the other options override single values.
+// sets every value; the other options, where set, each override one of them.
 type BudgetOptions struct {
 	Preset       string
 	Horizon      time.Duration // 0: the preset's
 	GrantHorizon time.Duration // 0: the preset's
-	Wait         time.Duration // 0: the preset's
+	ShareWait    time.Duration // 0: the preset's
 	Borrow       string        // preset, yes or no
 }
 
@@ -44,7 +44,7 @@
 	cmd.Flag("preset", "Budget policy: fjarrgrav (fewer false refusals) or hraunberg (smaller stuck shares).").Envar("BLUEBELLPORT_PRESET").Default(defaultBudgetPreset).StringVar(&o.Preset)
 	cmd.Flag("horizon", "How long a failure domain's draw of a budget should last; 0 takes the preset's.").Envar("BLUEBELLPORT_HORIZON").Default("0s").DurationVar(&o.Horizon)
 	cmd.Flag("grant-horizon", "How long an instance's slice of a draw should last; 0 takes the preset's.").Envar("BLUEBELLPORT_GRANT_HORIZON").Default("0s").DurationVar(&o.GrantHorizon)
-	cmd.Flag("share-wait", "Longest time that a request waits for a share; 0 takes the preset's.").Envar("BLUEBELLPORT_SHARE_WAIT").Default("0s").DurationVar(&o.Wait)
+	cmd.Flag("share-wait", "Longest time that a request waits for a share; 0 takes the preset's.").Envar("BLUEBELLPORT_SHARE_WAIT").Default("0s").DurationVar(&o.ShareWait)
 	cmd.Flag("borrow", "Ask other failure domains before refusing: yes, no or preset.").Envar("BLUEBELLPORT_BORROW").Default("preset").StringVar(&o.Borrow)
 }
 
@@ -56,7 +56,7 @@
 	for _, d := range []struct {
 		flag string
 		v    time.Duration
-	}{{"--horizon", o.Horizon}, {"--grant-horizon", o.GrantHorizon}, {"--share-wait", o.Wait}} {
+	}{{"--horizon", o.Horizon}, {"--grant-horizon", o.GrantHorizon}, {"--share-wait", o.ShareWait}} {
 		if d.v < 0 {
 			problems = append(problems, fmt.Sprintf("%s: must not be below 0, is %s", d.flag, d.v))
 		}
@@ -97,8 +97,8 @@
 
 // maxShareWait returns the longest time that a request waits for a share.
 func (o *BudgetOptions) maxShareWait() time.Duration {
-	if o.Wait > 0 {
-		return o.Wait
+	if o.ShareWait > 0 {
+		return o.ShareWait
 	}
 	return o.preset().maxShareWait
 }
--- a/bluebellport/src/budget_options_test.go
+++ b/bluebellport/src/budget_options_test.go
@@ -17,7 +17,7 @@
 		{"preset", BudgetOptions{Preset: "fjarrgrav"}, nil},
 		{"other preset", BudgetOptions{Preset: "hraunberg", Borrow: "yes"}, nil},
 		{"unknown preset", BudgetOptions{Preset: "x"}, []string{`--preset: must be fjarrgrav or hraunberg, is "x"`}},
-		{"negative", BudgetOptions{Preset: "hraunberg", Horizon: -time.Second, Wait: -1}, []string{"--horizon: must not be below 0, is -1s", "--share-wait: must not be below 0, is -1ns"}},
+		{"negative", BudgetOptions{Preset: "hraunberg", Horizon: -time.Second, ShareWait: -1}, []string{"--horizon: must not be below 0, is -1s", "--share-wait: must not be below 0, is -1ns"}},
 		{"grant above horizon", BudgetOptions{Preset: "hraunberg", GrantHorizon: time.Minute}, []string{"--grant-horizon: must not be above the horizon 2s, is 1m0s"}},
 		{"borrow", BudgetOptions{Preset: "hraunberg", Borrow: "maybe"}, []string{`--borrow: must be yes, no or preset, is "maybe"`}},
 	} {
@@ -30,7 +30,7 @@
 
 func TestBudgetOptionsOverrideThePreset(t *testing.T) {
 	is := is.New(t)
-	o := BudgetOptions{Preset: "hraunberg", Horizon: time.Second, GrantHorizon: 100 * time.Millisecond, Wait: time.Second, Borrow: "yes"}
+	o := BudgetOptions{Preset: "hraunberg", Horizon: time.Second, GrantHorizon: 100 * time.Millisecond, ShareWait: time.Second, Borrow: "yes"}
 	p := o.policy()
 	is.Equal(p.DrawHorizon, time.Second)
 	is.Equal(p.GrantHorizon, 100*time.Millisecond)
--- a/bluebellport/src/claim_test.go
+++ b/bluebellport/src/claim_test.go
@@ -93,9 +93,9 @@
 		return []error{f.otherInDomain(home).request("r", 5), f.instances["b1"].request("r", 5)}
 	}, []error{nil, ErrAlreadyClaimed}},
 	{"home's verdict lost", func(f *recorderFleet) []error {
-		n := f.otherInDomain(f.homeOf("r", "a"))
-		n.bus.dropIf(func(e *bbwire.Envelope) bool { return e.GetBatchtell() != nil })
-		return []error{n.request("r", 5), f.instances["b1"].request("r", 5)}
+		inst := f.otherInDomain(f.homeOf("r", "a"))
+		inst.bus.dropIf(func(e *bbwire.Envelope) bool { return e.GetBatchtell() != nil })
+		return []error{inst.request("r", 5), f.instances["b1"].request("r", 5)}
 	}, []error{nil, ErrAlreadyClaimed}},
 	{"home paused, then writes an abandoned claim", pausedHomeWritesAbandonedClaim, []error{ErrClaimNotWritten, nil, ErrAlreadyClaimed}},
 	{"abandoned claim stored, its withdrawal fails", abandonedClaimNotWithdrawn, []error{nil, ErrAlreadyClaimed}},
@@ -105,27 +105,27 @@
 		return []error{err, f.instances["a2"].request("r", 5), f.instances["b1"].request("r", 5)}[1:]
 	}, []error{ErrAlreadyClaimed, ErrAlreadyClaimed}},
 	{"withdrawn before sending", func(f *recorderFleet) []error {
-		r := f.instances["a1"].newRecord("r")
-		if _, err := f.instances["a1"].Claim(context.Background(), r); err != nil {
+		rec := f.instances["a1"].newRecord("r")
+		if _, err := f.instances["a1"].Claim(context.Background(), rec); err != nil {
 			return []error{err}
 		}
-		f.instances["a1"].Withdraw(r)
+		f.instances["a1"].Withdraw(rec)
 		return []error{f.instances["b1"].request("r", 5), f.instances["a1"].request("r", 5)}
 	}, []error{nil, ErrAlreadyClaimed}},
 	{"other body", func(f *recorderFleet) []error {
 		first := f.instances["a1"].request("r", 5)
-		r := f.instances["b1"].newRecord("r")
-		r.Print = 8
-		_, err := f.instances["b1"].Claim(context.Background(), r)
+		rec := f.instances["b1"].newRecord("r")
+		rec.Print = 8
+		_, err := f.instances["b1"].Claim(context.Background(), rec)
 		return []error{first, err}
 	}, []error{nil, ErrRequestIDReused}},
 	{"queue full", func(f *recorderFleet) []error {
 		f.store.SetFaults(bbstore.Faults{Down: true})
-		n := f.instances["a1"]
-		for i := range n.opts.MaxUnacknowledgedBills {
-			n.Bill(n.newRecord(fmt.Sprint("other", i)))
+		inst := f.instances["a1"]
+		for i := range inst.opts.MaxUnacknowledgedBills {
+			inst.Bill(inst.newRecord(fmt.Sprint("other", i)))
 		}
-		return []error{n.request("r", 5)}
+		return []error{inst.request("r", 5)}
 	}, []error{ErrClaimNotWritten}},
 }
 
--- a/bluebellport/src/copy_finder.go
+++ b/bluebellport/src/copy_finder.go
@@ -29,13 +29,13 @@
 // not run: a copy that the caller sent earlier, or to another failure domain,
 // may have run.
 type copyFinder struct {
-	parts Deps
+	deps  Deps
 	dedup *Deduplicator
 	limit *rate.Limiter
 }
 
 func newCopyFinder(deps Deps, dedup *Deduplicator) *copyFinder {
-	f := &copyFinder{parts: deps, dedup: dedup, limit: rate.NewLimiter(copySearchRate, copySearchRate)}
+	f := &copyFinder{deps: deps, dedup: dedup, limit: rate.NewLimiter(copySearchRate, copySearchRate)}
 	if deps.Bus != nil {
 		deps.Bus.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Seenask{}}, f.handleQuery)
 	}
@@ -77,7 +77,7 @@
 // remoteHomes returns the request's homes in all failure domains, without this
 // instance.
 func (f *copyFinder) remoteHomes(req *clientRequest) []bbmember.Member {
-	view := f.parts.Board.View.Load()
+	view := f.deps.Board.View.Load()
 	seen := map[bbunit.DomainID]bool{}
 	var out []bbmember.Member
 	for _, m := range view.Members {
@@ -95,7 +95,7 @@
 // checkRecords searches the stored records for another owner's record of the
 // request.
 func (f *copyFinder) checkRecords(ctx context.Context, req *clientRequest, owner string) bbunit.Outcome {
-	list, err := bbjournal.ListRecords(ctx, f.parts.Store, bbjournal.Filter{Account: req.account.ID, Request: req.id})
+	list, err := bbjournal.ListRecords(ctx, f.deps.Store, bbjournal.Filter{Account: req.account.ID, Request: req.id})
 	if err != nil {
 		return bbunit.OutcomeUnknown
 	}
@@ -109,7 +109,7 @@
 
 // askHome asks the request's home in another failure domain.
 func (f *copyFinder) askHome(ctx context.Context, home bbmember.Member, req *clientRequest) bbunit.Outcome {
-	reply, err := f.parts.Bus.Call(ctx, home.ID, &bbwire.Envelope{Body: &bbwire.Envelope_Seenask{
+	reply, err := f.deps.Bus.Call(ctx, home.ID, &bbwire.Envelope{Body: &bbwire.Envelope_Seenask{
 		Seenask: &bbwire.SeenAsk{Account: string(req.account.ID), Request: string(req.id)},
 	}})
 	if err != nil || reply.GetSeentell() == nil {
--- a/bluebellport/src/copy_finder_test.go
+++ b/bluebellport/src/copy_finder_test.go
@@ -40,16 +40,16 @@
 // without one is unreachable.
 type copyQueryBus struct{ outcomes map[bbunit.InstanceID]*string }
 
-func (s copyQueryBus) Send(bbunit.InstanceID, *bbwire.Envelope) error { return nil }
+func (b copyQueryBus) Send(bbunit.InstanceID, *bbwire.Envelope) error { return nil }
 
-func (s copyQueryBus) Call(_ context.Context, to bbunit.InstanceID, _ *bbwire.Envelope) (*bbwire.Envelope, error) {
-	if s.outcomes[to] == nil {
+func (b copyQueryBus) Call(_ context.Context, to bbunit.InstanceID, _ *bbwire.Envelope) (*bbwire.Envelope, error) {
+	if b.outcomes[to] == nil {
 		return nil, ErrPeerUnreachable
 	}
-	return &bbwire.Envelope{Body: &bbwire.Envelope_Seentell{Seentell: &bbwire.SeenTell{Outcome: *s.outcomes[to]}}}, nil
+	return &bbwire.Envelope{Body: &bbwire.Envelope_Seentell{Seentell: &bbwire.SeenTell{Outcome: *b.outcomes[to]}}}, nil
 }
 
-func (s copyQueryBus) Handle(*bbwire.Envelope, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {
+func (b copyQueryBus) Handle(*bbwire.Envelope, func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope) {
 }
 
 // TestCopyFinder checks the outcome that is reported for a request that is
@@ -57,11 +57,11 @@
 func TestCopyFinder(t *testing.T) {
 	outcome := func(s string) *string { return &s }
 	for name, c := range map[string]struct {
-		keyed  bool
-		remote *string // the other instance's answer; nil if it is unreachable
-		record *bbwire.Record
-		down   bool
-		want   bbunit.Outcome
+		clientNamed bool
+		remote      *string // the other instance's answer; nil if it is unreachable
+		record      *bbwire.Record
+		down        bool
+		want        bbunit.Outcome
 	}{
 		"generated-id":     {false, nil, nil, true, bbunit.OutcomeNotRun},
 		"no-copy-known":    {true, outcome(""), nil, false, bbunit.OutcomeNotRun},
@@ -85,7 +85,7 @@
 			deps.Board.View.Store(&bbmember.View{Self: self, Members: []bbmember.Member{self, other}})
 			opts := RecordOptions{}
 			finder := newCopyFinder(deps, NewDeduplicator(&opts, nil))
-			req := &clientRequest{id: "r", clientNamed: c.keyed}
+			req := &clientRequest{id: "r", clientNamed: c.clientNamed}
 			req.account.ID = "a"
 			is.Equal(finder.outcome(context.Background(), req, "me#1/1"), c.want)
 		})
--- a/bluebellport/src/dedup_test.go
+++ b/bluebellport/src/dedup_test.go
@@ -103,7 +103,7 @@
 
 func TestDeduplicatorRunsAgainUnlessTheAnswerIsComplete(t *testing.T) {
 	for _, tt := range []struct {
-		end     bbunit.Outcome
+		outcome bbunit.Outcome
 		leading bool
 	}{
 		{bbunit.OutcomeDone, false},
@@ -115,14 +115,14 @@
 		d, _ := newTestDeduplicator(1<<20, 1<<26)
 		leader, _, _ := d.Join("acc", "r", 1)
 		follower, _, _ := d.Join("acc", "r", 1)
-		leader.Finish(tt.end)
+		leader.Finish(tt.outcome)
 		_, leading, err := d.Join("acc", "r", 1)
 		is.NoErr(err)
 		is.Equal(leading, tt.leading)
 		_, done, err := follower.Read(context.Background(), 0)
 		is.NoErr(err)
 		is.True(done)
-		is.Equal(follower.Outcome(), tt.end)
+		is.Equal(follower.Outcome(), tt.outcome)
 	}
 }
 
--- a/bluebellport/src/deps.go
+++ b/bluebellport/src/deps.go
@@ -70,11 +70,11 @@
 
 // BudgetReserver reserves tokens for requests.
 type BudgetReserver interface {
-	// Reserve sets most tokens aside from the first of the budgets that has
+	// Reserve sets amount tokens aside from the first of the budgets that has
 	// them. It takes no lock while this instance's share lasts; otherwise it
 	// waits for a share until ctx ends. The error is ErrBudgetExhausted or
 	// ErrShareUnavailable.
-	Reserve(ctx context.Context, budgets []bbunit.BudgetID, most bbunit.Tokens) (*Reservation, error)
+	Reserve(ctx context.Context, budgets []bbunit.BudgetID, amount bbunit.Tokens) (*Reservation, error)
 }
 
 // Reservation is an amount set aside for one request. Only the first call of
@@ -105,17 +105,17 @@
 	// be refused.
 	Full() bool
 	// BillThen queues the final record of a request and sends it until it is
-	// acknowledged. It does not wait. Then, if not nil, is called with the
+	// acknowledged. It does not wait. onVerdict, if not nil, is called with the
 	// verdict: on REPEATED and MISMATCH another bill is stored for the request
 	// and the amount is not owed.
-	BillThen(r *bbwire.Record, then func(v *bbwire.Verdict))
+	BillThen(r *bbwire.Record, onVerdict func(v *bbwire.Verdict))
 }
 
 // Attempt is a request's use of one chosen target.
 type Attempt struct {
 	Target bbticket.Target
 	// Done reports the result of the attempt. It must be called once.
-	Done func(end AttemptResult)
+	Done func(result AttemptResult)
 }
 
 // AttemptResult is the result of an attempt, as the router needs it.
--- a/bluebellport/src/recorder_fleet_test.go
+++ b/bluebellport/src/recorder_fleet_test.go
@@ -231,11 +231,11 @@
 	if unblocked == nil {
 		return s.Store.CAS(ctx, key, value, prev, lease)
 	}
-	type answer struct {
+	type result struct {
 		rev bbstore.Revision
 		err error
 	}
-	answers := make(chan answer, 1)
+	results := make(chan result, 1)
 	go func() {
 		<-unblocked
 		s.mu.Lock()
@@ -245,11 +245,11 @@
 			return
 		}
 		rev, err := s.Store.CAS(context.Background(), key, value, prev, lease)
-		answers <- answer{rev, err}
+		results <- result{rev, err}
 	}()
 	select {
-	case a := <-answers:
-		return a.rev, a.err
+	case res := <-results:
+		return res.rev, res.err
 	case <-ctx.Done():
 		return 0, bbstore.ErrUnknown
 	}
