--- a/bluebellport/src/bill.go
+++ b/bluebellport/src/bill.go
@@ -48,7 +48,7 @@
 func (r *Recorder) queueBill(rec *bbwire.Record, onVerdict func(v *bbwire.Verdict)) {
 	if err := bbjournal.Check(rec); err != nil {
 		r.metrics.mismatched.Inc(1)
-		r.Log.WithError(err).WithFields(recordFields(rec)).Error("invalid bill, not recorded")
+		r.Log.WithError(err).WithFields(recordFields(rec)).Error("bill refused")
 		if onVerdict != nil {
 			onVerdict(&bbwire.Verdict{Kind: bbwire.Verdict_MISMATCH})
 		}
@@ -74,17 +74,17 @@
 			r.metrics.bills.Inc(1)
 		case v.Record.GetKind() != bbwire.Record_BILL:
 			r.metrics.unknowns.Inc(1)
-			log.Warn("outcome of the request recorded as unknown")
+			log.Warn("outcome unknown")
 		}
 	case bbwire.Verdict_LATE:
 		r.metrics.late.Inc(1)
-		log.Error("bill is older than the retention, not recorded")
+		log.Error("bill older than the retention, not recorded")
 	case bbwire.Verdict_MISMATCH:
 		r.metrics.mismatched.Inc(1)
-		log.Warn("request id was billed with another body; this bill is not owed")
+		log.Warn("bill of a reused request id, not owed")
 	default:
 		r.metrics.repeated.Inc(1)
-		log.Info("request is already billed; this bill is not owed")
+		log.Info("bill repeated, not owed")
 	}
 }
 
--- a/bluebellport/src/budget_manager_loop.go
+++ b/bluebellport/src/budget_manager_loop.go
@@ -130,10 +130,10 @@
 	}
 	log := bm.deps.Log.WithFields(logrus.Fields{"event": "pages", "call": call, "page": page})
 	if err != nil {
-		log.WithError(err).Warn("budget pages unreachable; serving from granted shares")
+		log.WithError(err).Warn("budget pages cannot be reached")
 		return
 	}
-	log.Info("budget pages reachable again")
+	log.Info("budget pages are reached again")
 }
 
 // savePage writes the allocator's page with compare-and-swap and passes the
--- a/bluebellport/src/dedup.go
+++ b/bluebellport/src/dedup.go
@@ -19,7 +19,7 @@
 	ErrPartDiscarded = errors.ConstError("part of the answer is no longer buffered")
 	// ErrCallersLeft means that all callers left before the answer was
 	// complete.
-	ErrCallersLeft = errors.ConstError("all callers left before the answer was complete")
+	ErrCallersLeft = errors.ConstError("all callers left")
 )
 
 // dedupShards is the number of shards, each with its own lock.
--- a/bluebellport/src/forwarder.go
+++ b/bluebellport/src/forwarder.go
@@ -177,7 +177,7 @@
 	msg := &bbwire.Run{}
 	opts := protodelim.UnmarshalOptions{MaxSize: int64(int(front.opts.MaxBodyBytes) + maxHeaderBytes*2)}
 	if err := opts.UnmarshalFrom(bufio.NewReader(conn), msg); err != nil {
-		front.deps.Log.WithError(err).WithField("event", "badrun").Warn("forwarded request is malformed, dropped")
+		front.deps.Log.WithError(err).WithField("event", "badrun").Warn("malformed request from a peer dropped")
 		return
 	}
 	ctx := otel.GetTextMapPropagator().Extract(context.Background(), propagation.MapCarrier{"traceparent": msg.Trace})
@@ -232,7 +232,7 @@
 	})
 	head, err := answer.Head(ctx)
 	if err != nil || head == nil {
-		return errors.WithType(errors.New("the request ended without an answer"), errHomeUnavailable)
+		return errors.WithType(errors.New("no answer"), errHomeUnavailable)
 	}
 	part := &bbwire.Part{Status: int32(head.Status), Fields: fieldsToWire(head.Fields)}
 	for next := 0; ; {
--- a/bluebellport/src/late_answer.go
+++ b/bluebellport/src/late_answer.go
@@ -38,6 +38,6 @@
 		rec.Kind, rec.Amount = bbwire.Record_BILL, int64(j.req.service.Price.Call)
 		j.journal.BillThen(rec, nil)
 		answer.Finish(bbunit.OutcomeDone)
-		j.deps.Log.WithField("event", "late").WithField("request", j.req.id).Info("answer came after the deadline; billed and kept")
+		j.deps.Log.WithField("event", "late").WithField("request", j.req.id).Info("answer came after the deadline")
 	}
 }
--- a/bluebellport/src/recorder_backup.go
+++ b/bluebellport/src/recorder_backup.go
@@ -330,7 +330,7 @@
 			out = append(out, rec)
 		}
 		b.r.metrics.takeovers.Inc(1)
-		b.r.Log.WithField("instance", id.instance).WithField("records", len(c.records)).Warn("instance gone; submitting its records")
+		b.r.Log.WithField("instance", id.instance).WithField("records", len(c.records)).Warn("records taken over")
 		b.dropCopy(id)
 	}
 	return out
