--- a/bluebellport/src/dedup.go
+++ b/bluebellport/src/dedup.go
@@ -16,7 +16,7 @@
 const (
 	// ErrPartDiscarded means that the caller has left the answer or that the
 	// part it asked for is no longer buffered.
-	ErrPartDiscarded = errors.ConstError("part of the answer is no longer buffered")
+	ErrPartDiscarded = errors.ConstError("part of the answer is gone")
 	// ErrCallersLeft means that all callers left before the answer was
 	// complete.
 	ErrCallersLeft = errors.ConstError("all callers left")
