--- a/shared/bbledger/allocation.go
+++ b/shared/bbledger/allocation.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// exposure is the most that all grantees together may hold according to the
+// exposure returns the most that all grantees together may hold according to the
 // marks that a witness may report.
 func (a *allocation) exposure() bbunit.Tokens {
 	var n bbunit.Tokens
@@ -82,11 +82,11 @@
 	return n
 }
 
-// headroom is by how much marks may still be raised.
+// headroom returns by how much marks may still be raised.
 func (a *allocation) headroom() bbunit.Tokens { return a.drawLimit - a.exposure() }
 
-// reportedSpent is what the grantees reported as spent, without grantees that the
-// entry lists as stuck.
+// reportedSpent returns what the grantees reported as spent, without grantees that
+// the entry lists as stuck.
 func (a *allocation) reportedSpent(e *bbwire.Entry, h bbunit.HolderID) bbunit.Tokens {
 	var n bbunit.Tokens
 	for p, gr := range a.grants {
@@ -97,8 +97,8 @@
 	return n
 }
 
-// lowerDrawLimit lowers the limit to what a write in flight would leave drawn;
-// h is nil when it would remove the holder.
+// lowerDrawLimit lowers the limit to the draw that a write in flight would leave.
+// h is the holder's record in that write, nil if the write removes the holder.
 func (a *allocation) lowerDrawLimit(h *bbwire.Holder) {
 	limit := bbunit.Tokens(0)
 	if h != nil {
--- a/shared/bbledger/allocator.go
+++ b/shared/bbledger/allocator.go
@@ -46,8 +46,8 @@
 		From Peer
 		Msg  *bbwire.SurrenderTell
 	}
-	// Tick advances the time and carries the current view and state; nil leaves
-	// either as it was.
+	// Tick advances the time and carries the current view of the fleet and the
+	// state after the change tickets in force; nil leaves either as it was.
 	Tick struct {
 		View  *bbmember.View
 		State *bbticket.State
@@ -86,7 +86,7 @@
 	view    *bbmember.View
 	state   *bbticket.State
 
-	holder         bbunit.HolderID // the id that it draws under
+	holder         bbunit.HolderID // the current holder id, under which it draws
 	onPage         bool            // the page is known to list the holder
 	maybeOnPage    bool            // a write of unknown outcome may have added the holder
 	allocations    map[bbunit.BudgetID]*allocation
@@ -115,10 +115,10 @@
 	viewCache      viewSummary
 	summaryCache   *pageSummary
 	stuckAskedAt   time.Time      // when stuck grantees were last asked for reports
-	notHomeSince   time.Time      // since when the instance is not the page's home; zero if it is
+	notHomeSince   time.Time      // when the instance stopped being the page's home; zero while it is
 	checkedView    *bbmember.View // the view of the last checkGrantees
 	granteeMissing bool           // a grantee with unspent tokens is missing
-	granteeLost    bool           // one has been missing for stuckDelay
+	granteeLost    bool           // such a grantee has been missing for stuckDelay
 	retiring       bool           // Retire was received
 }
 
@@ -126,7 +126,7 @@
 type want struct {
 	grantee    Peer
 	budget     bbunit.BudgetID
-	amount     bbunit.Tokens // what it would like
+	amount     bbunit.Tokens // preferred grant
 	least      bbunit.Tokens // the smallest useful grant
 	queuedAt   time.Time
 	urgent     bool      // client requests wait for it
--- a/shared/bbledger/allocator_store.go
+++ b/shared/bbledger/allocator_store.go
@@ -44,7 +44,7 @@
 	al.actions = append(al.actions, Save{Page: next, Prev: al.rev})
 }
 
-// handleLoaded takes over the page that was read.
+// handleLoaded handles the outcome of a read.
 func (al *Allocator) handleLoaded(e Loaded) {
 	al.callInFlight = false
 	if e.Err != nil {
@@ -99,26 +99,26 @@
 // adoptPage updates the allocations from the page. It must be called only when no
 // write of this allocator can still take effect.
 func (al *Allocator) adoptPage() {
-	found, vanished := false, false
+	listed, removed := false, false
 	var witness Peer
 	for _, a := range al.sortedAllocations() {
 		h := findHolder(findEntry(al.page, a.budget), al.holder)
 		if h == nil {
-			vanished = vanished || a.onPage
+			removed = removed || a.onPage
 			a.drawLimit = 0
 			continue
 		}
-		found, a.onPage = true, true
+		listed, a.onPage = true, true
 		a.drawLimit, a.seq = bbunit.Tokens(h.Drawn), h.Seq
 		al.adoptStuck(a)
 		witness = ParsePeer(h.Witness)
 	}
-	if vanished || al.maybeOnPage && !found {
+	if removed || al.maybeOnPage && !listed {
 		al.retireHolder()
 		return
 	}
-	al.maybeOnPage, al.onPage = false, found
-	if found {
+	al.maybeOnPage, al.onPage = false, listed
+	if listed {
 		al.finishWitnessChange(witness)
 	}
 	al.pruneClosings()
--- a/shared/bbledger/allocator_test.go
+++ b/shared/bbledger/allocator_test.go
@@ -175,18 +175,18 @@
 	before := requireAction[*bbwire.Mark](f)
 	f.view = &bbmember.View{Self: f.view.Self, Members: append(f.view.Members[:1:1], memberOf(witness2, "d"), memberOf(granteePeer, "e"))}
 	f.tick(TickInterval)
-	carried := requireAction[*bbwire.Mark](f)
-	f.is.True(carried.Slices[0].Granted >= 20) // all that the old witness may have acknowledged
+	copied := requireAction[*bbwire.Mark](f)
+	f.is.True(copied.Slices[0].Granted >= 20) // all that the old witness may have acknowledged
 	f.ackMark(witness1, before)
 	_, ok := takeAction[*bbwire.GrantTell](f)
 	f.requireNone(ok) // the change has begun
 	_, ok = takeAction[Save](f)
 	f.requireNone(ok) // the new witness does not have the marks yet
-	f.ackMark(witness2, carried)
+	f.ackMark(witness2, copied)
 	a := requireAction[Save](f)
 	f.is.Equal(findHolder(findEntry(a.Page, "b"), f.al.Holder()).Witness, witness2.String())
 	f.ackMark(witness1, before)
-	f.ackMark(witness2, carried)
+	f.ackMark(witness2, copied)
 	_, ok = takeAction[*bbwire.GrantTell](f)
 	f.requireNone(ok) // the outcome of the change is not read yet
 	f.page, f.rev = clonePage(a.Page), f.rev+1
@@ -325,7 +325,7 @@
 	}}})
 }
 
-func TestCloserSettlesWhatTheGranteeSpent(t *testing.T) {
+func TestClosingSettlesWhatTheGranteeSpent(t *testing.T) {
 	f, final := closingFixture(t)
 	f.answerFreeze(witness2)
 	f.answerFreeze(Peer{witness1.ID, 2})
@@ -340,7 +340,7 @@
 	f.is.Equal(Charged(e), bbunit.Tokens(15))
 }
 
-func TestCloserCountsASilentGranteeAsStuckUntilItAnswers(t *testing.T) {
+func TestClosingCountsASilentGranteeAsStuckUntilItAnswers(t *testing.T) {
 	f, final := closingFixture(t)
 	f.answerFreeze(witness1)
 	f.tick(surrenderTimeout)
@@ -361,7 +361,7 @@
 	f.requireNone(ok) // already settled
 }
 
-func TestCloserRestartsWhenTheHolderChangedItsWitness(t *testing.T) {
+func TestClosingRestartsWhenTheHolderChangedItsWitness(t *testing.T) {
 	f, final := closingFixture(t)
 	f.answerFreeze(witness1)
 	h := findEntry(f.page, "b").Holders[0]
@@ -379,7 +379,7 @@
 	requireAction[*bbwire.Freeze](f)
 }
 
-func TestCloserLeavesAHolderWhoseWitnessIsGoneToTheOperator(t *testing.T) {
+func TestClosingLeavesAHolderWhoseWitnessIsGoneToTheOperator(t *testing.T) {
 	f, _ := closingFixture(t)
 	f.view = &bbmember.View{Self: f.view.Self, Members: f.view.Members[:1]}
 	for range 100 {
@@ -432,7 +432,7 @@
 	f.is.Equal(len(e.Stuck), 0)
 }
 
-func TestCloserDoesNotCountAStuckGranteeTwice(t *testing.T) {
+func TestClosingDoesNotCountAStuckGranteeTwice(t *testing.T) {
 	f, _ := closingFixture(t)
 	e := findEntry(f.page, "b")
 	e.Holders[0].Drawn -= 30
@@ -449,7 +449,7 @@
 	f.is.Equal(StatusOf(e).Stuck, bbunit.Tokens(20))
 }
 
-func TestCloserDoesNotCountASettledGranteeAgain(t *testing.T) {
+func TestClosingDoesNotCountASettledGranteeAgain(t *testing.T) {
 	f, _ := closingFixture(t)
 	e := findEntry(f.page, "b")
 	e.Holders[0].Drawn -= 30
@@ -474,7 +474,7 @@
 	f.is.Equal(len(e.Stuck), 0) // the amount of 0 is dropped together with the holder
 }
 
-func TestCloserIgnoresReportsAboveTheMark(t *testing.T) {
+func TestClosingIgnoresReportsAboveTheMark(t *testing.T) {
 	for _, s := range []*bbwire.Slice{
 		{Spent: 31}, {Returned: 31}, {Spent: 20, Returned: 20}, {Spent: -5}, {Returned: -5},
 	} {
--- a/shared/bbledger/balance.go
+++ b/shared/bbledger/balance.go
@@ -39,7 +39,7 @@
 	spent       bbunit.Tokens
 	returned    bbunit.Tokens
 	surrendered bool // final: no more grants of this holder are accepted
-	unreported  bool // changed since the last report
+	unreported  bool // changed since the last report to the holder's instance
 }
 
 func (s *slice) unspent() bbunit.Tokens { return s.granted - s.spent - s.returned }
@@ -121,8 +121,8 @@
 		s.unreported = true
 		unattributed -= n
 	}
-	// More than the slices cover can only be a caller's bug, or a refund when it
-	// is negative. It is kept for the next call.
+	// A positive remainder, more than the slices cover, can only be a caller's bug; a
+	// negative one is a refund. Either is kept for the next call.
 	b.unattributed.Add(int64(unattributed))
 	b.returnSurrendered()
 	b.updateNextHolder()
@@ -187,8 +187,8 @@
 	return true
 }
 
-// sampleDemand updates the demand rate and the low watermark, and returns surplus
-// that has lasted for two horizons.
+// sampleDemand updates the demand rate and the low watermark. It returns a surplus
+// to the holders once it has lasted for two horizons.
 func (b *Balance) sampleDemand(now time.Time, horizon time.Duration) {
 	total := b.reservedTotal.Load()
 	b.demand.add(bbunit.Tokens(max(0, total-b.sampledTotal)))
@@ -255,7 +255,7 @@
 // reset makes the next request go at once to the own failure domain's allocator.
 func (r *refill) reset() { r.nextIndex, r.askedAt = 0, time.Time{} }
 
-// addWaiter counts in a request that waits for n tokens.
+// addWaiter records a request that waits for n tokens.
 func (r *refill) addWaiter(n bbunit.Tokens) {
 	r.waitingTotal += n
 	if r.smallestWait == 0 || n < r.smallestWait {
@@ -263,7 +263,7 @@
 	}
 }
 
-// removeWaiter counts out a request that addWaiter counted in.
+// removeWaiter removes a request that addWaiter recorded.
 func (r *refill) removeWaiter(n bbunit.Tokens) {
 	r.waitingTotal -= n
 	if r.waitingTotal <= 0 {
--- a/shared/bbledger/bench_test.go
+++ b/shared/bbledger/bench_test.go
@@ -42,26 +42,26 @@
 }
 
 type loadRequest struct {
-	node     *simNode
+	instance *simInstance
 	budget   bbunit.BudgetID
 	deadline time.Time
 	served   bool
 }
 
-// secondOfDemand is how many tokens the requests of a second reserve in
-// TestBenchBaselines.
-const secondOfDemand = 1200
+// demandPerSecond is how many tokens the requests of TestBenchBaselines reserve per
+// second.
+const demandPerSecond = 1200
 
 func newLoadGen(s *sim) *loadGen {
 	return &loadGen{s: s, maxWait: 400 * time.Millisecond, duration: 200 * time.Millisecond, reserved: 10, used: 8}
 }
 
-// startRequest starts a request, unless the node is down.
-func (l *loadGen) startRequest(n *simNode, b bbunit.BudgetID) {
+// startRequest starts a request, unless the instance is down.
+func (l *loadGen) startRequest(n *simInstance, b bbunit.BudgetID) {
 	if n.dead || n.paused {
 		return
 	}
-	l.open = append(l.open, loadRequest{node: n, budget: b, deadline: l.s.now.Add(l.maxWait)})
+	l.open = append(l.open, loadRequest{instance: n, budget: b, deadline: l.s.now.Add(l.maxWait)})
 }
 
 // step advances all open requests.
@@ -79,15 +79,15 @@
 // still open.
 func (l *loadGen) advanceRequest(r *loadRequest) bool {
 	switch {
-	case r.node.dead || r.node.paused:
-		return !r.node.dead
+	case r.instance.dead || r.instance.paused:
+		return !r.instance.dead
 	case r.served && !l.s.now.Before(r.deadline):
-		l.s.commit(r.node, 0, l.used)
+		l.s.commit(r.instance, 0, l.used)
 		l.done++
 		return false
 	case r.served:
 		return true
-	case l.s.reserve(r.node, r.budget, l.reserved):
+	case l.s.reserve(r.instance, r.budget, l.reserved):
 		r.served, r.deadline = true, l.s.now.Add(l.duration)
 		return true
 	case !l.s.now.Before(r.deadline):
@@ -95,7 +95,7 @@
 		if l.s.paid(r.budget)-l.s.spent[r.budget] >= l.reserved {
 			l.falselyRefused++
 		}
-		if l.s.paid(r.budget)-l.s.spent[r.budget] >= secondOfDemand {
+		if l.s.paid(r.budget)-l.s.spent[r.budget] >= demandPerSecond {
 			l.refusedWithPlenty++
 		}
 		return false
@@ -111,7 +111,7 @@
 		if at != nil {
 			at(l.s.now.Sub(start))
 		}
-		live := l.s.liveNodes()
+		live := l.s.liveInstances()
 		for range perTick {
 			l.startRequest(live[i%len(live)], l.s.budgets[(i/len(live))%len(l.s.budgets)])
 			i++
@@ -189,7 +189,7 @@
 
 // countWrites logs the store calls for each size, and the slope.
 func countWrites(t testing.TB, round int, what string, sizes []int, build func(testing.TB, int) *sim) {
-	const perTick, span = 20, 20 * time.Second
+	const perTick, measured = 20, 20 * time.Second
 	var x, y []float64
 	logRow(t, round, "%-10s %10s %10s %10s %22s", what, "requests", "writes", "reads", "writes/1000 requests")
 	for _, n := range sizes {
@@ -197,10 +197,10 @@
 		l := newLoadGen(s)
 		l.run(5*time.Second, perTick, nil)
 		done, writes, loads := l.done, s.writes, s.loads
-		l.run(span, perTick, nil)
-		per := float64(s.writes-writes) / float64(l.done-done) * 1000
-		logRow(t, round, "%-10d %10d %10d %10d %22.2f", n, l.done-done, s.writes-writes, s.loads-loads, per)
-		x, y = append(x, float64(n)), append(y, per)
+		l.run(measured, perTick, nil)
+		writesPer1000 := float64(s.writes-writes) / float64(l.done-done) * 1000
+		logRow(t, round, "%-10d %10d %10d %10d %22.2f", n, l.done-done, s.writes-writes, s.loads-loads, writesPer1000)
+		x, y = append(x, float64(n)), append(y, writesPer1000)
 		if l.refused > 0 {
 			t.Errorf("%d refused with %d %s", l.refused, n, what)
 		}
@@ -221,7 +221,7 @@
 			s := benchSim(t, 2, 3, 1, p.policy)
 			l := newLoadGen(s)
 			l.run(20*time.Second, 6, nil)
-			b, n := s.budgets[0], s.nodes[i]
+			b, n := s.budgets[0], s.instances[i]
 			before := StatusOf(entryOrEmpty(s.page, b))
 			var unspent bbunit.Tokens
 			for _, h := range before.Holders {
@@ -235,7 +235,7 @@
 			closedAfter, killedAt := time.Duration(-1), s.now
 			for range 200 {
 				l.run(TickInterval, 6, func(time.Duration) {
-					for _, x := range s.liveNodes() {
+					for _, x := range s.liveInstances() {
 						s.perform(x, x.allocator.Step(s.now, Refresh{}))
 					}
 				})
@@ -257,13 +257,13 @@
 
 // baseline is a scheme that the ledger is compared with.
 type baseline struct {
-	paid, charged     bbunit.Tokens // charged: what the service counts as used
+	paid, charged     bbunit.Tokens // charged: what the store counts as used
 	spent             bbunit.Tokens
 	refused           int
 	falselyRefused    int
 	refusedWithPlenty int
-	leases            map[*simNode]*lease
-	writeBudget       float64 // writes that the service still accepts
+	leases            map[*simInstance]*lease
+	writeBudget       float64 // writes that the store still accepts
 	writes            int
 }
 
@@ -277,12 +277,12 @@
 	if c.paid-c.spent >= reserved {
 		c.falselyRefused++
 	}
-	if c.paid-c.spent >= secondOfDemand {
+	if c.paid-c.spent >= demandPerSecond {
 		c.refusedWithPlenty++
 	}
 }
 
-// spendCentrally spends with one call of the service for each request.
+// spendCentrally spends with one call of the store for each request.
 func (c *baseline) spendCentrally(storeUp bool, reserved, used bbunit.Tokens) {
 	c.writes++
 	if c.writeBudget--; !storeUp || c.writeBudget < 0 || c.paid-c.charged < reserved {
@@ -293,9 +293,9 @@
 	c.spent += used
 }
 
-// spendLeased spends from a lease that the service takes back after its TTL. An
+// spendLeased spends from a lease that the store takes back after its TTL. An
 // instance that was paused after checking its lease spends from it all the same.
-func (c *baseline) spendLeased(n *simNode, now time.Time, storeUp, resumed bool, reserved, used bbunit.Tokens) {
+func (c *baseline) spendLeased(n *simInstance, now time.Time, storeUp, resumed bool, reserved, used bbunit.Tokens) {
 	const share, ttl = bbunit.Tokens(400), 2 * time.Second
 	l := c.leases[n]
 	if l == nil {
@@ -339,8 +339,8 @@
 	s.setPaid(b, 40_000)
 	l := newLoadGen(s)
 	counter := &baseline{paid: 40_000}
-	leases := &baseline{paid: 40_000, leases: map[*simNode]*lease{}}
-	paused := s.nodes[1]
+	leases := &baseline{paid: 40_000, leases: map[*simInstance]*lease{}}
+	paused := s.instances[1]
 	resumed := 0
 	i := 0
 	l.run(70*time.Second, perTick, func(at time.Duration) {
@@ -355,7 +355,7 @@
 		counter.writeBudget = min(counter.writeBudget+serviceWrites*TickInterval.Seconds(), serviceWrites)
 		leases.reclaimExpired(s.now)
 		for range perTick {
-			n := s.nodes[i%len(s.nodes)]
+			n := s.instances[i%len(s.instances)]
 			i++
 			if n.paused {
 				continue
@@ -388,9 +388,9 @@
 // resumeAt is when the paused instance of scheduleFaults resumes.
 const resumeAt = 65 * time.Second
 
-// scheduleFaults injects the faults of the comparison: an outage of the service, a
+// scheduleFaults injects the faults of the comparison: an outage of the store, a
 // partition of one failure domain, and a pause of an instance while the budget ends.
-func scheduleFaults(s *sim, paused *simNode, at time.Duration) {
+func scheduleFaults(s *sim, paused *simInstance, at time.Duration) {
 	switch at {
 	case 10 * time.Second:
 		s.storeDown["a"], s.storeDown["b"] = true, true
--- a/shared/bbledger/close.go
+++ b/shared/bbledger/close.go
@@ -74,17 +74,17 @@
 }
 
 func (al *Allocator) hasDeadHolder() bool {
-	return al.page != nil && len(al.summary().deadHolders) > 0
+	return al.page != nil && len(al.pageSummary().deadHolders) > 0
 }
 
 func (al *Allocator) hasStuck() bool {
-	return al.page != nil && al.summary().hasStuck
+	return al.page != nil && al.pageSummary().hasStuck
 }
 
 // closeDeadHolders starts and advances the closing of dead holders.
 func (al *Allocator) closeDeadHolders() {
 	if al.page != nil && !al.writeUncertain {
-		for _, h := range al.summary().deadHolders {
+		for _, h := range al.pageSummary().deadHolders {
 			al.ensureClosing(h)
 		}
 	}
@@ -94,7 +94,8 @@
 }
 
 // ensureClosing starts closing a holder, or starts over with the witness that the
-// page names when that has changed.
+// page names when that has changed. For a holder of another instance, the first
+// message is sent after closeDelay, in case the instance comes back.
 func (al *Allocator) ensureClosing(h *bbwire.Holder) {
 	id := bbunit.HolderID(h.Holder)
 	w := ParsePeer(h.Witness)
@@ -160,7 +161,7 @@
 	return out
 }
 
-// handleFrozen takes the final marks, if they come from the holder's witness.
+// handleFrozen stores the final marks if they come from the holder's witness.
 func (al *Allocator) handleFrozen(e Frozen) {
 	c := al.closings[bbunit.HolderID(e.Msg.Holder)]
 	if c == nil || c.own || c.frozen || e.From != c.witness {
@@ -170,7 +171,7 @@
 	al.driveClosing(c)
 }
 
-// handleSurrendered takes a grantee's final report on a closed holder.
+// handleSurrendered stores a grantee's final report on a closed holder.
 func (al *Allocator) handleSurrendered(e Surrendered) {
 	h := bbunit.HolderID(e.Msg.Holder)
 	slices := []*bbwire.Slice{}
@@ -219,7 +220,8 @@
 	return true
 }
 
-// editClosings settles the holders that are ready for it.
+// editClosings settles the holders that are ready for it and reports whether the page
+// changed.
 func (al *Allocator) editClosings(p *bbwire.Page) bool {
 	changed := false
 	for _, c := range al.sortedClosings() {
@@ -290,7 +292,7 @@
 
 // requestStuckReports asks live grantees with stuck amounts for a final report.
 func (al *Allocator) requestStuckReports() {
-	if al.page == nil || al.now.Sub(al.stuckAskedAt) < stuckRetryInterval || !al.summary().hasStuck || !al.viewSummary().isHome && !al.retiring {
+	if al.page == nil || al.now.Sub(al.stuckAskedAt) < stuckRetryInterval || !al.pageSummary().hasStuck || !al.viewSummary().isHome && !al.retiring {
 		return
 	}
 	al.stuckAskedAt = al.now
@@ -319,6 +321,8 @@
 	return changed
 }
 
+// settleStuckGrant does the work of settleStuck for one stuck amount and reports
+// whether the entry changed.
 func (al *Allocator) settleStuckGrant(e *bbwire.Entry, key granteeKey) bool {
 	stuck, holderOnEntry := findStuck(e, key.holder, key.grantee), findHolder(e, key.holder) != nil
 	if stuck.Amount == 0 {
--- a/shared/bbledger/draw.go
+++ b/shared/bbledger/draw.go
@@ -26,8 +26,8 @@
 func (al *Allocator) serveWant(w *want) bool {
 	a := al.allocation(w.budget)
 	gr := a.grant(w.grantee)
-	if free := gr.markAcked - gr.granted; free >= w.least {
-		amount := min(free, w.amount)
+	if grantable := gr.markAcked - gr.granted; grantable >= w.least {
+		amount := min(grantable, w.amount)
 		gr.granted += amount
 		a.demand.add(amount)
 		al.sendGrant(w, a)
@@ -79,7 +79,7 @@
 	return &bbwire.Entry{Budget: string(b)}
 }
 
-// drawHorizon is how long a draw should last at the current demand.
+// drawHorizon returns how long a draw should last at the current demand.
 func (al *Allocator) drawHorizon() time.Duration {
 	if al.onPage && al.witness == (Peer{}) {
 		return al.policy.UnwitnessedHorizon
@@ -107,11 +107,11 @@
 // editDraws raises and lowers the holder's draws. Changes that are not urgent are
 // made only together with an urgent one, or when the page is written anyway.
 func (al *Allocator) editDraws(page *bbwire.Page, alreadyWriting bool) bool {
-	type plan struct {
+	type drawChange struct {
 		a     *allocation
 		delta bbunit.Tokens
 	}
-	var plans []plan
+	var changes []drawChange
 	for _, a := range al.sortedAllocations() {
 		e := entryOrEmpty(page, a.budget)
 		if findEntry(page, a.budget) == nil {
@@ -119,17 +119,17 @@
 		}
 		delta, urgent := al.drawDelta(a, e)
 		if delta != 0 {
-			plans = append(plans, plan{a, delta})
+			changes = append(changes, drawChange{a, delta})
 			alreadyWriting = alreadyWriting || urgent
 		}
 	}
 	if !alreadyWriting {
 		return false
 	}
-	for _, p := range plans {
-		al.editDraw(ensureEntry(page, p.a.budget), p.a, p.delta)
+	for _, c := range changes {
+		al.editDraw(ensureEntry(page, c.a.budget), c.a, c.delta)
 	}
-	return len(plans) > 0
+	return len(changes) > 0
 }
 
 // editDraw changes the holder's draw on one entry.
@@ -165,21 +165,22 @@
 	goal := a.demand.expected(al.drawHorizon())
 	headroom := a.headroom()
 	if headroom < least || headroom < goal-goal/8 {
-		return al.increase(e, amount+goal-headroom, least-headroom), headroom < least || headroom < goal/2
+		return al.drawIncrease(e, amount+goal-headroom, least-headroom), headroom < least || headroom < goal/2
 	}
-	return al.decrease(a, headroom, goal, least)
+	return al.drawDecrease(a, headroom, goal, least)
 }
 
-// increase returns how much to draw: the shortfall, but no more than a fair share
-// of the remaining budget, or than least if that is more.
-func (al *Allocator) increase(e *bbwire.Entry, shortfall, least bbunit.Tokens) bbunit.Tokens {
+// drawIncrease returns by how much to raise the draw: by the shortfall, but at most
+// by a fair share of the remaining budget, or by least if that is more.
+func (al *Allocator) drawIncrease(e *bbwire.Entry, shortfall, least bbunit.Tokens) bbunit.Tokens {
 	remaining := Remaining(e)
 	fairShare := remaining / bbunit.Tokens(2*al.viewSummary().domainCount)
 	return max(0, min(remaining, shortfall, max(fairShare, least)))
 }
 
-// decrease returns surplus to the budget once it has lasted for the horizon.
-func (al *Allocator) decrease(a *allocation, headroom, goal, least bbunit.Tokens) (bbunit.Tokens, bool) {
+// drawDecrease returns by how much to lower the draw, as a negative amount, once the
+// surplus has lasted for the draw horizon, and whether the change is urgent.
+func (al *Allocator) drawDecrease(a *allocation, headroom, goal, least bbunit.Tokens) (bbunit.Tokens, bool) {
 	surplus := headroom > 2*goal+least && a.onPage && !al.writeUncertain
 	if lasted := a.surplusDuration(al.now, surplus); !surplus || lasted < al.drawHorizon() {
 		return 0, false
--- a/shared/bbledger/exhaustion_test.go
+++ b/shared/bbledger/exhaustion_test.go
@@ -17,22 +17,22 @@
 	open     []*exhaustionRequest
 
 	done                int
-	refusedBudget       int           // refused because the budget is exhausted
-	refusedShare        int           // refused after maxWait
+	refusedExhausted    int           // refused because the budget is exhausted
+	timedOut            int           // refused after maxWait
 	falselyRefused      int           // refused as exhausted while the budget had enough for the request
 	maxUnspentAtRefusal bbunit.Tokens // largest unspent amount at a false refusal
 }
 
 type exhaustionRequest struct {
-	node     *simNode
+	instance *simInstance
 	bal      *Balance
 	deadline time.Time
 	duration time.Duration
 	served   bool
 }
 
-func (l *exhaustionLoad) startRequest(n *simNode, b bbunit.BudgetID, duration time.Duration) {
-	r := &exhaustionRequest{node: n, bal: n.wallet.Balance(b), deadline: l.s.now.Add(l.maxWait), duration: duration}
+func (l *exhaustionLoad) startRequest(n *simInstance, b bbunit.BudgetID, duration time.Duration) {
+	r := &exhaustionRequest{instance: n, bal: n.wallet.Balance(b), deadline: l.s.now.Add(l.maxWait), duration: duration}
 	if !l.reserve(r) {
 		n.wallet.AddWaiter(r.bal, l.reserved)
 	}
@@ -43,7 +43,7 @@
 	if !r.bal.Reserve(l.reserved) {
 		return false
 	}
-	r.node.reservations = append(r.node.reservations, simReservation{r.bal, l.reserved})
+	r.instance.reservations = append(r.instance.reservations, simReservation{r.bal, l.reserved})
 	r.served, r.deadline = true, l.s.now.Add(r.duration)
 	return true
 }
@@ -67,27 +67,27 @@
 		if now.Before(r.deadline) {
 			return false
 		}
-		l.s.commit(r.node, 0, l.used)
+		l.s.commit(r.instance, 0, l.used)
 		l.done++
 		return true
 	}
 	if l.reserve(r) {
-		r.node.wallet.RemoveWaiter(r.bal, l.reserved)
+		r.instance.wallet.RemoveWaiter(r.bal, l.reserved)
 		return false
 	}
 	switch {
-	case r.node.wallet.Exhausted(now, r.node.view, r.bal, l.reserved):
-		l.refusedBudget++
+	case r.instance.wallet.Exhausted(now, r.instance.view, r.bal, l.reserved):
+		l.refusedExhausted++
 		if left := l.s.paid(r.bal.Budget) - l.s.spent[r.bal.Budget]; left >= l.reserved {
 			l.falselyRefused++
 			l.maxUnspentAtRefusal = max(l.maxUnspentAtRefusal, left)
 		}
 	case !now.Before(r.deadline):
-		l.refusedShare++
+		l.timedOut++
 	default:
 		return false
 	}
-	r.node.wallet.RemoveWaiter(r.bal, l.reserved)
+	r.instance.wallet.RemoveWaiter(r.bal, l.reserved)
 	return true
 }
 
@@ -100,19 +100,19 @@
 	i := 0
 	s.runFor(30*time.Second, func() {
 		if i < 320 {
-			l.startRequest(s.nodes[i%len(s.nodes)], b, duration+time.Duration(i%5)*20*time.Millisecond)
+			l.startRequest(s.instances[i%len(s.instances)], b, duration+time.Duration(i%5)*20*time.Millisecond)
 			i++
 		}
 		for range 3 {
 			s.runUntilQuiet()
 			l.step()
-			for _, n := range s.liveNodes() {
+			for _, n := range s.liveInstances() {
 				s.sendAll(n, n.wallet.DueMessages(s.now, n.view))
 			}
 		}
 	})
 	t.Logf("%d domains of %d, requests of %s: %d done, refused as exhausted %d, of them falsely %d with up to %d unspent, after the wait %d, %d unspent at the end, %d writes",
-		domains, instancesPerDomain, duration, l.done, l.refusedBudget, l.falselyRefused, l.maxUnspentAtRefusal, l.refusedShare, s.paid(b)-s.spent[b], s.writes)
+		domains, instancesPerDomain, duration, l.done, l.refusedExhausted, l.falselyRefused, l.maxUnspentAtRefusal, l.timedOut, s.paid(b)-s.spent[b], s.writes)
 	return l
 }
 
--- a/shared/bbledger/mark.go
+++ b/shared/bbledger/mark.go
@@ -72,7 +72,7 @@
 	a.marksPending = true
 }
 
-// markedSlice is a grantee's slice with the amount granted replaced by the mark.
+// markedSlice returns a grantee's slice with the mark in place of the granted amount.
 func (a *allocation) markedSlice(h bbunit.HolderID, p Peer) *bbwire.Slice {
 	m := a.sliceMessage(h, p)
 	m.Granted = int64(a.grant(p).markSent)
@@ -184,7 +184,7 @@
 	}
 }
 
-// editWitness writes the new witness to every entry of the holder.
+// editWitness sets the new witness in the holder's record on every entry.
 func (al *Allocator) editWitness(p *bbwire.Page) bool {
 	if al.witnessChange == nil || !al.witnessChange.marksCopied {
 		return false
@@ -201,8 +201,8 @@
 	return changed
 }
 
-// finishWitnessChange takes over the witness that the page names. It must be called
-// only when no write of this allocator can still take effect.
+// finishWitnessChange adopts the witness that the page names. It must be called only
+// when no write of this allocator can still take effect.
 func (al *Allocator) finishWitnessChange(current Peer) {
 	wc := al.witnessChange
 	if wc == nil || !wc.writeStarted {
--- a/shared/bbledger/operator.go
+++ b/shared/bbledger/operator.go
@@ -36,7 +36,7 @@
 	Cap          bbunit.Tokens       `json:"cap,omitempty"`
 	Settled      bbunit.Tokens       `json:"settled"`
 	Drawn        bbunit.Tokens       `json:"drawn"`
-	Spent        bbunit.Tokens       `json:"spent"` // settled, or reported as spent by holders
+	Spent        bbunit.Tokens       `json:"spent"` // settled, or reported as spent by holders and stuck grantees
 	Stuck        bbunit.Tokens       `json:"stuck"`
 	Remaining    bbunit.Tokens       `json:"rest"`
 	Holders      []HolderStatus      `json:"holders,omitempty"`
@@ -92,7 +92,7 @@
 	return s
 }
 
-// ListBudgets reads the budgets of all pages. It blocks on the key-value service.
+// ListBudgets reads the budgets of all pages. It blocks on the store.
 func ListBudgets(ctx context.Context, store bbstore.Store) ([]BudgetStatus, error) {
 	list, _, err := store.List(ctx, PagePrefix)
 	if err != nil {
@@ -115,7 +115,7 @@
 // the ticket can lower the budget without overspending it. It returns
 // ErrBelowDrawn when more than paid is charged, and ErrCapped when a ticket of
 // that number or a later one, with another nonce, has capped the budget. A repeat
-// with the same nonce changes nothing. It blocks on the key-value service.
+// with the same nonce changes nothing. It blocks on the store.
 func Cap(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, paid bbunit.Tokens, number bbunit.TicketNumber, nonce string) error {
 	if err := CheckAmount(paid); err != nil {
 		return err
@@ -135,8 +135,7 @@
 	})
 }
 
-// Uncap removes the cap if it has that number and nonce. It blocks on the key-value
-// service.
+// Uncap removes the cap if it has that number and nonce. It blocks on the store.
 func Uncap(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, number bbunit.TicketNumber, nonce string) error {
 	return editEntry(ctx, store, b, func(e *bbwire.Entry) error {
 		if e.Capnumber == uint64(number) && e.Capnonce == nonce {
@@ -147,11 +146,10 @@
 }
 
 // Release gives the amounts that are stuck under a holder back to the budget; when
-// there are none, it removes the holder and gives back what it has drawn beyond
-// its reported spending. It is for an operator who knows that the instances
+// there are none, it removes the holder and gives back what the holder has drawn
+// beyond its reported spending. It is for an operator who knows that the instances
 // concerned are gone for good: no other call frees tokens that may still be spent.
-// It returns the tokens given back, or ErrNoHolder. It blocks on the key-value
-// service.
+// It returns the tokens given back, or ErrNoHolder. It blocks on the store.
 func Release(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, h bbunit.HolderID) (bbunit.Tokens, error) {
 	var released bbunit.Tokens
 	var attempted, hadStuck bool
--- a/shared/bbledger/operator_test.go
+++ b/shared/bbledger/operator_test.go
@@ -118,7 +118,7 @@
 	is.Equal(e.Settled, int64(12))
 }
 
-func TestApplyTicketOnlyMovesForward(t *testing.T) {
+func TestApplyTicketIgnoresOlderTickets(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		entry       *bbwire.Entry
@@ -151,7 +151,7 @@
 	return bbticket.Numbered[bbticket.Budget]{Number: n, Object: bbticket.Budget{ID: "b", Paid: paid}}
 }
 
-func TestDecodePageRejectsGarbage(t *testing.T) {
+func TestDecodePageRejectsMalformedValues(t *testing.T) {
 	is := is.New(t)
 	_, err := DecodePage([]byte{0xff, 0xff})
 	is.True(errors.Is(err, ErrMalformedPage))
@@ -162,14 +162,14 @@
 
 func TestStuckAmountsKeepSpentApartForAnyGranteeName(t *testing.T) {
 	is := is.New(t)
-	odd := Peer{"spent:g", 1}
+	oddPeer := Peer{"spent:g", 1}
 	e := &bbwire.Entry{Budget: "b", Paid: 100}
 	addStuck(e, "k/1/0-1", granteePeer, 5, 12)
-	addStuck(e, "k/1/0-1", odd, 7, 3)
+	addStuck(e, "k/1/0-1", oddPeer, 7, 3)
 	is.Equal(Charged(e), bbunit.Tokens(27))
 	is.Equal(StatusOf(e).Stuck, bbunit.Tokens(12))
 	is.Equal(StatusOf(e).Spent, bbunit.Tokens(15))
 	is.Equal(dropStuck(e, "k/1/0-1", granteePeer), int64(12))
-	is.Equal(stuckKeys(e), []granteeKey{{"k/1/0-1", odd}}) // the other grantee's amount stays
+	is.Equal(stuckKeys(e), []granteeKey{{"k/1/0-1", oddPeer}}) // the other grantee's amount stays
 	is.Equal(Charged(e), bbunit.Tokens(10))
 }
--- a/shared/bbledger/page.go
+++ b/shared/bbledger/page.go
@@ -37,15 +37,15 @@
 	return int(xxhash.Sum64String(string(b)) % PageCount)
 }
 
-// PageKey returns the key of a page in the key-value service.
+// PageKey returns the key of a page in the store.
 func PageKey(n int) string { return fmt.Sprintf("%s%04d", PagePrefix, n) }
 
 // PageHomeKey returns the key by which instances are ranked to find the home of a
 // page and its witness.
 func PageHomeKey(n int) string { return fmt.Sprintf("page/%04d", n) }
 
-// DecodePage decodes the stored value of a page; nil gives an empty page. It returns
-// ErrMalformedPage.
+// DecodePage decodes the stored value of a page; nil gives an empty page. The error
+// is an ErrMalformedPage.
 func DecodePage(value []byte) (*bbwire.Page, error) {
 	p := &bbwire.Page{}
 	if err := proto.Unmarshal(value, p); err != nil {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// EffectiveLimit is how much may be charged to the budget: the paid amount, or the
+// EffectiveLimit returns how much may be charged to the budget: the paid amount, or the
 // lower cap of a ticket that is not in force yet.
 func EffectiveLimit(e *bbwire.Entry) bbunit.Tokens {
 	if e.Capnumber > e.Number && e.Cap < e.Paid {
@@ -108,7 +108,8 @@
 	return bbunit.Tokens(e.Paid)
 }
 
-// Charged is all that counts against the budget: what is settled, stuck or drawn.
+// Charged returns all that counts against the budget: what is settled, drawn, stuck,
+// or reported as spent by stuck grantees.
 func Charged(e *bbwire.Entry) bbunit.Tokens {
 	n := e.Settled
 	for _, s := range e.Stuck {
@@ -120,7 +121,7 @@
 	return bbunit.Tokens(n)
 }
 
-// Remaining is what may still be drawn of the budget, at least 0.
+// Remaining returns what may still be drawn of the budget, at least 0.
 func Remaining(e *bbwire.Entry) bbunit.Tokens {
 	return max(0, EffectiveLimit(e)-Charged(e))
 }
@@ -168,7 +169,8 @@
 	}
 }
 
-// findStuck returns the stuck amount that a grantee has of a holder, or nil.
+// findStuck returns the record of what is stuck with a grantee under a holder, or
+// nil.
 func findStuck(e *bbwire.Entry, h bbunit.HolderID, g Peer) *bbwire.Stuck {
 	for _, s := range e.Stuck {
 		if s.Holder == string(h) && s.Grantee == g.String() {
--- a/shared/bbledger/page_test.go
+++ b/shared/bbledger/page_test.go
@@ -18,13 +18,13 @@
 	p.Entries[2].Holders[1].Witness = "another/1"
 	p.Entries[3].Stuck = []*bbwire.Stuck{{Holder: "h", Grantee: "g", Amount: 7}}
 	p.Entries[4].Cap, p.Entries[4].Capnumber, p.Entries[4].Capnonce = 9, 10, "n"
-	was := clonePage(p)
+	before := clonePage(p)
 	v, err := EncodePage(p)
 	is.NoErr(err)
-	is.True(proto.Equal(p, was)) // encoding does not modify the page
+	is.True(proto.Equal(p, before)) // encoding does not modify the page
 	got, err := DecodePage(v)
 	is.NoErr(err)
-	is.True(proto.Equal(got, was))
+	is.True(proto.Equal(got, before))
 
 	bad, err := proto.Marshal(&bbwire.Page{Entries: []*bbwire.Entry{{Budget: "b", Holders: []*bbwire.Holder{{Name: 2}}}}})
 	is.NoErr(err)
--- a/shared/bbledger/recall.go
+++ b/shared/bbledger/recall.go
@@ -59,7 +59,7 @@
 	return out
 }
 
-// maxUnspent is what the grantee may still spend if it were granted all of its mark;
+// maxUnspent returns what the grantee may still spend if it were granted all of its mark;
 // 0 when it is recorded as stuck.
 func (gr *grant) maxUnspent() bbunit.Tokens {
 	if gr.stuck {
@@ -104,7 +104,7 @@
 			case al.willBeClosed(h):
 				left.Lent += h.Drawn - h.Spent
 			case al.policy.Borrow && !slices.Contains(domainsOf(al.view), bbunit.DomainID(h.Domain)):
-				left.Rest += h.Drawn - h.Spent // no instance is left there to ask
+				left.Rest += h.Drawn - h.Spent // the holder's failure domain has no instance to ask
 			}
 		}
 	}
@@ -122,8 +122,8 @@
 	return p == al.peer || !alive(al.view, p) && alive(al.view, ParsePeer(h.Witness))
 }
 
-// unspentDraw is how much of the draw is not reported as spent, without what missing
-// grantees hold.
+// unspentDraw returns how much of the draw is not reported as spent, without what
+// missing grantees hold.
 func (al *Allocator) unspentDraw(a *allocation) bbunit.Tokens {
 	n := a.drawLimit
 	for p, gr := range a.grants {
@@ -146,7 +146,8 @@
 	return e
 }
 
-// available is what a want can be granted without a recall. The page must not be nil.
+// available returns what a want can be granted without a recall. The page must not
+// be nil.
 func (al *Allocator) available(a *allocation, w *want) bbunit.Tokens {
 	gr := a.grant(w.grantee)
 	return Remaining(al.currentEntry(a)) + a.headroom() + gr.markSent - gr.granted
@@ -184,8 +185,8 @@
 	return ok
 }
 
-// Exhausted reports whether all allocators are empty and fewer than n tokens may
-// still be returned when open requests end.
+// Exhausted reports whether AllAllocatorsEmpty holds and fewer than n tokens may still
+// be returned when open requests end.
 func (w *Wallet) Exhausted(now time.Time, v *bbmember.View, bal *Balance, n bbunit.Tokens) bool {
 	possible, ok := w.possibleRefill(now, v, bal)
 	return ok && possible < n
--- a/shared/bbledger/recall_test.go
+++ b/shared/bbledger/recall_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestAllocatorGrantsWhatARecallBrought(t *testing.T) {
+func TestAllocatorGrantsRecalledTokens(t *testing.T) {
 	f := fullyGrantedFixture(t)
 	writes := f.rev
 	f.actions = nil
--- a/shared/bbledger/sim_test.go
+++ b/shared/bbledger/sim_test.go
@@ -22,7 +22,7 @@
 	page        *bbwire.Page
 	rev         bbstore.Revision
 	lateWrites  []Save // unanswered writes that may still take effect
-	nodes       []*simNode
+	instances   []*simInstance
 	network     []simMessage
 	partitioned map[[2]bbunit.DomainID]bool
 	storeDown   map[bbunit.DomainID]bool // failure domains that cannot reach the store
@@ -35,7 +35,7 @@
 	fail        func(format string, args ...any)
 }
 
-type simNode struct {
+type simInstance struct {
 	member           bbmember.Member
 	policy           Policy
 	view             *bbmember.View
@@ -90,16 +90,16 @@
 	return s
 }
 
-func (s *sim) add(m bbmember.Member, policy Policy) *simNode {
-	n := &simNode{member: m, policy: policy, wallet: NewWallet(m, policy), witness: &Witness{}}
+func (s *sim) add(m bbmember.Member, policy Policy) *simInstance {
+	n := &simInstance{member: m, policy: policy, wallet: NewWallet(m, policy), witness: &Witness{}}
 	n.view = &bbmember.View{Self: m, Members: []bbmember.Member{m}}
 	n.allocator = NewAllocator(PageOf(s.budgets[0]), m, policy, func() uint64 { n.lastHolderNumber++; return n.lastHolderNumber })
-	s.nodes = append(s.nodes, n)
+	s.instances = append(s.instances, n)
 	return n
 }
 
 // restart brings a dead instance back with the next incarnation.
-func (s *sim) restart(n *simNode) {
+func (s *sim) restart(n *simInstance) {
 	m := n.member
 	m.Inc++
 	s.refreshViews()
@@ -107,9 +107,9 @@
 	s.setView(x, nil)
 }
 
-func (s *sim) liveNodes() []*simNode {
-	var out []*simNode
-	for _, n := range s.nodes {
+func (s *sim) liveInstances() []*simInstance {
+	var out []*simInstance
+	for _, n := range s.instances {
 		if !n.dead {
 			out = append(out, n)
 		}
@@ -117,10 +117,10 @@
 	return out
 }
 
-// setView gives a node the list of live instances without the missed one.
-func (s *sim) setView(n *simNode, missed *simNode) {
+// setView gives an instance the list of live instances without the missed one.
+func (s *sim) setView(n *simInstance, missed *simInstance) {
 	v := &bbmember.View{Self: n.member}
-	for _, x := range s.liveNodes() {
+	for _, x := range s.liveInstances() {
 		if x != missed {
 			v.Members = append(v.Members, x.member)
 		}
@@ -129,7 +129,7 @@
 }
 
 func (s *sim) refreshViews() {
-	for _, n := range s.liveNodes() {
+	for _, n := range s.liveInstances() {
 		s.setView(n, nil)
 	}
 }
@@ -141,8 +141,8 @@
 
 func (s *sim) paid(b bbunit.BudgetID) bbunit.Tokens { return s.state.Budgets.Get(b).Object.Paid }
 
-// perform carries out the actions of a node's allocator.
-func (s *sim) perform(n *simNode, actions []any) {
+// perform carries out the actions of an instance's allocator.
+func (s *sim) perform(n *simInstance, actions []any) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
@@ -156,20 +156,20 @@
 	}
 }
 
-func (s *sim) send(n *simNode, a Send) {
+func (s *sim) send(n *simInstance, a Send) {
 	m := simMessage{from: PeerOf(n.member), to: a.To, body: a.Body}
 	m.domains[0] = n.member.Domain
 	s.network = append(s.network, m)
 }
 
-func (s *sim) sendAll(n *simNode, list []Send) {
+func (s *sim) sendAll(n *simInstance, list []Send) {
 	for _, a := range list {
 		s.send(n, a)
 	}
 }
 
-// tick advances a node to the current time.
-func (s *sim) tick(n *simNode) {
+// tick advances an instance to the current time.
+func (s *sim) tick(n *simInstance) {
 	if n.dead || n.paused {
 		return
 	}
@@ -183,14 +183,14 @@
 	if !duplicate {
 		s.network = append(s.network[:i:i], s.network[i+1:]...)
 	}
-	for _, n := range s.liveNodes() {
+	for _, n := range s.liveInstances() {
 		if n.member.ID == m.to && !n.paused && (m.from == PeerOf(n.member) || !s.partitioned[[2]bbunit.DomainID{m.domains[0], n.member.Domain}]) {
 			s.receive(n, m)
 		}
 	}
 }
 
-func (s *sim) receive(n *simNode, m simMessage) {
+func (s *sim) receive(n *simInstance, m simMessage) {
 	switch b := m.body.(type) {
 	case *bbwire.GrantAsk:
 		s.perform(n, n.allocator.Step(s.now, GrantRequested{From: m.from, Msg: b}))
@@ -222,8 +222,8 @@
 	outcomeWriteDelayed         // it may take effect later, the answer is lost
 )
 
-// finishStoreCall ends a node's store call with an outcome.
-func (s *sim) finishStoreCall(n *simNode, result outcome) {
+// finishStoreCall ends an instance's store call with an outcome.
+func (s *sim) finishStoreCall(n *simInstance, result outcome) {
 	call := n.storeCall
 	n.storeCall = nil
 	if s.storeDown[n.member.Domain] {
@@ -283,7 +283,7 @@
 	s.applySave(a)
 }
 
-func (s *sim) reserve(n *simNode, b bbunit.BudgetID, amount bbunit.Tokens) bool {
+func (s *sim) reserve(n *simInstance, b bbunit.BudgetID, amount bbunit.Tokens) bool {
 	if n.dead || n.paused || n.drained {
 		return false
 	}
@@ -299,16 +299,16 @@
 	return false
 }
 
-func (s *sim) commit(n *simNode, i int, used bbunit.Tokens) {
+func (s *sim) commit(n *simInstance, i int, used bbunit.Tokens) {
 	r := n.reservations[i]
 	n.reservations = append(n.reservations[:i:i], n.reservations[i+1:]...)
 	r.bal.Commit(r.reserved, used)
 	s.spent[r.bal.Budget] += min(used, r.reserved)
 }
 
-// crash stops a node for good. Reservations of its open requests count as spent, since
-// they may have been.
-func (s *sim) crash(n *simNode) {
+// crash stops an instance for good. Reservations of its open requests count as spent,
+// since a target may have run them.
+func (s *sim) crash(n *simInstance) {
 	for len(n.reservations) > 0 {
 		s.commit(n, 0, n.reservations[0].reserved)
 	}
@@ -321,7 +321,7 @@
 func (s *sim) checkBudgets() {
 	for _, b := range s.budgets {
 		committed := s.spent[b]
-		for _, n := range s.liveNodes() {
+		for _, n := range s.liveInstances() {
 			for _, r := range n.reservations {
 				if r.bal.Budget == b {
 					committed += r.reserved
@@ -346,7 +346,7 @@
 func (s *sim) runFor(d time.Duration, each func()) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(TickInterval)
-		for _, n := range s.liveNodes() {
+		for _, n := range s.liveInstances() {
 			s.tick(n)
 		}
 		if each != nil {
@@ -364,7 +364,7 @@
 			s.deliver(0, false)
 			busy = true
 		}
-		for _, n := range s.liveNodes() {
+		for _, n := range s.liveInstances() {
 			if n.storeCall != nil {
 				s.finishStoreCall(n, outcomeOK)
 				busy = true
@@ -384,18 +384,18 @@
 	for len(s.lateWrites) > 0 {
 		s.applyLateSave(0)
 	}
-	for _, n := range s.nodes {
+	for _, n := range s.instances {
 		n.paused = false
 	}
 	s.refreshViews()
-	for _, n := range s.liveNodes() {
+	for _, n := range s.liveInstances() {
 		s.perform(n, n.allocator.Step(s.now, Refresh{}))
 	}
 }
 
 // drainAll begins the planned stop of all instances.
 func (s *sim) drainAll() {
-	for _, n := range s.liveNodes() {
+	for _, n := range s.liveInstances() {
 		for len(n.reservations) > 0 {
 			s.commit(n, 0, n.reservations[0].reserved/2)
 		}
@@ -405,7 +405,7 @@
 
 // drain begins the planned stop of an instance. The instance stays in the view, so
 // that the page has a home when all are stopped.
-func (s *sim) drain(n *simNode) {
+func (s *sim) drain(n *simInstance) {
 	n.drained = true
 	n.wallet.Drain()
 	s.perform(n, n.allocator.Step(s.now, Retire{}))
@@ -414,19 +414,19 @@
 // checkSettled fails unless all tokens are settled, returned, or stuck with an
 // instance that crashed.
 func (s *sim) checkSettled() {
-	alive := map[string]bool{}
-	for _, n := range s.liveNodes() {
-		alive[PeerOf(n.member).String()] = true
+	livePeers := map[string]bool{}
+	for _, n := range s.liveInstances() {
+		livePeers[PeerOf(n.member).String()] = true
 	}
 	for _, b := range s.budgets {
 		e := entryOrEmpty(s.page, b)
 		for _, x := range e.Stuck {
-			if alive[x.Grantee] && x.Amount > 0 {
+			if livePeers[x.Grantee] && x.Amount > 0 {
 				s.fail("budget %s: still stuck with a live instance: %v", b, x)
 			}
 		}
 		for _, h := range e.Holders {
-			if alive[HolderPeer(bbunit.HolderID(h.Holder)).String()] || alive[h.Witness] {
+			if livePeers[HolderPeer(bbunit.HolderID(h.Holder)).String()] || livePeers[h.Witness] {
 				s.fail("budget %s: not closed: %v", b, h)
 			}
 		}
@@ -441,7 +441,7 @@
 
 // step performs one random step.
 func (s *sim) step(t *rapid.T) {
-	n := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
+	n := s.instances[rapid.IntRange(0, len(s.instances)-1).Draw(t, "node")]
 	b := s.budgets[rapid.IntRange(0, len(s.budgets)-1).Draw(t, "budget")]
 	switch rapid.IntRange(0, 39).Draw(t, "what") {
 	case 0, 1, 2, 3, 4, 5, 6, 7:
@@ -452,7 +452,7 @@
 		}
 	case 12, 13, 14, 15, 16, 17, 18, 19:
 		s.now = s.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
-		for _, x := range s.liveNodes() {
+		for _, x := range s.liveInstances() {
 			s.tick(x)
 		}
 	case 20, 21, 22, 23, 24:
@@ -467,7 +467,7 @@
 			s.network = append(s.network[:i:i], s.network[i+1:]...)
 		}
 	case 26, 27, 28, 29, 30:
-		for _, x := range s.nodes {
+		for _, x := range s.instances {
 			if x.storeCall != nil {
 				s.finishStoreCall(x, rapid.SampledFrom([]outcome{outcomeOK, outcomeOK, outcomeOK, outcomeUnavailable, outcomeReplyLost, outcomeWriteLost, outcomeWriteDelayed}).Draw(t, "outcome"))
 			}
@@ -481,11 +481,11 @@
 	case 33:
 		s.injectFault(t, n)
 	case 34:
-		for _, x := range s.liveNodes() {
+		for _, x := range s.liveInstances() {
 			s.setView(x, nil)
 		}
 	case 35:
-		s.setView(n, s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "missed")])
+		s.setView(n, s.instances[rapid.IntRange(0, len(s.instances)-1).Draw(t, "missed")])
 	case 36:
 		if s.paid(b) < 1000 {
 			s.setPaid(b, s.paid(b)+bbunit.Tokens(rapid.IntRange(1, 100).Draw(t, "topup")))
@@ -500,7 +500,7 @@
 
 // injectFault changes one fault: it crashes, restarts or drains an instance, toggles
 // the connection of a failure domain, or lowers a budget.
-func (s *sim) injectFault(t *rapid.T, n *simNode) {
+func (s *sim) injectFault(t *rapid.T, n *simInstance) {
 	domains := []bbunit.DomainID{"a", "b"}
 	switch rapid.IntRange(0, 8).Draw(t, "fault") {
 	case 0:
@@ -540,7 +540,7 @@
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "between") {
 		s.now = s.now.Add(TickInterval)
-		for _, n := range s.liveNodes() {
+		for _, n := range s.liveInstances() {
 			s.tick(n)
 		}
 		s.runUntilQuiet()
@@ -577,7 +577,7 @@
 }
 
 func (s *sim) isLive(id bbunit.InstanceID) bool {
-	for _, n := range s.liveNodes() {
+	for _, n := range s.liveInstances() {
 		if n.member.ID == id {
 			return true
 		}
--- a/shared/bbledger/stuck.go
+++ b/shared/bbledger/stuck.go
@@ -7,7 +7,7 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// checkGrantees notes since when grantees are missing from the view. Tokens of a
+// checkGrantees records since when grantees are missing from the view. Tokens of a
 // missing grantee are not taken back, since it may still spend them. They move
 // from the holder to the budget's stuck amounts, where operators see them, and
 // where a grantee that was only unreachable can still account for them.
@@ -35,7 +35,7 @@
 	return gr.outstanding() > 0 && !gr.missingSince.IsZero() && al.now.Sub(gr.missingSince) >= stuckDelay
 }
 
-// outstanding is what the grantee may still spend; 0 when it is recorded as stuck.
+// outstanding returns what the grantee may still spend; 0 when it is recorded as stuck.
 func (gr *grant) outstanding() bbunit.Tokens {
 	if gr.stuck {
 		return 0
--- a/shared/bbledger/summary.go
+++ b/shared/bbledger/summary.go
@@ -44,8 +44,8 @@
 	return &al.viewCache
 }
 
-// summary returns the summary of the page, which must not be nil.
-func (al *Allocator) summary() *pageSummary {
+// pageSummary returns the summary of the page, which must not be nil.
+func (al *Allocator) pageSummary() *pageSummary {
 	s := al.summaryCache
 	if s != nil && s.page == al.page && s.view == al.view && s.state == al.state && s.holder == al.holder {
 		return s
@@ -70,9 +70,10 @@
 	return s
 }
 
-// needsWrite reports whether editPage may change the page. It needs no copy.
+// needsWrite reports whether editPage may change the page. Unlike editPage, it needs
+// no copy of the page.
 func (al *Allocator) needsWrite() bool {
-	s := al.summary()
+	s := al.pageSummary()
 	if s.hasOutdated || s.hasSettledStuck || al.canRecordStuck() || s.hasStuck && len(al.finalReports) > 0 || al.witnessChange != nil && al.witnessChange.marksCopied {
 		return true
 	}
@@ -99,8 +100,8 @@
 	return false
 }
 
-// surplusDuration notes whether there is surplus now and returns for how long there
-// has been.
+// surplusDuration records whether there is a surplus now and returns for how long
+// there has been one.
 func (a *allocation) surplusDuration(now time.Time, surplus bool) time.Duration {
 	if !surplus {
 		a.surplusSince = time.Time{}
--- a/shared/bbledger/wallet.go
+++ b/shared/bbledger/wallet.go
@@ -82,11 +82,11 @@
 	return out
 }
 
-// AddWaiter counts in a request that waits for n tokens of the balance. RemoveWaiter
-// must follow when it stops waiting.
+// AddWaiter records a request that waits for n tokens of the balance. RemoveWaiter
+// must follow when the request stops waiting.
 func (w *Wallet) AddWaiter(bal *Balance, n bbunit.Tokens) { bal.refill.addWaiter(n) }
 
-// RemoveWaiter counts out a request that AddWaiter counted in.
+// RemoveWaiter removes a request that AddWaiter recorded.
 func (w *Wallet) RemoveWaiter(bal *Balance, n bbunit.Tokens) { bal.refill.removeWaiter(n) }
 
 // allocators lists the instances whose allocators of the page may be asked, that of
@@ -134,9 +134,9 @@
 	return out
 }
 
-// DueMessages returns the messages to send now: wants of balances that run short,
-// and every reportInterval what was spent. Calls within a TickInterval visit only
-// balances that run short.
+// DueMessages returns the messages to send now: wants of balances that run short
+// and, every reportInterval, reports of what was spent. Calls within a TickInterval
+// visit only balances that run short.
 func (w *Wallet) DueMessages(now time.Time, v *bbmember.View) []Send {
 	batch := requestBatch{self: w.self, byInstance: map[bbunit.InstanceID]*bbwire.GrantAsk{}}
 	report := now.Sub(w.reportedAt) >= reportInterval || w.draining
--- a/shared/bbledger/wallet_test.go
+++ b/shared/bbledger/wallet_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestWitnessForgetsNoFreeze(t *testing.T) {
+func TestWitnessKeepsHoldersFrozen(t *testing.T) {
 	is := is.New(t)
 	var w Witness
 	mark := func(n int64) *bbwire.Mark {
--- a/shared/bbledger/witness.go
+++ b/shared/bbledger/witness.go
@@ -27,8 +27,8 @@
 	grantee string
 }
 
-// ensure returns the holder's marks, adding an empty record if there is none.
-func (w *Witness) ensure(h bbunit.HolderID) *holderMarks {
+// ensureMarks returns the holder's record, adding an empty one if there is none.
+func (w *Witness) ensureMarks(h bbunit.HolderID) *holderMarks {
 	if w.holders == nil {
 		w.holders = map[bbunit.HolderID]*holderMarks{}
 	}
@@ -42,7 +42,7 @@
 
 // Mark raises the marks of a holder, unless it is frozen, and returns the answer.
 func (w *Witness) Mark(m *bbwire.Mark) *bbwire.MarkAck {
-	hm := w.ensure(bbunit.HolderID(m.Holder))
+	hm := w.ensureMarks(bbunit.HolderID(m.Holder))
 	ack := &bbwire.MarkAck{Holder: m.Holder, Seq: m.Seq, Frozen: hm.frozen}
 	if hm.frozen {
 		return ack
@@ -63,7 +63,7 @@
 // Freeze refuses all further marks of the holder, even of an unknown one, and
 // returns the last ones.
 func (w *Witness) Freeze(f *bbwire.Freeze) *bbwire.FreezeTell {
-	hm := w.ensure(bbunit.HolderID(f.Holder))
+	hm := w.ensureMarks(bbunit.HolderID(f.Holder))
 	hm.frozen = true
 	tell := &bbwire.FreezeTell{Holder: f.Holder, Known: hm.marked}
 	for _, s := range hm.marks {
