--- a/shared/bbcli/parse.go
+++ b/shared/bbcli/parse.go
@@ -71,7 +71,7 @@
 		flag, _, found := strings.Cut(line, ":")
 		reported[flag] = true
 		if !found || !strings.HasPrefix(flag, "--") {
-			return parseErrors // not parsed as a whole, so the checked values mean nothing
+			return parseErrors // the flags may not have been set from the command line
 		}
 	}
 	for _, line := range checkErrors {
--- a/shared/bbclock/wait.go
+++ b/shared/bbclock/wait.go
@@ -1,4 +1,4 @@
-// Package bbclock provides waits that end with a context.
+// Package bbclock provides a wait that ends early when a context is done.
 package bbclock
 
 import (
--- a/shared/bbplan/plan.go
+++ b/shared/bbplan/plan.go
@@ -16,8 +16,8 @@
 // RouteID names a route.
 type RouteID string
 
-// Kind is the kind of requests of a route: whether they may be repeated, and how
-// the answer is sent.
+// Kind says whether the requests of a route may be repeated, and whether the answer
+// is a stream.
 type Kind int
 
 // Kinds of requests.
--- a/shared/bbshare/allocator.go
+++ b/shared/bbshare/allocator.go
@@ -25,10 +25,10 @@
 	// MaxHeld bounds the shares of all holders together, as a fraction of the free
 	// tokens. Each holder's part of it is proportional to what it has spent.
 	MaxHeld float64
-	// MaxHeld shrinks linearly with the tokens lost with killed instances. It would
-	// reach 0 at a loss of LossLimit, a fraction of what the account has paid, but
-	// keeps at least MinScale of its value. Instances that keep crashing thus get
-	// small shares.
+	// LossLimit and MinScale lower MaxHeld by the tokens lost with killed instances,
+	// so that instances that keep crashing get small shares: linearly down to 0 at a
+	// loss of LossLimit, a fraction of what the account has paid, but not below
+	// MinScale times MaxHeld.
 	LossLimit, MinScale float64
 	// PriorSpent is the spending that all holders together are assumed to have
 	// before any is recorded, as a fraction of what the account has paid.
@@ -68,7 +68,7 @@
 	shares    map[bbunit.AccountID]*AccountShare
 	// largestRequest is the largest recent request of any account, in tokens.
 	largestRequest int64
-	// draining means that only unmet requests are still served.
+	// draining means that grants are raised only for unmet requests.
 	draining bool
 }
 
@@ -139,8 +139,8 @@
 	return s.row.UnspentByOthers(holder)
 }
 
-// ApplyRows updates the shares from rows read from the store. Malformed rows are
-// skipped; rowErrs has an error for each, annotated with the row's key.
+// ApplyRows updates the shares from rows read from the store. It skips malformed
+// rows; rowErrs has an error for each, annotated with the row's key.
 func (a *Allocator) ApplyRows(entries []bbstore.Entry) (rowErrs []error) {
 	for _, e := range entries {
 		if len(e.Key) <= len(a.keyPrefix) || e.Key[:len(a.keyPrefix)] != a.keyPrefix {
@@ -218,9 +218,9 @@
 
 // NextWrite returns the next write, or nil if none is needed. Holders is the number
 // of instances that hold shares of the accounts. Without prefetch, there is a
-// write only if a request could not be reserved, but it then covers other accounts
-// as well. Tokens that the write gives back are removed from the balance at once,
-// so that they cannot be spent while the write is pending.
+// write only if a request could not be reserved; that write then changes the grants
+// of other accounts as well. Tokens that the write gives back are removed from the
+// balance at once, so that they cannot be spent while the write is pending.
 func (a *Allocator) NextWrite(holders int, prefetch bool) *RowWrite {
 	type candidate struct {
 		s        *AccountShare
@@ -233,7 +233,7 @@
 			continue
 		}
 		unmet := s.Balance.unmet.Swap(0)
-		if newGrant, ok := a.targetGrant(s, unmet, holders); ok {
+		if newGrant, ok := a.desiredGrant(s, unmet, holders); ok {
 			candidates = append(candidates, candidate{s, newGrant, unmet})
 			prefetch = prefetch || unmet > 0
 		}
@@ -260,9 +260,9 @@
 	w.changes = append(w.changes, grantChange{share: s, row: row, granted: granted})
 }
 
-// targetGrant returns what the grant of a share should become, and whether that
-// is worth a write.
-func (a *Allocator) targetGrant(s *AccountShare, unmet int64, holders int) (bbunit.Tokens, bool) {
+// desiredGrant returns what the grant of a share should become, and whether the
+// change is worth a write.
+func (a *Allocator) desiredGrant(s *AccountShare, unmet int64, holders int) (bbunit.Tokens, bool) {
 	if s.fenced || s.remoteHome || s.paid <= 0 && s.granted == 0 {
 		return 0, false
 	}
--- a/shared/bbshare/allocator_test.go
+++ b/shared/bbshare/allocator_test.go
@@ -210,7 +210,7 @@
 
 // A graceful stop must return unspent tokens, so that another instance can spend
 // them.
-func TestStopGivesBack(t *testing.T) {
+func TestStopReturnsUnspentTokens(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(2, 1000)
 	first := s.instances[0].allocator
@@ -220,9 +220,9 @@
 	is.True(s.reserve(1, 800))
 }
 
-// The whole grant of a killed instance must count as used: its next incarnation
-// gets only the rest.
-func TestKillLosesWhatWasGranted(t *testing.T) {
+// The whole grant of a killed instance must count as used: the next incarnation
+// gets only what was not granted.
+func TestKilledHolderLosesItsWholeGrant(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(1, 1000)
 	a := s.instances[0].allocator
--- a/shared/bbshare/balance.go
+++ b/shared/bbshare/balance.go
@@ -1,9 +1,10 @@
 // Package bbshare divides prepaid client accounts among the instances of a fleet.
-// The platform's store has one row per account, which records how many tokens each
-// holder has been granted. Rows change by compare-and-swap only. The grants of a
-// row never exceed what the account has paid, and an instance never spends more
-// than it was granted or lent, so network partitions, pauses, crashes and lost answers
-// cannot cause overspending. The package reads no clock and does no I/O.
+// The store (the platform's key-value service) has one row per account, which
+// records how many tokens each holder has been granted. Rows change by
+// compare-and-swap only. The grants of a row never exceed what the account has
+// paid, and an instance never spends more than it was granted or lent, so network
+// partitions, pauses, crashes and lost answers cannot cause overspending. The
+// package reads no clock and does no I/O.
 package bbshare
 
 import (
--- a/shared/bbshare/home.go
+++ b/shared/bbshare/home.go
@@ -54,21 +54,21 @@
 		}
 		unmet := s.Balance.unmet.Swap(0)
 		available := s.Balance.available.Load()
-		target := 0.0
+		desired := 0.0
 		if !a.draining {
-			target = a.memberTarget(s, policy, instances)
+			desired = a.desiredLoanShare(s, policy, instances)
 		}
-		if unmet > 0 || float64(available) < policy.RefillBelow*target {
-			out = append(out, LoanRequest{Account: s.ID, Need: bbunit.Tokens(unmet), Prefetch: bbunit.Tokens(max(int64(target)-available, 0))})
+		if unmet > 0 || float64(available) < policy.RefillBelow*desired {
+			out = append(out, LoanRequest{Account: s.ID, Need: bbunit.Tokens(unmet), Prefetch: bbunit.Tokens(max(int64(desired)-available, 0))})
 		}
 	}
 	return out
 }
 
-// memberTarget returns the desired share of an instance that is not the home: its
-// demand over the horizon, limited to a part of the free tokens that follows what
-// the instance has spent.
-func (a *Allocator) memberTarget(s *AccountShare, policy HomePolicy, instances int) float64 {
+// desiredLoanShare returns how many tokens an instance that is not the home should
+// have: its demand over the horizon, but at most a part of the free tokens that is
+// proportional to what the instance has spent.
+func (a *Allocator) desiredLoanShare(s *AccountShare, policy HomePolicy, instances int) float64 {
 	desired := s.demand * policy.Horizon.Seconds()
 	if s.demand > 0 {
 		desired = max(desired, float64(s.largestRequest))
--- a/shared/bbshare/loan.go
+++ b/shared/bbshare/loan.go
@@ -9,11 +9,11 @@
 
 // A loan moves tokens from one holder's balance to another's without a write to the
 // store. The lender counts the loan as spent, so that it cannot be spent twice. The
-// borrower returns to the store what it does not need. A loan that is lost in
-// transit stays counted as spent.
+// borrower returns to the store what it does not need. A loan whose message is lost
+// stays counted as spent.
 
-// LendUpTo removes up to n from the available balance, counts it as spent and
-// returns the amount.
+// LendUpTo removes up to n from the available balance, counts the amount removed as
+// spent and returns it.
 func (s *AccountShare) LendUpTo(n bbunit.Tokens) bbunit.Tokens {
 	taken := s.Balance.takeUpTo(int64(n))
 	s.Balance.spent.Add(taken)
--- a/shared/bbshare/row.go
+++ b/shared/bbshare/row.go
@@ -78,8 +78,8 @@
 	return sum
 }
 
-// withGrant returns a copy in which the holder has the grant. Earlier incarnations
-// of its instance are closed; their whole grants count as used.
+// withGrant returns a copy in which the holder has the grant. It closes earlier
+// incarnations of the same instance; their whole grants count as used.
 func (r Row) withGrant(id bbunit.HolderID, g Grant) Row {
 	next := Row{Closed: r.Closed, Lost: r.Lost, Holders: maps.Clone(r.Holders)}
 	if next.Holders == nil {
@@ -105,8 +105,8 @@
 	return next
 }
 
-// NewHolderID returns the holder id of one incarnation of an instance. Address is
-// where peers reach it.
+// NewHolderID returns the holder id of one incarnation of an instance, in the form
+// instance@address/incarnation. Address is where peers reach the instance.
 func NewHolderID(instance, address bbunit.InstanceID, incarnation string) bbunit.HolderID {
 	return bbunit.HolderID(string(instance) + "@" + string(address) + "/" + incarnation)
 }
--- a/shared/bbunit/unit.go
+++ b/shared/bbunit/unit.go
@@ -38,11 +38,12 @@
 // random number chosen at each start.
 type Incarnation uint64
 
-// TicketNumber is the position of a change ticket in the log, starting at 1.
+// TicketNumber is the position of a change ticket (a change of the declared
+// configuration) in the log of tickets, starting at 1.
 type TicketNumber uint64
 
-// Fence is a fencing token: a target rejects an order with a lower number than it
-// has seen as stale.
+// Fence is the fencing token of an operator's order to a target. The target rejects
+// an order as stale if it has seen one with a higher token.
 type Fence uint64
 
 // Tokens is an amount of prepaid tokens.
