--- a/bluebellport/proxy/attempt.go
+++ b/bluebellport/proxy/attempt.go
@@ -192,7 +192,7 @@
 // writeResponse writes a response whose body has been read whole.
 func (x *exchange) writeResponse(resp *Response, body []byte) attemptResult {
 	x.stream.complete = true
-	closeConn := x.req.Close || x.proxy.state.closeConns()
+	closeConn := x.req.Close || x.proxy.board.closeConns()
 	head := responseHead(resp, len(body), closeConn)
 	if x.req.Method == http.MethodHead {
 		body = nil
--- a/bluebellport/proxy/state.go
+++ b/bluebellport/proxy/board.go
@@ -12,9 +12,10 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// SharedState holds what the controllers publish and the requests read:
-// immutable snapshots, each replaced as a whole by the controller that owns it.
-type SharedState struct {
+// Board is the shared, lock-free state that the controllers write and the
+// requests read: immutable snapshots, each replaced as a whole by the controller
+// that owns it.
+type Board struct {
 	// Plan is what the operators declared. The follower owns it.
 	Plan atomic.Pointer[bbplan.Plan]
 	// Services holds the targets by service. The follower owns it.
@@ -37,22 +38,22 @@
 }
 
 // Ready reports whether new connections should come to this instance.
-func (s *SharedState) Ready() bool {
-	return s.Plan.Load() != nil && s.Services.Load() != nil && !s.closeConns()
+func (b *Board) Ready() bool {
+	return b.Plan.Load() != nil && b.Services.Load() != nil && !b.closeConns()
 }
 
 // UsesHomes reports whether the fleet is larger than maxDirectFleet. Then each
 // account has a home in each failure domain, which draws for the other instances
 // there.
-func (s *SharedState) UsesHomes() bool { return s.Instances.Load() > maxDirectFleet }
+func (b *Board) UsesHomes() bool { return b.Instances.Load() > maxDirectFleet }
 
 // closeConns reports whether responses ask clients to connect again, which may
 // take them to another instance.
-func (s *SharedState) closeConns() bool { return s.Leaving.Load() || s.LinkSaturated.Load() }
+func (b *Board) closeConns() bool { return b.Leaving.Load() || b.LinkSaturated.Load() }
 
 // targetsOf returns the targets of a service, nil if none is known.
-func (s *SharedState) targetsOf(id bbunit.ServiceID) *ServiceTargets {
-	services := s.Services.Load()
+func (b *Board) targetsOf(id bbunit.ServiceID) *ServiceTargets {
+	services := b.Services.Load()
 	if services == nil {
 		return nil
 	}
--- a/bluebellport/proxy/clientconn.go
+++ b/bluebellport/proxy/clientconn.go
@@ -29,7 +29,7 @@
 // limits returns the limits of the plan in force, or else the defaults.
 func (c *clientConn) limits() bbplan.Limits {
 	limits := bbplan.Limits{MaxHeaderBytes: maxHead, MaxBodyBytes: maxBody, HeaderTimeout: defaultHeadTimeout, IdleTimeout: defaultIdleTimeout}
-	plan := c.proxy.state.Plan.Load()
+	plan := c.proxy.board.Plan.Load()
 	if plan == nil {
 		return limits
 	}
@@ -102,7 +102,7 @@
 	keepConn := x.serve()
 	c.current.Store(nil)
 	stopWatch()
-	if req.Close || !keepConn || c.proxy.state.closeConns() {
+	if req.Close || !keepConn || c.proxy.board.closeConns() {
 		_ = c.SetReadDeadline(time.Now())
 		<-watchDone
 		return false
--- a/bluebellport/proxy/exchange.go
+++ b/bluebellport/proxy/exchange.go
@@ -62,8 +62,8 @@
 
 // admit checks the request against the plan in force and reserves its tokens.
 func (x *exchange) admit() *Refusal {
-	x.plan = x.proxy.state.Plan.Load()
-	if x.plan == nil || x.proxy.state.Services.Load() == nil {
+	x.plan = x.proxy.board.Plan.Load()
+	if x.plan == nil || x.proxy.board.Services.Load() == nil {
 		return refuseNotRun("nothing is in force here yet", defaultRetryAfter)
 	}
 	if x.route = x.plan.FindRoute(x.req.Host, x.req.Path()); x.route == nil {
@@ -201,7 +201,7 @@
 // reused.
 func (x *exchange) refuse(refusal *Refusal) bool {
 	x.proxy.recordRefusal(x.req.AttemptID, refusal)
-	closeConn := refusal.Close || x.req.Close || x.proxy.state.closeConns()
+	closeConn := refusal.Close || x.req.Close || x.proxy.board.closeConns()
 	return x.client.write(refusal.encode(x.req.AttemptID, closeConn)) == nil && !closeConn
 }
 
@@ -214,7 +214,7 @@
 // chooseTarget returns the target for the next attempt, or the refusal if there
 // is none.
 func (x *exchange) chooseTarget() (*Target, *Refusal) {
-	service := x.proxy.state.targetsOf(x.service)
+	service := x.proxy.board.targetsOf(x.service)
 	if service == nil {
 		return nil, refuseNotRun("no target of the service is known", defaultRetryAfter)
 	}
--- a/bluebellport/proxy/follower.go
+++ b/bluebellport/proxy/follower.go
@@ -22,12 +22,12 @@
 	Poll(ctx context.Context, prefix string, after bbstore.Revision, wait time.Duration) ([]bbstore.Event, bbstore.Revision, error)
 }
 
-// follower keeps the plan and the targets in SharedState in step with the
-// store. They only move forward: an older version never replaces a newer one,
+// follower keeps the plan and the targets on the Board in step with the store.
+// They only move forward: an older version never replaces a newer one,
 // whether the store or a peer sent it.
 type follower struct {
 	store WatchStore
-	state *SharedState
+	board *Board
 	log   logrus.FieldLogger
 	now   func() time.Time
 
@@ -48,9 +48,9 @@
 	isWatcher func() bool
 }
 
-func newFollower(store WatchStore, state *SharedState, log logrus.FieldLogger, now func() time.Time, traffic *trafficMeter) *follower {
+func newFollower(store WatchStore, board *Board, log logrus.FieldLogger, now func() time.Time, traffic *trafficMeter) *follower {
 	return &follower{
-		store: store, state: state, log: log, now: now,
+		store: store, board: board, log: log, now: now,
 		targets: NewTargetSet(now, traffic), entries: map[bbunit.TargetID]bbstore.Entry{}, missingUntil: map[bbunit.TargetID]time.Time{},
 		onNewPlan: func() {}, onTargetsRead: func([]bbstore.Entry) {}, isWatcher: func() bool { return true },
 	}
@@ -95,7 +95,7 @@
 func (f *follower) watchPlan(ctx context.Context, from bbstore.Revision) error {
 	for {
 		wait := planPollWait
-		if f.state.Plan.Load() == nil {
+		if f.board.Plan.Load() == nil {
 			wait = time.Second
 		}
 		events, rev, err := f.store.Poll(ctx, bbplatform.PrefixOperator, from, wait)
@@ -133,7 +133,7 @@
 	for _, b := range bad {
 		f.log.WithError(b).Warn("invalid entry of the plan ignored")
 	}
-	old := f.state.Plan.Load()
+	old := f.board.Plan.Load()
 	if old != nil && plan.Version <= old.Version {
 		return false
 	}
@@ -141,7 +141,7 @@
 	if f.compressedPlan, err = compressPlan(e.Value); err != nil {
 		f.log.WithError(err).Warn("plan not compressed; peers have to read it from the store")
 	}
-	f.state.Plan.Store(plan)
+	f.board.Plan.Store(plan)
 	f.log.WithFields(logrus.Fields{"event": "plan", "version": plan.Version, "revision": e.Rev, "accounts": len(plan.Accounts)}).Info("plan in force")
 	return true
 }
@@ -237,7 +237,7 @@
 func (f *follower) applyEvents(events []bbstore.Event) []bbstore.Entry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changed := f.removeExpired() || f.state.Services.Load() == nil
+	changed := f.removeExpired() || f.board.Services.Load() == nil
 	var applied []bbstore.Entry
 	for _, e := range events {
 		if f.applyEvent(e) {
@@ -245,7 +245,7 @@
 		}
 	}
 	if changed || len(applied) > 0 {
-		f.state.Services.Store(f.targets.ByService())
+		f.board.Services.Store(f.targets.ByService())
 	}
 	return applied
 }
--- a/bluebellport/proxy/loan.go
+++ b/bluebellport/proxy/loan.go
@@ -72,15 +72,15 @@
 func (l *peerLoans) updateHomes() int {
 	shares := l.shares
 	view := l.peers.View()
-	holders := int(shares.state.Instances.Load())
-	usesHomes := shares.state.UsesHomes()
+	holders := int(shares.board.Instances.Load())
+	usesHomes := shares.board.UsesHomes()
 	horizon := bbshare.DefaultPolicy().Horizon
 	if usesHomes {
 		horizon = bbshare.HomeHorizon
 		holders = countDomains(view)
 	}
 	shares.allocator.SetHorizon(horizon)
-	plan := shares.state.Plan.Load()
+	plan := shares.board.Plan.Load()
 	if usesHomes {
 		l.computeHomes(view, plan)
 	} else {
--- a/bluebellport/proxy/outcome.go
+++ b/bluebellport/proxy/outcome.go
@@ -30,7 +30,7 @@
 	case resultNotRun:
 		target.State.BackOffUntil(now.Add(busyPeriod))
 	case resultUnsent:
-		if p.state.LinkSaturated.Load() {
+		if p.board.LinkSaturated.Load() {
 			break // this instance's own link is as likely the cause
 		}
 		for range circuitPolicy.FailureThreshold {
@@ -87,7 +87,7 @@
 // retryPolicy returns this instance's part of the retries that the fleet may
 // make.
 func (p *Proxy) retryPolicy() *bbroute.RetryPolicy {
-	n := float64(max(p.state.Instances.Load(), 1))
+	n := float64(max(p.board.Instances.Load(), 1))
 	return &bbroute.RetryPolicy{
 		Ratio:        p.settings.RetryRatio * retryBudgetPart,
 		MinPerSecond: p.settings.RetryExtra * retryBudgetPart / n / max(p.settings.RetryWindow.Seconds(), 1),
--- a/bluebellport/proxy/prefill.go
+++ b/bluebellport/proxy/prefill.go
@@ -12,12 +12,12 @@
 // load that it reports shows this too late.
 type prefillNotifier struct {
 	peers PeerNetwork
-	state *SharedState
+	board *Board
 	now   func() time.Time
 }
 
-func newPrefillNotifier(peers PeerNetwork, state *SharedState, now func() time.Time) *prefillNotifier {
-	p := &prefillNotifier{peers: peers, state: state, now: now}
+func newPrefillNotifier(peers PeerNetwork, board *Board, now func() time.Time) *prefillNotifier {
+	p := &prefillNotifier{peers: peers, board: board, now: now}
 	peers.Handle(&bbwire.Envelope{Body: &bbwire.Envelope_Prefill{}}, p.handlePrefill)
 	return p
 }
@@ -43,7 +43,7 @@
 // handlePrefill counts a prompt that a peer has sent to a target.
 func (p *prefillNotifier) handlePrefill(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	msg := e.GetPrefill()
-	service := p.state.targetsOf(bbunit.ServiceID(msg.Service))
+	service := p.board.targetsOf(bbunit.ServiceID(msg.Service))
 	if service == nil || msg.Tokens <= 0 || msg.Tokens > maxPromptTokens {
 		return nil
 	}
--- a/bluebellport/proxy/proxy.go
+++ b/bluebellport/proxy/proxy.go
@@ -20,10 +20,10 @@
 )
 
 // Proxy takes clients' requests off the wire, forwards each to a target of its
-// service and returns the response. Its controllers publish what they know in
-// SharedState, where requests read it:
+// service and returns the response. Its controllers publish what they know on
+// the Board, where requests read it:
 //
-//	platform's store --> follower --> [ SharedState: plan, targets ] --> exchange
+//	platform's store --> follower --> [ Board: plan, targets ] --------> exchange
 //	       ^                                                               |
 //	       +------ shareController: compare-and-swap <----- reserve -------+
 //	                                                                       |
@@ -33,7 +33,7 @@
 type Proxy struct {
 	settings bbplatform.Settings
 	domain   bbunit.DomainID
-	state    *SharedState
+	board    *Board
 	log      logrus.FieldLogger
 	shares   *shareController
 	prefills *prefillNotifier
@@ -53,8 +53,8 @@
 // Serve runs a proxy until ctx ends, then drains it: requests under way have
 // until the end of the grace period. It registers its metrics in registry.
 func Serve(ctx context.Context, settings bbplatform.Settings, peers PeerNetwork, registry metrics.Registry, log logrus.FieldLogger) error {
-	p := &Proxy{settings: settings, domain: settings.Domain, state: &SharedState{}, log: log, metrics: newProxyMetrics(registry), startedAt: time.Now(), conns: map[*clientConn]bool{}}
-	p.state.Instances.Store(defaultInstances)
+	p := &Proxy{settings: settings, domain: settings.Domain, board: &Board{}, log: log, metrics: newProxyMetrics(registry), startedAt: time.Now(), conns: map[*clientConn]bool{}}
+	p.board.Instances.Store(defaultInstances)
 	clientListener, err := net.Listen("tcp4", settings.FrontendAddress)
 	if err != nil {
 		return errors.Annotate(err, "listen for clients")
@@ -66,7 +66,7 @@
 	}
 	store, closeStore := bbplatform.NewStore(settings.StoreAddress)
 	defer closeStore()
-	p.shares = newShareController(store, p.state, log, p.now, bbshare.NewHolderID(settings.Instance, bbunit.InstanceID(settings.PeerAddress), newIncarnation()))
+	p.shares = newShareController(store, p.board, log, p.now, bbshare.NewHolderID(settings.Instance, bbunit.InstanceID(settings.PeerAddress), newIncarnation()))
 
 	background, stopBackground := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
@@ -92,12 +92,12 @@
 // startControllers starts the goroutines that follow the store, exchange
 // messages with peers and draw shares. They end with ctx.
 func (p *Proxy) startControllers(ctx context.Context, wg *conc.WaitGroup, store *bbplatform.Store, peers PeerNetwork) {
-	f := newFollower(store, p.state, p.log, p.now, &p.traffic)
+	f := newFollower(store, p.board, p.log, p.now, &p.traffic)
 	r := newRelay(peers, f)
 	p.shares.loans = newPeerLoans(p.shares, peers)
-	p.prefills = newPrefillNotifier(peers, p.state, p.now)
+	p.prefills = newPrefillNotifier(peers, p.board, p.now)
 	p.poison = newPoisonDetector(peers, p.now)
-	instances := newRegistry(store, peers, p.state, p.log, p.settings, r.isWatcher)
+	instances := newRegistry(store, peers, p.board, p.log, p.settings, r.isWatcher)
 	wg.Go(func() { f.followPlan(ctx) })
 	wg.Go(func() { f.followTargets(ctx) })
 	wg.Go(func() { r.run(ctx) })
@@ -150,7 +150,7 @@
 // connections for lingerPeriod more, closes those without a request, and waits
 // for the others until the deadline.
 func (p *Proxy) drain(clientListener net.Listener, deadline time.Time) {
-	p.state.Leaving.Store(true)
+	p.board.Leaving.Store(true)
 	p.shares.drain()
 	p.log.WithField("event", "leaving").Info("leaving")
 	time.Sleep(min(lingerPeriod, time.Until(deadline)))
--- a/bluebellport/proxy/ready.go
+++ b/bluebellport/proxy/ready.go
@@ -17,13 +17,13 @@
 func (p *Proxy) serveReady(ln net.Listener) {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true})
 	app.Get(bbplatform.PathReadiness, func(c *fiber.Ctx) error {
-		if p.state.Ready() {
+		if p.board.Ready() {
 			return c.SendStatus(http.StatusOK)
 		}
 		return c.SendStatus(http.StatusServiceUnavailable)
 	})
 	app.Get(metricsPath, bbmetrics.Handler(p.metrics.registry))
-	if err := app.Listener(ln); err != nil && p.state.Leaving.Load() == false {
+	if err := app.Listener(ln); err != nil && p.board.Leaving.Load() == false {
 		p.log.WithError(err).Error("serving readiness checks and metrics failed")
 	}
 }
--- a/bluebellport/proxy/registry.go
+++ b/bluebellport/proxy/registry.go
@@ -34,7 +34,7 @@
 type registry struct {
 	store     RegistryStore
 	peers     PeerNetwork
-	state     *SharedState
+	board     *Board
 	log       logrus.FieldLogger
 	settings  bbplatform.Settings
 	isWatcher func() bool                   // reports whether this instance watches the store
@@ -46,8 +46,8 @@
 	Domain bbunit.DomainID `json:"domain"`
 }
 
-func newRegistry(store RegistryStore, peers PeerNetwork, state *SharedState, log logrus.FieldLogger, settings bbplatform.Settings, isWatcher func() bool) *registry {
-	r := &registry{store: store, peers: peers, state: state, log: log, settings: settings, isWatcher: isWatcher, instances: map[string]bbmember.ListEntry{}}
+func newRegistry(store RegistryStore, peers PeerNetwork, board *Board, log logrus.FieldLogger, settings bbplatform.Settings, isWatcher func() bool) *registry {
+	r := &registry{store: store, peers: peers, board: board, log: log, settings: settings, isWatcher: isWatcher, instances: map[string]bbmember.ListEntry{}}
 	var seeds []bbmember.ListEntry
 	for _, address := range settings.SeedAddresses {
 		if address != settings.PeerAddress {
@@ -116,7 +116,7 @@
 func (r *registry) watchInstances(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !r.isWatcher() {
-			r.state.Instances.Store(int64(max(len(r.peers.View().Members), 1)))
+			r.board.Instances.Store(int64(max(len(r.peers.View().Members), 1)))
 			bbclock.Wait(ctx, time.Second)
 			continue
 		}
@@ -176,5 +176,5 @@
 		list = append(list, l)
 	}
 	r.peers.UpdateList(list)
-	r.state.Instances.Store(int64(max(len(list), 1)))
+	r.board.Instances.Store(int64(max(len(list), 1)))
 }
--- a/bluebellport/proxy/relay.go
+++ b/bluebellport/proxy/relay.go
@@ -210,7 +210,7 @@
 func (f *follower) storeUnreachable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.Plan.Load() == nil || f.state.Services.Load() == nil || !f.lastErrorAt.IsZero() && f.now().Sub(f.lastErrorAt) < storeErrorWindow
+	return f.board.Plan.Load() == nil || f.board.Services.Load() == nil || !f.lastErrorAt.IsZero() && f.now().Sub(f.lastErrorAt) < storeErrorWindow
 }
 
 // planRevision returns the store's revision of the plan in force, 0 for none.
--- a/bluebellport/proxy/relay_test.go
+++ b/bluebellport/proxy/relay_test.go
@@ -87,7 +87,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	begin := time.Now()
-	f := newFollower(store, &SharedState{}, log, func() time.Time { return begin.Add(time.Since(begin)) }, &trafficMeter{})
+	f := newFollower(store, &Board{}, log, func() time.Time { return begin.Add(time.Since(begin)) }, &trafficMeter{})
 	r := newRelay(peer, f)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -117,17 +117,17 @@
 			h.declarePlan(1, 1000)
 			target := h.startTarget(testTarget)
 			await(t, "plan and target are known", 3*time.Second, func() bool {
-				service := isolated.state.targetsOf("desk")
-				return isolated.state.Plan.Load() != nil && service != nil && len(service.Targets) == 1
+				service := isolated.board.targetsOf("desk")
+				return isolated.board.Plan.Load() != nil && service != nil && len(service.Targets) == 1
 			})
 			h.declarePlan(2, 2000)
 			is.NoErr(target.Register(t.Context(), up, "draining"))
 			await(t, "the change is known", 2*time.Second, func() bool {
-				return isolated.state.Plan.Load().Version == 2 && isolated.state.targetsOf("desk").Targets[0].Leaving
+				return isolated.board.Plan.Load().Version == 2 && isolated.board.targetsOf("desk").Targets[0].Leaving
 			})
 			h.declarePlan(1, 1) // an older version never replaces a newer one
 			time.Sleep(300 * time.Millisecond)
-			is.Equal(int(isolated.state.Plan.Load().Version), 2)
+			is.Equal(int(isolated.board.Plan.Load().Version), 2)
 		})
 	}
 }
@@ -177,5 +177,5 @@
 	e, err := mem.Get(t.Context(), bbplatform.KeyPlan)
 	is.New(t).NoErr(err)
 	r.handleNewsTell("gone", &bbwire.Envelope{Body: &bbwire.Envelope_Newstell{Newstell: &bbwire.NewsTell{Revision: int64(e.Rev), Watch: true, Digest: f.digestNews().Digest}}})
-	await(t, "the plan is in force", 2*time.Second, func() bool { return f.state.Plan.Load() != nil })
+	await(t, "the plan is in force", 2*time.Second, func() bool { return f.board.Plan.Load() != nil })
 }
--- a/bluebellport/proxy/share.go
+++ b/bluebellport/proxy/share.go
@@ -33,7 +33,7 @@
 // requests.
 type shareController struct {
 	store  ShareStore
-	state  *SharedState
+	board  *Board
 	log    logrus.FieldLogger
 	now    func() time.Time
 	wakeup chan struct{}
@@ -52,9 +52,9 @@
 	loans *peerLoans
 }
 
-func newShareController(store ShareStore, state *SharedState, log logrus.FieldLogger, now func() time.Time, holder bbunit.HolderID) *shareController {
+func newShareController(store ShareStore, board *Board, log logrus.FieldLogger, now func() time.Time, holder bbunit.HolderID) *shareController {
 	return &shareController{
-		store: store, state: state, log: log, now: now, wakeup: make(chan struct{}, 1),
+		store: store, board: board, log: log, now: now, wakeup: make(chan struct{}, 1),
 		allocator: bbshare.NewAllocator(holder, sharesPrefix, bbshare.DefaultPolicy()), written: make(chan struct{}),
 	}
 }
@@ -193,11 +193,11 @@
 			return
 		case <-ticker.C:
 		case <-c.wakeup:
-			if c.state.UsesHomes() {
+			if c.board.UsesHomes() {
 				bbclock.Wait(ctx, homeBatchDelay) // one write serves several members' needs
 			}
 		}
-		if c.state.Plan.Load() == nil {
+		if c.board.Plan.Load() == nil {
 			continue
 		}
 		c.mu.Lock()
@@ -217,7 +217,7 @@
 // applyPayments tells the allocator what the accounts of a new plan have paid.
 // The caller holds mu.
 func (c *shareController) applyPayments() {
-	plan := c.state.Plan.Load()
+	plan := c.board.Plan.Load()
 	if plan == nil || plan == c.plan {
 		return
 	}
@@ -247,9 +247,9 @@
 		c.mu.Lock()
 		c.applyPayments()
 		holders := c.loans.updateHomes()
-		c.loans.borrowFromHomes(c.allocator.LoanRequests(bbshare.DefaultHomePolicy(), int(c.state.Instances.Load())))
+		c.loans.borrowFromHomes(c.allocator.LoanRequests(bbshare.DefaultHomePolicy(), int(c.board.Instances.Load())))
 		now, interval := c.now(), prefetchInterval
-		if c.state.UsesHomes() {
+		if c.board.UsesHomes() {
 			interval = homePrefetchInterval
 		}
 		rowWrite := c.allocator.NextWrite(holders, now.Sub(c.lastWriteAt) >= interval)
--- a/bluebellport/proxy/stream.go
+++ b/bluebellport/proxy/stream.go
@@ -50,7 +50,7 @@
 // head.
 func (x *exchange) forwardStream(conn *targetConn, resp *Response) attemptResult {
 	b := responseBody(conn.br, resp.framing, resp.Status, x.req.Method)
-	closeConn := x.req.Close || x.proxy.state.closeConns()
+	closeConn := x.req.Close || x.proxy.board.closeConns()
 	if !x.stream.started {
 		x.stream.started = true
 		x.stream.lastID = parseLastEventID(x.req.LastEventID)
--- a/bluebellport/proxy/traffic.go
+++ b/bluebellport/proxy/traffic.go
@@ -96,7 +96,7 @@
 		elapsed := max(now.Sub(last).Seconds(), linkCheckInterval.Seconds())
 		rate := float64(max(newIn-in, newOut-out)) / elapsed
 		in, out, last = newIn, newOut, now
-		if saturated := detector.update(rate, now); p.state.LinkSaturated.Swap(saturated) != saturated {
+		if saturated := detector.update(rate, now); p.board.LinkSaturated.Swap(saturated) != saturated {
 			p.log.WithFields(logrus.Fields{"event": "crowded", "crowded": saturated, "rate": int64(rate), "limit": int64(detector.limit)}).Info("link saturation changed")
 		}
 	}
