--- a/bluebellport/metrics/text.go
+++ b/bluebellport/metrics/text.go
@@ -17,7 +17,7 @@
 // prefix is put before all names.
 const prefix = "bluebellport_"
 
-// quantiles are those written of each distribution.
+// quantiles are those written for each histogram and timer.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 // nsPerSecond converts the nanoseconds of timers to seconds.
@@ -64,8 +64,8 @@
 	return b.Bytes()
 }
 
-// addQuantiles adds the count and the quantiles of a distribution, whose values
-// are divided by unit.
+// addQuantiles adds the count and the quantiles of a histogram or timer, whose
+// values are divided by unit.
 func addQuantiles(add func(name, label string, v any), name string, n int64, values []float64, unit float64) {
 	add(name+"_count", "", n)
 	for i, q := range quantiles {
--- a/bluebellport/proxy/attempt.go
+++ b/bluebellport/proxy/attempt.go
@@ -15,13 +15,13 @@
 
 // Results of an attempt.
 const (
-	// resultDone means that a target's answer was passed to the client.
+	// resultDone means that a target's response was passed to the client.
 	resultDone resultKind = iota
 	// resultUnsent means that no byte of the request was sent.
 	resultUnsent
 	// resultNotRun means that the target states that it did not run the request.
 	resultNotRun
-	// resultBroken means that the request was sent and no usable answer came.
+	// resultBroken means that the request was sent and no usable response came.
 	resultBroken
 	// resultLate means that the request's deadline passed.
 	resultLate
@@ -35,15 +35,16 @@
 	err  error
 	// keepConn reports that the client's connection can be reused.
 	keepConn bool
-	// timedOut reports that the target did not answer in time, connBroken that the
-	// connection to it broke.
+	// timedOut reports that the target did not respond in time, connBroken that
+	// the connection to it broke.
 	timedOut, connBroken bool
-	// targetFailed reports that the answer passed to the client is a failure of the
-	// target.
+	// targetFailed reports that the response passed to the client shows a failure
+	// of the target.
 	targetFailed bool
 }
 
-// attempt sends the request to one target and passes the answer to the client.
+// attempt sends the request to one target and passes the response to the
+// client.
 func (x *exchange) attempt(target *Target) attemptResult {
 	x.tried = append(x.tried, target.ID)
 	x.lastTarget.Store(target)
@@ -74,9 +75,9 @@
 	return result
 }
 
-// roundTrip sends the request over conn, reads the answer and passes it to the
-// client. A large body is written while the answer is read, since a target may
-// answer before it has read all of it.
+// roundTrip sends the request over conn, reads the response and passes it to
+// the client. A large body is written while the response is read, since a
+// target may respond before it has read the whole body.
 func (x *exchange) roundTrip(target *Target, conn *targetConn) attemptResult {
 	written := make(chan error, 1)
 	_ = conn.SetDeadline(x.deadline)
@@ -86,7 +87,7 @@
 	}
 	head := x.req.forwardHead(opts)
 	x.mayHaveRun = true // until the target rules it out
-	if len(x.req.Body) <= inlineBody {
+	if len(x.req.Body) <= maxInlineBody {
 		_, err := conn.Write(append(head, x.req.Body...))
 		written <- err
 	} else {
@@ -105,7 +106,7 @@
 	case err := <-written:
 		conn.reusable = conn.reusable && err == nil
 	default:
-		conn.reusable = false // answered before the whole body was written
+		conn.reusable = false // responded before the whole body was written
 	}
 	return x.handleResponse(conn, resp)
 }
@@ -117,7 +118,7 @@
 	if x.route.Repeatable() && x.sentAttempts < x.route.MaxAttempts {
 		_ = conn.SetReadDeadline(earlier(x.deadline, time.Now().Add(x.headTimeout())))
 	}
-	for range maxForeignResponses {
+	for range maxStrayResponses {
 		resp, err := conn.readResponseHead()
 		if err != nil {
 			return nil, err
@@ -192,7 +193,7 @@
 // writeResponse writes a response whose body has been read whole.
 func (x *exchange) writeResponse(resp *Response, body []byte) attemptResult {
 	x.stream.complete = true
-	closeConn := x.req.Close || x.proxy.board.closeConns()
+	closeConn := x.req.Close || x.proxy.board.shouldCloseConns()
 	head := responseHead(resp, len(body), closeConn)
 	if x.req.Method == http.MethodHead {
 		body = nil
--- a/bluebellport/proxy/board.go
+++ b/bluebellport/proxy/board.go
@@ -39,17 +39,17 @@
 
 // Ready reports whether new connections should come to this instance.
 func (b *Board) Ready() bool {
-	return b.Plan.Load() != nil && b.Services.Load() != nil && !b.closeConns()
+	return b.Plan.Load() != nil && b.Services.Load() != nil && !b.shouldCloseConns()
 }
 
 // UsesHomes reports whether the fleet is larger than maxDirectFleet. Then each
-// account has a home in each failure domain, which draws for the other instances
-// there.
+// account has a home in each failure domain, which gets grants from the store
+// for the other instances there.
 func (b *Board) UsesHomes() bool { return b.Instances.Load() > maxDirectFleet }
 
-// closeConns reports whether responses ask clients to connect again, which may
-// take them to another instance.
-func (b *Board) closeConns() bool { return b.Leaving.Load() || b.LinkSaturated.Load() }
+// shouldCloseConns reports whether responses ask clients to connect again,
+// which may take them to another instance.
+func (b *Board) shouldCloseConns() bool { return b.Leaving.Load() || b.LinkSaturated.Load() }
 
 // targetsOf returns the targets of a service, nil if none is known.
 func (b *Board) targetsOf(id bbunit.ServiceID) *ServiceTargets {
--- a/bluebellport/proxy/body.go
+++ b/bluebellport/proxy/body.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// bodyReader reads the body of a message. It tells a body that is complete from
+// bodyReader reads the body of a message. It distinguishes a complete body from
 // one that broke off.
 type bodyReader struct {
 	br        *bufio.Reader
@@ -131,8 +131,8 @@
 	return string(line[:len(line)-2]), nil
 }
 
-// readAll reads the whole body. It returns ErrBodySize if that is above limit
-// bytes.
+// readAll reads the whole body. It returns ErrBodySize if the body is longer
+// than limit bytes.
 func (b *bodyReader) readAll(limit int) ([]byte, error) {
 	if b.complete {
 		return nil, nil
--- a/bluebellport/proxy/clientconn.go
+++ b/bluebellport/proxy/clientconn.go
@@ -14,15 +14,15 @@
 )
 
 // clientConn is a connection from a client. One goroutine serves it; during a
-// request a second one watches whether the client closes the connection.
+// request a second one detects when the client closes the connection.
 type clientConn struct {
 	net.Conn
 	br    *bufio.Reader
 	proxy *Proxy
-	// idle is set while no request is under way, so that a shutdown may close the
+	// idle is set while no request is in flight, so that a shutdown may close the
 	// connection.
 	idle atomic.Bool
-	// current is the request under way, nil if there is none.
+	// current is the request in flight, nil if there is none.
 	current atomic.Pointer[exchange]
 }
 
@@ -33,8 +33,8 @@
 	if plan == nil {
 		return limits
 	}
-	if declared := plan.Limits; declared.MaxHeaderBytes > 0 && declared.MaxBodyBytes > 0 && declared.HeaderTimeout > 0 && declared.IdleTimeout > 0 {
-		return declared
+	if planLimits := plan.Limits; planLimits.MaxHeaderBytes > 0 && planLimits.MaxBodyBytes > 0 && planLimits.HeaderTimeout > 0 && planLimits.IdleTimeout > 0 {
+		return planLimits
 	}
 	return limits
 }
@@ -85,31 +85,31 @@
 	return c.handle(req)
 }
 
-// handle answers a request while a second goroutine watches for the client
-// closing the connection. It reports whether the connection can be reused.
+// handle answers a request while a second goroutine detects when the client
+// closes the connection. It reports whether the connection can be reused.
 func (c *clientConn) handle(req *Request) bool {
-	clientGone, watchDone := make(chan struct{}), make(chan struct{})
+	clientGone, peekDone := make(chan struct{}), make(chan struct{})
 	_ = c.SetReadDeadline(time.Time{})
 	go func() {
-		defer close(watchDone)
+		defer close(peekDone)
 		if _, err := c.br.Peek(1); err != nil {
 			close(clientGone)
 		}
 	}()
 	x := &exchange{proxy: c.proxy, client: c, req: req, clientGone: clientGone}
-	stopWatch := x.abortOnLeave(clientGone)
+	stopAbort := x.abortOnClientClose(clientGone)
 	c.current.Store(x)
 	keepConn := x.serve()
 	c.current.Store(nil)
-	stopWatch()
-	if req.Close || !keepConn || c.proxy.board.closeConns() {
+	stopAbort()
+	if req.Close || !keepConn || c.proxy.board.shouldCloseConns() {
 		_ = c.SetReadDeadline(time.Now())
-		<-watchDone
+		<-peekDone
 		return false
 	}
 	c.idle.Store(true)
 	_ = c.SetReadDeadline(time.Now().Add(c.limits().IdleTimeout))
-	<-watchDone
+	<-peekDone
 	select {
 	case <-clientGone:
 		return false
@@ -119,7 +119,7 @@
 }
 
 // refuseUnreadable answers bytes that could not be read as a request. A
-// connection that broke gets no answer.
+// connection that broke gets no response.
 func (c *clientConn) refuseUnreadable(req *Request, err error) bool {
 	r := &Refusal{Close: true, Reason: err.Error()}
 	switch {
--- a/bluebellport/proxy/constants.go
+++ b/bluebellport/proxy/constants.go
@@ -6,7 +6,7 @@
 const (
 	// maxHead and maxBody are the limits of a request, in bytes, until the plan's
 	// limits are known. maxHead also limits the head of a response, and maxBody
-	// what is still read of a connection that is being closed.
+	// what is still read from a connection that is being closed.
 	maxHead = 16 << 10
 	maxBody = 4 << 20
 	// maxResponseBody limits a response that is read whole, in bytes.
@@ -17,9 +17,9 @@
 	maxChunkLine = 256
 	// bufferSize is the read buffer of a connection, in bytes.
 	bufferSize = 4 << 10
-	// inlineBody is the largest body that is written before the response is read,
-	// in bytes. Larger ones are written at the same time.
-	inlineBody = 48 << 10
+	// maxInlineBody is the largest body that is written before the response is
+	// read, in bytes. Larger ones are written while it is read.
+	maxInlineBody = 48 << 10
 )
 
 // Timeouts of connections.
@@ -50,15 +50,16 @@
 const (
 	// defaultDeadline applies to requests that name none.
 	defaultDeadline = 10 * time.Second
-	// responseMargin is how long before the client's deadline the proxy answers, so
-	// that the answer still arrives in time.
+	// responseMargin is how long before the client's deadline the proxy responds,
+	// so that the response still arrives in time.
 	responseMargin = 20 * time.Millisecond
 	// shareTimeout is how long a request waits for a share of its account's tokens.
 	shareTimeout = 400 * time.Millisecond
-	// maxShareRounds is how many draws it waits for.
+	// maxShareRounds is how many writes of shares a request waits for.
 	maxShareRounds = 3
-	// maxDrawTries is how often a write of shares is tried when it conflicts.
-	maxDrawTries = 4
+	// maxWriteAttempts is how often a write of shares is attempted when it
+	// conflicts.
+	maxWriteAttempts = 4
 	// swapTimeout limits one write of shares.
 	swapTimeout = 700 * time.Millisecond
 	// maxRetryAfter is the longest Retry-After.
@@ -104,7 +105,7 @@
 	// lingerPeriod is how long an instance that shuts down accepts connections,
 	// while the balancer learns that it is not ready.
 	lingerPeriod = 3500 * time.Millisecond
-	// graceMargin is how long before the platform kills it an instance that shuts
+	// graceMargin is how long before the platform's kill an instance that shuts
 	// down stops by itself.
 	graceMargin = 1200 * time.Millisecond
 )
@@ -112,7 +113,8 @@
 // maxCutLogged is how many of the requests that a shutdown cuts are logged.
 const maxCutLogged = 16
 
-// servedLogSample is how many served requests there are to each one logged.
+// servedLogSample is the sampling ratio of the log: one in servedLogSample
+// served requests is logged.
 const servedLogSample = 16
 
 // histogramSamples and histogramDecay make a histogram cover about the last five
@@ -130,14 +132,16 @@
 	// maxUnsentAttempts is how many further targets are tried after one that can't
 	// be reached.
 	maxUnsentAttempts = 3
-	// maxForeignResponses is how many responses are read to find the request's own.
-	maxForeignResponses = 4
-	// unseenEvents is how many events a target may have made of a stream that broke
-	// off without their arriving. Their tokens count as spent.
+	// maxStrayResponses is how many responses to other requests are skipped on a
+	// connection before it is given up.
+	maxStrayResponses = 4
+	// unseenEvents is how many events of a stream that broke off a target may have
+	// generated without their arriving. Their tokens count as spent.
 	unseenEvents = 2
-	// latencyTimeoutFactor is after how many times the route's latency objective a
-	// request that may be retried goes to another target, gapTimeoutFactor the same
-	// for the gap between events. minResponseTimeout is the least of both times.
+	// latencyTimeoutFactor times the route's latency objective is how long a
+	// request that may be retried waits for the head of a response,
+	// gapTimeoutFactor times the event gap objective how long it waits for the
+	// next event. Both times are at least minResponseTimeout.
 	latencyTimeoutFactor = 2
 	gapTimeoutFactor     = 4
 	minResponseTimeout   = 250 * time.Millisecond
@@ -147,22 +151,24 @@
 	closeReadTimeout = 500 * time.Millisecond
 )
 
-// This instance's part of what the fleet shares.
+// This instance's part of what the fleet may use.
 const (
 	// defaultInstances is the assumed number of instances until they are counted.
 	defaultInstances = 8
-	// retryBudgetPart is the part of the allowed retries that is used, so that
-	// instances that have just started do not exceed them together.
-	retryBudgetPart = 0.6
-	// busyPeriod is how long a target that did not run a request gets no other.
-	busyPeriod = 50 * time.Millisecond
+	// retryBudgetFraction is the fraction of the allowed retries that is used, so
+	// that instances that have just started do not exceed them together.
+	retryBudgetFraction = 0.6
+	// notRunBackoff is how long a target that did not run a request gets no
+	// requests.
+	notRunBackoff = 50 * time.Millisecond
 )
 
-// Times of the news between instances.
+// Times of the updates of plan and targets that instances send each other,
+// called news on the wire.
 const (
-	// relayInterval is the time between two rounds of news.
+	// relayInterval is the time between two rounds of updates.
 	relayInterval = 500 * time.Millisecond
-	// relayTimeout limits one question to a peer.
+	// relayTimeout limits one call to a peer.
 	relayTimeout = 400 * time.Millisecond
 	// watcherSilence is how long the watcher of a failure domain may be silent
 	// before another instance there watches the store.
@@ -174,11 +180,11 @@
 	// watcherCheckInterval is how often an instance checks whether it has to watch.
 	watcherCheckInterval = 100 * time.Millisecond
 	// planReadTimeout limits one read of a plan that a peer announced,
-	// maxPlanFetches is how often it is fetched.
+	// maxPlanFetches is how many times reading it is tried.
 	planReadTimeout = 500 * time.Millisecond
 	maxPlanFetches  = 4
-	// announcePeers is how many peers are told of a newer plan at once.
-	announcePeers = 8
+	// maxAnnouncePeers is how many peers are told of a newer plan at once.
+	maxAnnouncePeers = 8
 	// instanceLeaseTTL is how long an entry in the list of instances lasts without
 	// renewal, leaseRenewInterval the time between renewals.
 	instanceLeaseTTL   = 8 * time.Second
@@ -189,13 +195,14 @@
 
 // Limits of loans between instances.
 const (
-	// maxDirectFleet is the largest fleet in which each instance draws for itself.
+	// maxDirectFleet is the largest fleet in which each instance gets its own
+	// grants from the store.
 	maxDirectFleet = 16
-	// homeBatchDelay is how long a home waits for more needs before it draws.
+	// homeBatchDelay is how long a home collects loan requests before it writes.
 	homeBatchDelay = 15 * time.Millisecond
 	// accountHomeGroups is the number of groups of accounts that share a home.
 	accountHomeGroups = 8
-	// loanTimeout limits one question to a peer.
+	// loanTimeout limits one call to a peer.
 	loanTimeout = 100 * time.Millisecond
 	// maxLoanPeers is how many peers are asked for one request.
 	maxLoanPeers = 4
@@ -207,7 +214,8 @@
 
 // Limits of messages about prompts.
 const (
-	// largePromptTokens is from how many tokens to read peers are told of a prompt.
+	// largePromptTokens is the least number of uncached tokens for which peers are
+	// told of a prompt.
 	largePromptTokens = 2500
 	// maxPromptTokens is the largest prompt that is accepted from a peer.
 	maxPromptTokens = 1 << 20
--- a/bluebellport/proxy/exchange.go
+++ b/bluebellport/proxy/exchange.go
@@ -16,7 +16,7 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// exchange is one request under way: the request, the plan that it was admitted
+// exchange is one request in flight: the request, the plan that it was admitted
 // under, its reservation and its attempts.
 type exchange struct {
 	proxy  *Proxy
@@ -29,14 +29,14 @@
 	route       *bbplan.Route
 	account     *bbplan.Account
 	service     bbunit.ServiceID
-	deadline    time.Time // by when the client needs the answer
+	deadline    time.Time // by when the client needs the response
 	fingerprint uint64    // hash by which a repeated request is recognized
 
 	balance        *bbshare.Balance
 	reserved       bbunit.Tokens
-	maxEventTokens bbunit.Tokens
+	maxEventTokens bbunit.Tokens // in one event of a stream; 0 if the service has no engine
 
-	uncachedPrompt bbunit.Tokens // of the prompt, not cached by the target chosen last
+	uncachedPrompt bbunit.Tokens // prompt tokens that the target chosen last has not cached
 	sentAttempts   int           // attempts of which any byte was sent
 	unsentAttempts int           // attempts of which no byte was sent
 	tried          []bbunit.TargetID
@@ -57,7 +57,7 @@
 		return x.refuse(refusal)
 	}
 	defer x.settle()
-	return x.attemptUntilAnswered()
+	return x.attemptUntilResponse()
 }
 
 // admit checks the request against the plan in force and reserves its tokens.
@@ -87,8 +87,8 @@
 	return x.reserve()
 }
 
-// reserve reserves the most tokens that the request can use: its prompt, and its
-// output rounded up to whole events.
+// reserve reserves the most tokens that the request can use: its prompt, and
+// its output rounded up to whole events of maxEventTokens.
 func (x *exchange) reserve() *Refusal {
 	service := x.plan.Services[x.service]
 	if service == nil || service.Engine == nil {
@@ -142,10 +142,10 @@
 	return x.route.Priority
 }
 
-// attemptUntilAnswered sends the request to one target after the other until one
-// has answered or no further attempt is allowed. It reports whether the client's
-// connection can be reused.
-func (x *exchange) attemptUntilAnswered() bool {
+// attemptUntilResponse sends the request to one target after the other until a
+// response was passed on or no further attempt is allowed. It reports whether
+// the client's connection can be reused.
+func (x *exchange) attemptUntilResponse() bool {
 	var refusal *Refusal
 	for retry := true; retry; {
 		target, noTarget := x.chooseTarget()
@@ -168,9 +168,9 @@
 	return x.giveUp(refusal)
 }
 
-// afterAttempt handles an attempt that brought no answer. It returns how to
-// refuse the request, and whether another attempt may be made instead, which it
-// takes from the retry budget.
+// afterAttempt handles an attempt without a response. It returns how to refuse
+// the request, and whether another attempt may be made instead, which it takes
+// from the retry budget.
 func (x *exchange) afterAttempt(result *attemptResult) (*Refusal, bool) {
 	switch result.kind {
 	case resultLate:
@@ -181,7 +181,7 @@
 	case resultNotRun:
 		return refuseNotRun("the targets have no room", defaultRetryAfter), x.takeRetry()
 	}
-	return refuseUnknown("the target broke off"), x.route.Repeatable() && x.takeRetry()
+	return refuseUnknownOutcome("the target broke off"), x.route.Repeatable() && x.takeRetry()
 }
 
 // giveUp ends a request that no target answered. A stream that has started can't
@@ -192,7 +192,7 @@
 		return false
 	}
 	if x.mayHaveRun && !x.route.Repeatable() && refusal.outcome() == "not-run" {
-		refusal = refuseUnknown(refusal.Reason)
+		refusal = refuseUnknownOutcome(refusal.Reason)
 	}
 	return x.refuse(refusal)
 }
@@ -201,7 +201,7 @@
 // reused.
 func (x *exchange) refuse(refusal *Refusal) bool {
 	x.proxy.recordRefusal(x.req.AttemptID, refusal)
-	closeConn := refusal.Close || x.req.Close || x.proxy.board.closeConns()
+	closeConn := refusal.Close || x.req.Close || x.proxy.board.shouldCloseConns()
 	return x.client.write(refusal.encode(x.req.AttemptID, closeConn)) == nil && !closeConn
 }
 
@@ -235,9 +235,9 @@
 	return nil, refuseNotRun("no target of the service can be used", defaultRetryAfter)
 }
 
-// abortOnLeave aborts the exchange when the client closes its connection. The
-// function that it returns stops this.
-func (x *exchange) abortOnLeave(clientGone <-chan struct{}) func() {
+// abortOnClientClose aborts the exchange when the client closes its connection.
+// The function that it returns stops this.
+func (x *exchange) abortOnClientClose(clientGone <-chan struct{}) func() {
 	stopped := make(chan struct{})
 	go func() {
 		select {
--- a/bluebellport/proxy/follower.go
+++ b/bluebellport/proxy/follower.go
@@ -15,7 +15,7 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// WatchStore is the part of the platform's store that the followers use.
+// WatchStore is the part of the platform's store that follower uses.
 type WatchStore interface {
 	Get(ctx context.Context, key string) (bbstore.Entry, error)
 	List(ctx context.Context, prefix string) ([]bbstore.Entry, bbstore.Revision, error)
@@ -31,7 +31,7 @@
 	log   logrus.FieldLogger
 	now   func() time.Time
 
-	storeLost bool // used by followPlan only; lets the loss and the return be logged once each
+	storeLost bool // used by followPlan only, to log the loss and the return once each
 
 	mu             sync.Mutex // guards the fields down to missingUntil, which peers' messages also change
 	planEntry      bbstore.Entry
@@ -41,7 +41,7 @@
 	lastErrorAt    time.Time                         // last error when reading targets
 	missingUntil   map[bbunit.TargetID]time.Time     // until when a target without an entry is kept
 	// onNewPlan is called without the lock after the store returned a newer plan,
-	// onTargetsRead after it answered about targets, with the entries that changed.
+	// onTargetsRead after it returned targets, with the entries that changed.
 	onNewPlan     func()
 	onTargetsRead func(changed []bbstore.Entry)
 	// isWatcher reports whether this instance watches the store.
@@ -125,13 +125,13 @@
 	if len(e.Value) == 0 || e.Rev <= f.planEntry.Rev {
 		return false
 	}
-	plan, bad, err := bbplatform.ParsePlan(e.Value)
+	plan, rejected, err := bbplatform.ParsePlan(e.Value)
 	if err != nil {
 		f.log.WithError(err).WithField("revision", e.Rev).Warn("plan unreadable; the last good one stays in force")
 		return false
 	}
-	for _, b := range bad {
-		f.log.WithError(b).Warn("invalid entry of the plan ignored")
+	for _, entryErr := range rejected {
+		f.log.WithError(entryErr).Warn("invalid entry of the plan ignored")
 	}
 	old := f.board.Plan.Load()
 	if old != nil && plan.Version <= old.Version {
@@ -158,8 +158,7 @@
 }
 
 // logHandover logs that another instance took over watching a store that was
-// lost here: the store's return is then not noticed, or logged, by this
-// instance.
+// lost here. This instance then does not log the store's return.
 func (f *follower) logHandover() {
 	if f.storeLost {
 		f.log.WithField("event", "watch-handed").Info("another instance of the failure domain watches the store")
--- a/bluebellport/proxy/forward.go
+++ b/bluebellport/proxy/forward.go
@@ -45,7 +45,7 @@
 	account  bbunit.AccountID
 	target   bbplan.Target
 	timeLeft time.Duration
-	priority int
+	priority int // below 0, none is sent
 	// lastEventID is the last event that the client has; if empty, the client's own
 	// Last-Event-Id is sent.
 	lastEventID string
--- a/bluebellport/proxy/fuzz_test.go
+++ b/bluebellport/proxy/fuzz_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// FuzzRequest reads arbitrary bytes as a request. One that is accepted must be
-// read the same way after it has been forwarded.
+// FuzzRequest reads arbitrary bytes as a request. A request that is accepted
+// must be read the same way after it has been forwarded.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET /a HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -24,22 +24,22 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		br := bufio.NewReader(bytes.NewReader(data))
-		q, frame, err := readRequest(br, maxHead)
+		req, frame, err := readRequest(br, maxHead)
 		if err != nil {
 			return
 		}
-		if q.Body, err = requestBody(br, frame).readAll(maxBody); err != nil {
+		if req.Body, err = requestBody(br, frame).readAll(maxBody); err != nil {
 			return
 		}
-		sent := append(q.forwardHead(&forwardOptions{account: "a", priority: -1}), q.Body...)
-		br = bufio.NewReader(bytes.NewReader(sent))
+		forwarded := append(req.forwardHead(&forwardOptions{account: "a", priority: -1}), req.Body...)
+		br = bufio.NewReader(bytes.NewReader(forwarded))
 		again, frame, err := readRequest(br, 2*maxHead)
 		if err != nil {
-			t.Fatalf("forwarded malformed: %v: %q", err, sent)
+			t.Fatalf("forwarded malformed: %v: %q", err, forwarded)
 		}
 		body, err := requestBody(br, frame).readAll(maxBody)
-		if err != nil || !bytes.Equal(body, q.Body) || again.Method != q.Method || again.URI != q.URI {
-			t.Fatalf("forwarded request read differently: %v: %q", err, sent)
+		if err != nil || !bytes.Equal(body, req.Body) || again.Method != req.Method || again.URI != req.URI {
+			t.Fatalf("forwarded request read differently: %v: %q", err, forwarded)
 		}
 		if rest, _ := io.ReadAll(br); len(rest) > 0 {
 			t.Fatalf("bytes after the request: %q", rest)
@@ -75,15 +75,15 @@
 	f.Add([]byte(": comment\n\nid: 1\n\nid: x\n\n"), 11)
 	f.Add([]byte("id: 2\n\n"), 1)
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
-		whole, werr := splitInTwo(data, len(data))
-		parts, perr := splitInTwo(data, min(max(cut, 0), len(data)))
-		if (werr == nil) != (perr == nil) {
-			t.Fatalf("error %v in one part, %v in two", werr, perr)
+		whole, wholeErr := splitInTwo(data, len(data))
+		parts, partsErr := splitInTwo(data, min(max(cut, 0), len(data)))
+		if (wholeErr == nil) != (partsErr == nil) {
+			t.Fatalf("error %v in one part, %v in two", wholeErr, partsErr)
 		}
-		if werr == nil && whole != parts {
+		if wholeErr == nil && whole != parts {
 			t.Fatalf("%q in one part, %q in two", whole, parts)
 		}
-		if werr == nil && whole != "" && !strings.HasSuffix(whole, "\n\n") {
+		if wholeErr == nil && whole != "" && !strings.HasSuffix(whole, "\n\n") {
 			t.Fatalf("incomplete event passed on: %q", whole)
 		}
 	})
--- a/bluebellport/proxy/harness_test.go
+++ b/bluebellport/proxy/harness_test.go
@@ -52,7 +52,7 @@
 	mem      *bbstore.Mem
 	settings bbplatform.Settings
 	stop     context.CancelFunc
-	served   chan error
+	serveErr chan error // the result of Serve
 	calls    int
 	logs     logBuffer
 }
@@ -105,7 +105,7 @@
 	return h
 }
 
-// declarePlan writes the plan of a version.
+// declarePlan writes a plan with the given version to the store.
 func (h *harness) declarePlan(version int, paid int64) {
 	h.t.Helper()
 	route := func(prefix, kind, service string, more string) string {
@@ -149,20 +149,20 @@
 	log.SetFormatter(&logrus.JSONFormatter{})
 	var ctx context.Context
 	ctx, h.stop = context.WithCancel(context.Background())
-	h.served = make(chan error, 1)
-	go func() { h.served <- Serve(ctx, h.settings, noPeers{}, metrics.NewRegistry(), log) }()
+	h.serveErr = make(chan error, 1)
+	go func() { h.serveErr <- Serve(ctx, h.settings, noPeers{}, metrics.NewRegistry(), log) }()
 	h.t.Cleanup(func() {
 		h.stop()
 		select {
-		case <-h.served:
+		case <-h.serveErr:
 		case <-time.After(10 * time.Second):
 			h.t.Error("the proxy did not stop")
 		}
 	})
 	h.eventually("ready", func() bool {
 		select {
-		case err := <-h.served:
-			h.served <- err
+		case err := <-h.serveErr:
+			h.serveErr <- err
 			h.t.Fatalf("the proxy ended: %v", err)
 		default:
 		}
@@ -230,8 +230,8 @@
 }
 
 // sendRaw sends bytes and returns the first status line, empty if none came. It
-// reads until the connection ends, since closing it would abort the requests
-// under way.
+// reads until the connection ends, since closing it would abort the requests in
+// flight.
 func (h *harness) sendRaw(text string) string {
 	h.t.Helper()
 	c, err := net.Dial("tcp4", h.settings.FrontendAddress)
--- a/bluebellport/proxy/loan.go
+++ b/bluebellport/proxy/loan.go
@@ -21,18 +21,18 @@
 type peerLoans struct {
 	shares       *shareController
 	peers        PeerNetwork
-	pendingAsks  sync.Map // bbunit.AccountID -> bool: accounts whose home is being asked
-	unansweredAt sync.Map // bbunit.InstanceID -> time.Time: last question that a peer did not answer
+	pendingAsks  sync.Map // bbunit.AccountID -> bool: accounts whose home is being called
+	unansweredAt sync.Map // bbunit.InstanceID -> time.Time: last call that a peer did not answer
 
 	// The rest is guarded by shares.mu.
-	uncoveredAt map[bbunit.AccountID]time.Time // when a home said that the account does not cover a need
+	uncoveredAt map[bbunit.AccountID]time.Time // when a home said that the account's balance does not cover a request
 	lastAskedAt map[bbunit.AccountID]time.Time // last round of asking peers
 	homes       homeMap
 }
 
 // homeMap holds the accounts' homes, computed from one view of the fleet and
 // one plan. The home of an account is the instance of the failure domain that
-// draws its shares for the others.
+// gets grants from the store for the others.
 type homeMap struct {
 	view      *bbmember.View
 	plan      *bbplan.Plan
@@ -67,8 +67,8 @@
 }
 
 // updateHomes tells the allocator which accounts have a reachable home at
-// another instance, and returns how many instances draw from the store. In a
-// small fleet each instance draws for itself. The caller holds shares.mu.
+// another instance, and returns how many instances get grants from the store.
+// In a small fleet every instance does. The caller holds shares.mu.
 func (l *peerLoans) updateHomes() int {
 	shares := l.shares
 	view := l.peers.View()
@@ -88,8 +88,8 @@
 	}
 	for id := range plan.Accounts {
 		home, ok := l.homes.byAccount[id]
-		here := !ok || home.ID == view.Self.ID || view.Self.Leaving
-		shares.allocator.SetHome(id, here, !l.unresponsive(home.ID))
+		local := !ok || home.ID == view.Self.ID || view.Self.Leaving
+		shares.allocator.SetHome(id, local, !l.unresponsive(home.ID))
 	}
 	return holders
 }
@@ -109,7 +109,7 @@
 
 // homeOf returns the home of an account in this instance's failure domain.
 // Accounts are hashed into accountHomeGroups groups that share a home, so that
-// one write draws for several of them.
+// one write serves several of them.
 func homeOf(view *bbmember.View, id bbunit.AccountID) (bbmember.Member, bool) {
 	group := xxhash.Sum64String(string(id)) % accountHomeGroups
 	return view.Home(sharesPrefix+strconv.FormatUint(group, 10), view.Self.Domain)
@@ -161,16 +161,16 @@
 	l.shares.notifyWaiters()
 }
 
-// uncoveredByHome reports whether the account's home last said that the account
-// does not cover what was asked for. The caller holds shares.mu.
+// uncoveredByHome reports whether the account's home last said that the
+// account's balance does not cover the request. The caller holds shares.mu.
 func (l *peerLoans) uncoveredByHome(id bbunit.AccountID) bool { return !l.uncoveredAt[id].IsZero() }
 
-// uncoveredRecently reports the same if it was said within shareTimeout.
+// uncoveredRecently reports whether the home said so within shareTimeout.
 func (l *peerLoans) uncoveredRecently(id bbunit.AccountID) bool {
 	return l.uncoveredByHome(id) && l.shares.now().Sub(l.uncoveredAt[id]) < shareTimeout
 }
 
-// unresponsive reports whether a peer left a question unanswered within
+// unresponsive reports whether a peer left a call unanswered within
 // unresponsivePeriod.
 func (l *peerLoans) unresponsive(peer bbunit.InstanceID) bool {
 	at, ok := l.unansweredAt.Load(peer)
@@ -220,7 +220,7 @@
 	return bbunit.Tokens(reply.Tokens)
 }
 
-// call sends a question and returns the reply, nil if none came within
+// call asks a peer for a loan and returns the reply, nil if none came within
 // loanTimeout.
 func (l *peerLoans) call(peer bbunit.InstanceID, msg *bbwire.LoanAsk) *bbwire.LoanTell {
 	ctx, cancel := context.WithTimeout(context.Background(), loanTimeout)
--- a/bluebellport/proxy/metrics.go
+++ b/bluebellport/proxy/metrics.go
@@ -49,7 +49,7 @@
 	metrics.GetOrRegisterCounter("door.refused."+strconv.Itoa(status), m.registry).Inc(1)
 }
 
-// recordFailure counts attempts without an answer by how they ended.
+// recordFailure counts attempts without a response by how they ended.
 func (m *proxyMetrics) recordFailure(kind resultKind) {
 	metrics.GetOrRegisterCounter("door.attempts."+kind.String(), m.registry).Inc(1)
 }
--- a/bluebellport/proxy/metrics_test.go
+++ b/bluebellport/proxy/metrics_test.go
@@ -15,8 +15,8 @@
 	"bluebellport.example/platform/stand"
 )
 
-// The metrics that the proxy registers and those that docs/METRICS.md names are
-// the same.
+// The metrics that the proxy registers are those that docs/METRICS.md
+// documents.
 func TestDoorMetricsNamed(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/METRICS.md")
@@ -24,16 +24,16 @@
 	c := newProxyMetrics(metrics.NewRegistry())
 	c.recordRefusal(http.StatusNotFound)
 	c.recordFailure(resultBroken)
-	have := map[string]bool{}
+	registered := map[string]bool{}
 	c.registry.Each(func(name string, _ any) {
 		name = strings.Replace(name, "refused.404", "refused.STATUS", 1)
-		have[strings.Replace(name, "attempts."+resultBroken.String(), "attempts.KIND", 1)] = true
+		registered[strings.Replace(name, "attempts."+resultBroken.String(), "attempts.KIND", 1)] = true
 	})
-	named := map[string]bool{}
+	documented := map[string]bool{}
 	for _, m := range regexp.MustCompile("(?m)^\\| `(door\\.[^`]+)`").FindAllStringSubmatch(string(page), -1) {
-		named[m[1]] = true
+		documented[m[1]] = true
 	}
-	is.Equal(named, have)
+	is.Equal(documented, registered)
 }
 
 // The metrics page counts the responses that clients got and the instance's own
--- a/bluebellport/proxy/poison.go
+++ b/bluebellport/proxy/poison.go
@@ -13,7 +13,7 @@
 // poisonPolicy sets when a request counts as one that crashes its targets.
 var poisonPolicy = bbroute.PoisonPolicy{CrashThreshold: 2, SuspectTTL: 20 * time.Second, MaxFingerprints: 512}
 
-// poisonDetector remembers the requests that were under way at a target when it
+// poisonDetector remembers the requests that were in flight at a target when it
 // crashed. A client may repeat such a request at any instance, so peers are
 // told.
 type poisonDetector struct {
@@ -40,9 +40,9 @@
 // targets.
 func (d *poisonDetector) recordSuccess(fingerprint uint64) { d.knownGood.Add(fingerprint) }
 
-// checkCrash is called after a target broke the connection during a request. If
-// the target no longer accepts connections, the request may have crashed it and
-// becomes a suspect. It blocks for up to dialTimeout.
+// checkCrash is called after the connection to a target broke during a request.
+// If the target no longer accepts connections, the request may have crashed it
+// and becomes a suspect. It blocks for up to dialTimeout.
 func (d *poisonDetector) checkCrash(fingerprint uint64, target *Target) {
 	if d.knownGood.Contains(fingerprint) {
 		return
--- a/bluebellport/proxy/prefill.go
+++ b/bluebellport/proxy/prefill.go
@@ -36,7 +36,7 @@
 		Service: string(target.Service), Target: string(target.ID), Tokens: int64(n),
 	}}}
 	for _, id := range randomPeers(p.peers.View(), maxPrefillPeers) {
-		_ = p.peers.Send(id, e) // not repeated if lost: late news is useless
+		_ = p.peers.Send(id, e) // not repeated if lost: a late message is useless
 	}
 }
 
--- a/bluebellport/proxy/proxy.go
+++ b/bluebellport/proxy/proxy.go
@@ -19,9 +19,9 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// Proxy takes clients' requests off the wire, forwards each to a target of its
-// service and returns the response. Its controllers publish what they know on
-// the Board, where requests read it:
+// Proxy reads clients' requests, forwards each to a target of its service and
+// returns the response. Its controllers publish what they know on the Board,
+// where requests read it:
 //
 //	platform's store --> follower --> [ Board: plan, targets ] --------> exchange
 //	       ^                                                               |
@@ -44,13 +44,13 @@
 	traffic   trafficMeter
 	metrics   *proxyMetrics
 	startedAt time.Time
-	closing   atomic.Bool
-	mu        sync.Mutex // guards conns
+	closing   atomic.Bool // set once idle client connections are to be closed
+	mu        sync.Mutex  // guards conns
 	conns     map[*clientConn]bool
 	openConns sync.WaitGroup
 }
 
-// Serve runs a proxy until ctx ends, then drains it: requests under way have
+// Serve runs a proxy until ctx ends, then drains it: requests in flight have
 // until the end of the grace period. It registers its metrics in registry.
 func Serve(ctx context.Context, settings bbplatform.Settings, peers PeerNetwork, registry metrics.Registry, log logrus.FieldLogger) error {
 	p := &Proxy{settings: settings, domain: settings.Domain, board: &Board{}, log: log, metrics: newProxyMetrics(registry), startedAt: time.Now(), conns: map[*clientConn]bool{}}
@@ -90,18 +90,18 @@
 }
 
 // startControllers starts the goroutines that follow the store, exchange
-// messages with peers and draw shares. They end with ctx.
+// messages with peers and write shares. They end with ctx.
 func (p *Proxy) startControllers(ctx context.Context, wg *conc.WaitGroup, store *bbplatform.Store, peers PeerNetwork) {
 	f := newFollower(store, p.board, p.log, p.now, &p.traffic)
 	r := newRelay(peers, f)
 	p.shares.loans = newPeerLoans(p.shares, peers)
 	p.prefills = newPrefillNotifier(peers, p.board, p.now)
 	p.poison = newPoisonDetector(peers, p.now)
-	instances := newRegistry(store, peers, p.board, p.log, p.settings, r.isWatcher)
+	instances := newInstanceRegistry(store, peers, p.board, p.log, p.settings, r.isWatcher)
 	wg.Go(func() { f.followPlan(ctx) })
 	wg.Go(func() { f.followTargets(ctx) })
 	wg.Go(func() { r.run(ctx) })
-	wg.Go(func() { p.watchLink(ctx) })
+	wg.Go(func() { p.monitorLink(ctx) })
 	wg.Go(func() { instances.keepRegistered(ctx) })
 	wg.Go(func() { instances.watchInstances(ctx) })
 	wg.Go(func() {
@@ -183,7 +183,7 @@
 	}
 }
 
-// openRequests returns the requests under way.
+// openRequests returns the requests in flight.
 func (p *Proxy) openRequests() []*exchange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,7 +196,7 @@
 	return requests
 }
 
-// closeIdleConns closes the connections that have no request under way, by
+// closeIdleConns closes the connections that have no request in flight, by
 // ending the read that waits for the next one.
 func (p *Proxy) closeIdleConns() {
 	p.mu.Lock()
--- a/bluebellport/proxy/proxy_test.go
+++ b/bluebellport/proxy/proxy_test.go
@@ -16,29 +16,30 @@
 )
 
 // The first of two targets misbehaves. A request is retried at the other one
-// only where it may be, and is answered "unknown" where it may have run.
+// only if its route allows that, and gets the outcome "unknown" if it may have
+// run.
 func TestTargetFaults(t *testing.T) {
 	cases := []struct {
-		name   string
-		fault  bbplatformstand.Fault
-		path   string
-		status int
-		runs   int // at both targets
+		name       string
+		fault      bbplatformstand.Fault
+		path       string
+		status     int
+		executions int // at both targets
 	}{
-		{"shed, idempotent", bbplatformstand.FaultNotExecuted, "/read/1", 200, 1},
-		{"shed, once", bbplatformstand.FaultNotExecuted, "/book/1", 200, 1},
+		{"not executed, idempotent", bbplatformstand.FaultNotExecuted, "/read/1", 200, 1},
+		{"not executed, non-idempotent", bbplatformstand.FaultNotExecuted, "/book/1", 200, 1},
 		{"error, idempotent", bbplatformstand.FaultError, "/read/1", 200, 2},
-		{"error, once", bbplatformstand.FaultError, "/book/1", 500, 1},
+		{"error, non-idempotent", bbplatformstand.FaultError, "/book/1", 500, 1},
 		{"reset, idempotent", bbplatformstand.FaultReset, "/read/1", 200, 2},
-		{"reset, once", bbplatformstand.FaultReset, "/book/1", 502, 1},
-		{"mute, idempotent", bbplatformstand.FaultNoAnswer, "/read/1", 200, 2},
-		{"mute, once", bbplatformstand.FaultNoAnswer, "/book/1", 504, 1},
-		{"torn, idempotent", bbplatformstand.FaultTruncated, "/read/1", 200, 2},
-		{"torn, once", bbplatformstand.FaultTruncated, "/book/1", 502, 1},
+		{"reset, non-idempotent", bbplatformstand.FaultReset, "/book/1", 502, 1},
+		{"no response, idempotent", bbplatformstand.FaultNoAnswer, "/read/1", 200, 2},
+		{"no response, non-idempotent", bbplatformstand.FaultNoAnswer, "/book/1", 504, 1},
+		{"truncated, idempotent", bbplatformstand.FaultTruncated, "/read/1", 200, 2},
+		{"truncated, non-idempotent", bbplatformstand.FaultTruncated, "/book/1", 502, 1},
 		{"unsigned, idempotent", bbplatformstand.FaultUnsigned, "/read/1", 200, 2},
-		{"unsigned, once", bbplatformstand.FaultUnsigned, "/book/1", 502, 1},
-		{"foreign answer first", bbplatformstand.FaultStrayBefore, "/book/1", 200, 1},
-		{"extra answer", bbplatformstand.FaultStrayAfter, "/book/1", 200, 1},
+		{"unsigned, non-idempotent", bbplatformstand.FaultUnsigned, "/book/1", 502, 1},
+		{"stray response before", bbplatformstand.FaultStrayBefore, "/book/1", 200, 1},
+		{"stray response after", bbplatformstand.FaultStrayAfter, "/book/1", 200, 1},
 		{"no length", bbplatformstand.FaultNoLength, "/book/1", 200, 1},
 	}
 	for _, c := range cases {
@@ -51,7 +52,7 @@
 			h.start()
 			r := h.call("POST", c.path, "body")
 			is.Equal(r.status, c.status)
-			is.Equal(len(first.Executions())+len(second.Executions()), c.runs)
+			is.Equal(len(first.Executions())+len(second.Executions()), c.executions)
 			if c.status == 200 {
 				is.Equal(r.body, "ran attempt-1")
 			}
@@ -110,7 +111,7 @@
 	}{
 		{"no route", "/none/1", nil, 404},
 		{"unknown key", "/read/1", []string{bbplatform.HeaderAPIKey, "another"}, 401},
-		{"open route without a key", "/open/1", []string{bbplatform.HeaderAPIKey, ""}, 200},
+		{"public route without a key", "/open/1", []string{bbplatform.HeaderAPIKey, ""}, 200},
 		{"above the balance", "/draft/1", []string{bbplatform.HeaderTokenUsage, "990,20"}, 402},
 		{"no usage", "/draft/1", nil, 400},
 		{"bad usage", "/draft/1", []string{bbplatform.HeaderTokenUsage, "-1,3"}, 400},
@@ -275,8 +276,8 @@
 	r := <-done
 	is.NoErr(r.err)
 	is.Equal(eventIDs(r.body), "1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19 20")
-	is.NoErr(<-h.served)
-	h.served <- nil
+	is.NoErr(<-h.serveErr)
+	h.serveErr <- nil
 	row, err := h.mem.Get(t.Context(), sharesPrefix+"a")
 	is.NoErr(err)
 	is.Equal(string(row.Value), `{"closed":300}`)
@@ -327,7 +328,7 @@
 	is.True(after >= 1 && after <= maxRetryAfter.Seconds())
 }
 
-// A stop that cuts a request logs the request and the target whose answer it
+// A stop that cuts a request logs the request and the target whose response it
 // awaited.
 func TestCutRequestIsLogged(t *testing.T) {
 	h := newHarness(t, 100_000)
--- a/bluebellport/proxy/refusal.go
+++ b/bluebellport/proxy/refusal.go
@@ -18,7 +18,7 @@
 	RetryAfter time.Duration
 	// Close closes the connection after the response.
 	Close bool
-	// LogFields are the values that decided it, for the log.
+	// LogFields are the values that led to the refusal, for the log.
 	LogFields logrus.Fields
 }
 
@@ -70,8 +70,8 @@
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter}
 }
 
-// refuseUnknown ends a request that a target may have run.
-func refuseUnknown(reason string) *Refusal {
+// refuseUnknownOutcome ends a request that a target may have run.
+func refuseUnknownOutcome(reason string) *Refusal {
 	return &Refusal{Status: http.StatusBadGateway, Reason: reason}
 }
 
--- a/bluebellport/proxy/registry.go
+++ b/bluebellport/proxy/registry.go
@@ -20,8 +20,8 @@
 // store.
 const instancesPrefix = "bluebellport/instances/"
 
-// RegistryStore is the part of the platform's store that the registry uses.
-type RegistryStore interface {
+// InstanceStore is the part of the platform's store that instanceRegistry uses.
+type InstanceStore interface {
 	WatchStore
 	CAS(ctx context.Context, key string, value []byte, prev bbstore.Revision, lease bbstore.LeaseID) (bbstore.Revision, error)
 	Grant(ctx context.Context, ttl time.Duration) (bbstore.LeaseID, error)
@@ -29,10 +29,10 @@
 	Revoke(ctx context.Context, id bbstore.LeaseID) error
 }
 
-// registry keeps this instance's entry in the list of instances, and passes the
-// list to the peer network.
-type registry struct {
-	store     RegistryStore
+// instanceRegistry keeps this instance's entry in the list of instances, and
+// passes the list to the peer network.
+type instanceRegistry struct {
+	store     InstanceStore
 	peers     PeerNetwork
 	board     *Board
 	log       logrus.FieldLogger
@@ -46,8 +46,8 @@
 	Domain bbunit.DomainID `json:"domain"`
 }
 
-func newRegistry(store RegistryStore, peers PeerNetwork, board *Board, log logrus.FieldLogger, settings bbplatform.Settings, isWatcher func() bool) *registry {
-	r := &registry{store: store, peers: peers, board: board, log: log, settings: settings, isWatcher: isWatcher, instances: map[string]bbmember.ListEntry{}}
+func newInstanceRegistry(store InstanceStore, peers PeerNetwork, board *Board, log logrus.FieldLogger, settings bbplatform.Settings, isWatcher func() bool) *instanceRegistry {
+	r := &instanceRegistry{store: store, peers: peers, board: board, log: log, settings: settings, isWatcher: isWatcher, instances: map[string]bbmember.ListEntry{}}
 	var seeds []bbmember.ListEntry
 	for _, address := range settings.SeedAddresses {
 		if address != settings.PeerAddress {
@@ -63,7 +63,7 @@
 
 // keepRegistered registers this instance and renews the lease until ctx ends;
 // then it removes the entry.
-func (r *registry) keepRegistered(ctx context.Context) {
+func (r *instanceRegistry) keepRegistered(ctx context.Context) {
 	key := instancesPrefix + r.settings.PeerAddress
 	value, err := json.Marshal(instanceJSON{Domain: r.settings.Domain})
 	if err != nil {
@@ -86,7 +86,7 @@
 }
 
 // putEntry writes this instance's entry, also over one that an earlier run left.
-func (r *registry) putEntry(ctx context.Context, key string, value []byte, lease bbstore.LeaseID) error {
+func (r *instanceRegistry) putEntry(ctx context.Context, key string, value []byte, lease bbstore.LeaseID) error {
 	_, err := r.store.CAS(ctx, key, value, 0, lease)
 	if !errors.Is(err, bbstore.ErrConflict) {
 		return err
@@ -100,7 +100,7 @@
 }
 
 // renewLease renews the lease. It returns when the lease is lost or ctx ends.
-func (r *registry) renewLease(ctx context.Context, lease bbstore.LeaseID) {
+func (r *instanceRegistry) renewLease(ctx context.Context, lease bbstore.LeaseID) {
 	for {
 		bbclock.Wait(ctx, leaseRenewInterval)
 		if ctx.Err() != nil {
@@ -113,7 +113,7 @@
 }
 
 // watchInstances follows the list of instances until ctx ends.
-func (r *registry) watchInstances(ctx context.Context) {
+func (r *instanceRegistry) watchInstances(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !r.isWatcher() {
 			r.board.Instances.Store(int64(max(len(r.peers.View().Members), 1)))
@@ -134,7 +134,7 @@
 }
 
 // pollChanges applies changes. It returns when the list has to be read again.
-func (r *registry) pollChanges(ctx context.Context, from bbstore.Revision) {
+func (r *instanceRegistry) pollChanges(ctx context.Context, from bbstore.Revision) {
 	for {
 		events, rev, err := r.store.Poll(ctx, instancesPrefix, from, instanceListWait)
 		if err != nil || rev < from {
@@ -155,7 +155,7 @@
 }
 
 // applyEntry applies one entry of the list, without a value if it was deleted.
-func (r *registry) applyEntry(e bbstore.Entry) {
+func (r *instanceRegistry) applyEntry(e bbstore.Entry) {
 	address := strings.TrimPrefix(e.Key, instancesPrefix)
 	if e.Value == nil {
 		delete(r.instances, address)
@@ -170,7 +170,7 @@
 }
 
 // publish passes the list to the peer network and counts its instances.
-func (r *registry) publish() {
+func (r *instanceRegistry) publish() {
 	list := make([]bbmember.ListEntry, 0, len(r.instances))
 	for _, l := range r.instances {
 		list = append(list, l)
--- a/bluebellport/proxy/relay.go
+++ b/bluebellport/proxy/relay.go
@@ -24,14 +24,14 @@
 	UpdateList(list []bbmember.ListEntry)
 }
 
-// relay sends peers what the store says, so that an instance that can't reach
-// the store stays up to date.
+// relay passes plan and targets between peers, so that an instance that can't
+// reach the store stays up to date.
 type relay struct {
-	peers          PeerNetwork
-	follower       *follower
-	askSlot        chan struct{} // holds one token while a peer is being asked
-	wantedRevision atomic.Int64  // newest revision of the plan that a peer has announced
-	fetching       atomic.Bool
+	peers             PeerNetwork
+	follower          *follower
+	askSlot           chan struct{} // holds one token while a peer is being asked
+	announcedRevision atomic.Int64  // newest revision of the plan that a peer has announced
+	fetching          atomic.Bool
 	// watcherSeenAt is when a watcher of this failure domain last sent news, in ns
 	// of the monotonic clock.
 	watcherSeenAt atomic.Int64
@@ -46,8 +46,8 @@
 }
 
 // isWatcher reports whether this instance watches the store: it ranks first in
-// its failure domain, or the watcher has been silent. The second instance in
-// rank takes over a little sooner than the third, and so on.
+// its failure domain, it is leaving, or the watcher has been silent. The second
+// instance in rank takes over a little sooner than the third, and so on.
 func (r *relay) isWatcher() bool {
 	view := r.peers.View()
 	rank := view.Rank(watchKey, view.Self.Domain, maxWatcherRanks)
@@ -66,10 +66,10 @@
 const watchKey = "watch"
 
 // tellDomain sends the peers of this failure domain what the store has just
-// answered.
+// returned.
 func (r *relay) tellDomain(changed []bbstore.Entry) {
 	view := r.peers.View()
-	tell := r.follower.digestNews()
+	tell := r.follower.newsDigest()
 	tell.Targets = toKept(changed)
 	for _, m := range view.Members {
 		if m.Domain == view.Self.Domain && m.ID != view.Self.ID {
@@ -100,7 +100,7 @@
 // announcePlan tells the failure domain and a few other peers of a newer plan.
 func (r *relay) announcePlan() {
 	r.tellDomain(nil)
-	r.tellRevision(r.pickPeers(announcePeers))
+	r.tellRevision(r.pickPeers(maxAnnouncePeers))
 }
 
 // tellRevision tells peers the revision of the plan in force here.
@@ -114,16 +114,16 @@
 	}
 }
 
-// handleNewsAsk answers with what the peer lacks.
+// handleNewsAsk replies with what the peer lacks.
 func (r *relay) handleNewsAsk(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	ask := e.GetNewsask()
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Newstell{Newstell: r.follower.newsSince(bbstore.Revision(ask.Revision), ask.Targets)}}
 }
 
-// handleNewsTell applies news that a peer sent unasked. If the peer has a newer
-// plan, it is fetched from the peer, or else from the store: at once if the
-// peer is a watcher, otherwise after relayTimeout, in which it may arrive from
-// the store.
+// handleNewsTell applies updates that a peer sent unasked. If the peer has a
+// newer plan, it is fetched from the peer, or else from the store: at once if
+// the peer is a watcher, otherwise after relayTimeout, in which it may arrive
+// from the store.
 func (r *relay) handleNewsTell(from bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 	tell := e.GetNewstell()
 	wait := relayTimeout
@@ -131,28 +131,28 @@
 		wait = 0
 		r.watcherSeenAt.Store(r.follower.now().UnixNano())
 		r.follower.applyNews(tell)
-		if tell.Digest != r.follower.digestNews().Digest {
+		if tell.Digest != r.follower.newsDigest().Digest {
 			go r.askPeer(context.Background(), from, true)
 		}
 	}
 	if bbstore.Revision(tell.Revision) > r.follower.planRevision() {
-		r.raiseWanted(bbstore.Revision(tell.Revision))
+		r.raiseAnnouncedRevision(bbstore.Revision(tell.Revision))
 		go r.fetchPlan(from, wait)
 	}
 	return nil
 }
 
-// raiseWanted raises wantedRevision to rev.
-func (r *relay) raiseWanted(rev bbstore.Revision) {
+// raiseAnnouncedRevision raises announcedRevision to rev.
+func (r *relay) raiseAnnouncedRevision(rev bbstore.Revision) {
 	for {
-		old := r.wantedRevision.Load()
-		if int64(rev) <= old || r.wantedRevision.CompareAndSwap(old, int64(rev)) {
+		old := r.announcedRevision.Load()
+		if int64(rev) <= old || r.announcedRevision.CompareAndSwap(old, int64(rev)) {
 			return
 		}
 	}
 }
 
-// fetchPlan waits, then fetches plans until the wanted revision is in force.
+// fetchPlan waits, then fetches plans until the announced revision is in force.
 // Only one call runs at a time; others return.
 func (r *relay) fetchPlan(from bbunit.InstanceID, wait time.Duration) {
 	ctx := context.Background()
@@ -162,7 +162,7 @@
 	}
 	defer r.fetching.Store(false)
 	for range maxPlanFetches {
-		if int64(r.follower.planRevision()) >= r.wantedRevision.Load() {
+		if int64(r.follower.planRevision()) >= r.announcedRevision.Load() {
 			return
 		}
 		before := r.follower.planRevision()
@@ -173,7 +173,7 @@
 }
 
 // askPeer asks a peer for its plan, and its targets if wanted, and applies
-// them. If a question is already open it does nothing.
+// them. If a call is already open it does nothing.
 func (r *relay) askPeer(ctx context.Context, peer bbunit.InstanceID, targets bool) {
 	select {
 	case r.askSlot <- struct{}{}:
@@ -239,9 +239,9 @@
 	return tell
 }
 
-// digestNews returns the plan's revision and a digest of the targets, by which a
-// peer sees whether it has the same state.
-func (f *follower) digestNews() *bbwire.NewsTell {
+// newsDigest returns the plan's revision and a digest of the targets, by which
+// a peer sees whether it has the same state.
+func (f *follower) newsDigest() *bbwire.NewsTell {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return &bbwire.NewsTell{Revision: int64(f.planEntry.Rev), Digest: f.targets.Digest(), Watch: true}
--- a/bluebellport/proxy/relay_test.go
+++ b/bluebellport/proxy/relay_test.go
@@ -102,8 +102,8 @@
 }
 
 // An instance whose store does not answer follows plan and targets through a
-// peer of its own or of another failure domain. It learns of a leaving target
-// within the time that the platform allows.
+// peer, in its own failure domain or in another one. It learns of a leaving
+// target within the time that the platform allows.
 func TestFollowThroughPeer(t *testing.T) {
 	for _, domain := range []bbunit.DomainID{"uppsala", "gavle"} {
 		t.Run(string(domain), func(t *testing.T) {
@@ -176,6 +176,6 @@
 	h.declarePlan(1, 1000)
 	e, err := mem.Get(t.Context(), bbplatform.KeyPlan)
 	is.New(t).NoErr(err)
-	r.handleNewsTell("gone", &bbwire.Envelope{Body: &bbwire.Envelope_Newstell{Newstell: &bbwire.NewsTell{Revision: int64(e.Rev), Watch: true, Digest: f.digestNews().Digest}}})
+	r.handleNewsTell("gone", &bbwire.Envelope{Body: &bbwire.Envelope_Newstell{Newstell: &bbwire.NewsTell{Revision: int64(e.Rev), Watch: true, Digest: f.newsDigest().Digest}}})
 	await(t, "the plan is in force", 2*time.Second, func() bool { return f.board.Plan.Load() != nil })
 }
--- a/bluebellport/proxy/request.go
+++ b/bluebellport/proxy/request.go
@@ -30,7 +30,7 @@
 	ReceivedAt time.Time
 	Timeout    time.Duration
 	// PromptTokens is the size of the prompt, OutputTokens the most that the
-	// answer may have. Both are 0 unless HasUsage.
+	// response may have. Both are 0 unless HasUsage.
 	PromptTokens, OutputTokens bbunit.Tokens
 	HasUsage                   bool
 	LastEventID                string
@@ -78,8 +78,8 @@
 	return strings.HasPrefix(s, "/")
 }
 
-// singletonFields may occur only once: of two values, each reader could use
-// another.
+// singletonFields may occur only once: of two values, two readers could use
+// different ones.
 var singletonFields = []string{
 	bbplatform.HeaderAttemptID, bbplatform.HeaderDeadline, bbplatform.HeaderAPIKey,
 	bbplatform.HeaderTokenUsage, bbplatform.HeaderPromptParts, "Model", bbplatform.HeaderLastEventID,
--- a/bluebellport/proxy/outcome.go
+++ b/bluebellport/proxy/result.go
@@ -28,7 +28,7 @@
 	case resultGone:
 		return
 	case resultNotRun:
-		target.State.BackOffUntil(now.Add(busyPeriod))
+		target.State.BackOffUntil(now.Add(notRunBackoff))
 	case resultUnsent:
 		if p.board.LinkSaturated.Load() {
 			break // this instance's own link is as likely the cause
@@ -49,7 +49,7 @@
 	p.log.WithFields(x.logFields(target, result)).Info("attempt failed")
 }
 
-// logServed logs one in servedLogSample of the complete answers. The sample
+// logServed logs one in servedLogSample of the complete responses. The sample
 // depends on the request's id alone, so that all instances log the same
 // requests.
 func (p *Proxy) logServed(x *exchange, target *Target) {
@@ -84,17 +84,17 @@
 	return p.retryBudget(id).Spend(p.now(), p.retryPolicy())
 }
 
-// retryPolicy returns this instance's part of the retries that the fleet may
-// make.
+// retryPolicy returns this instance's part of the retry rate that the fleet is
+// allowed.
 func (p *Proxy) retryPolicy() *bbroute.RetryPolicy {
 	n := float64(max(p.board.Instances.Load(), 1))
 	return &bbroute.RetryPolicy{
-		Ratio:        p.settings.RetryRatio * retryBudgetPart,
-		MinPerSecond: p.settings.RetryExtra * retryBudgetPart / n / max(p.settings.RetryWindow.Seconds(), 1),
+		Ratio:        p.settings.RetryRatio * retryBudgetFraction,
+		MinPerSecond: p.settings.RetryExtra * retryBudgetFraction / n / max(p.settings.RetryWindow.Seconds(), 1),
 	}
 }
 
-// recordRefusal counts and logs a refusal, with the values that decided it.
+// recordRefusal counts and logs a refusal, with the values that led to it.
 func (p *Proxy) recordRefusal(attempt string, r *Refusal) {
 	p.metrics.recordRefusal(r.Status)
 	fields := logrus.Fields{"request": attempt, "status": r.Status, "reason": r.Reason, "after": r.RetryAfter.Seconds()}
--- a/bluebellport/proxy/share.go
+++ b/bluebellport/proxy/share.go
@@ -29,8 +29,8 @@
 }
 
 // shareController holds this instance's shares of the accounts' prepaid tokens.
-// It draws more from the store by compare-and-swap and reserves from them for
-// requests.
+// It gets more granted from the store by compare-and-swap, and reserves tokens
+// of its shares for requests.
 type shareController struct {
 	store  ShareStore
 	board  *Board
@@ -103,7 +103,7 @@
 			break
 		}
 		if remoteHome {
-			time.Sleep(shareTimeout / maxShareRounds / 4) // the account's home draws meanwhile
+			time.Sleep(shareTimeout / maxShareRounds / 4) // the account's home writes meanwhile
 		}
 	}
 	if c.loans.borrowFromPeers(account, n) && balance.Reserve(n) {
@@ -116,7 +116,7 @@
 }
 
 // exhausted reports that, by the latest reply of the store or of the account's
-// home, drawing again cannot bring n tokens.
+// home, another write cannot bring n tokens.
 func (c *shareController) exhausted(account *bbplan.Account, n bbunit.Tokens) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +144,7 @@
 	return max(c.now().Sub(time.Unix(0, lostAt)), 1)
 }
 
-// refuseNoShare refuses a request for which no share could be drawn.
+// refuseNoShare refuses a request for which no share could be had in time.
 // Retry-After is as long as the outage has lasted so far, which is taken as the
 // best guess of how much longer it lasts.
 func (c *shareController) refuseNoShare(account *bbplan.Account, n bbunit.Tokens) *Refusal {
@@ -182,7 +182,7 @@
 	}
 }
 
-// run draws shares until ctx ends.
+// run writes shares until ctx ends.
 func (c *shareController) run(ctx context.Context) {
 	ticker := time.NewTicker(shareCheckInterval)
 	defer ticker.Stop()
@@ -194,7 +194,7 @@
 		case <-ticker.C:
 		case <-c.wakeup:
 			if c.board.UsesHomes() {
-				bbclock.Wait(ctx, homeBatchDelay) // one write serves several members' needs
+				bbclock.Wait(ctx, homeBatchDelay) // one write serves several instances
 			}
 		}
 		if c.board.Plan.Load() == nil {
@@ -210,12 +210,12 @@
 			}
 		}
 		c.mu.Unlock()
-		c.draw(ctx)
+		c.writeShares(ctx)
 	}
 }
 
-// applyPayments tells the allocator what the accounts of a new plan have paid.
-// The caller holds mu.
+// applyPayments tells the allocator the prepaid tokens of the accounts of a new
+// plan. The caller holds mu.
 func (c *shareController) applyPayments() {
 	plan := c.board.Plan.Load()
 	if plan == nil || plan == c.plan {
@@ -241,9 +241,10 @@
 	c.logBadRows(c.allocator.ApplyRows(entries))
 }
 
-// draw writes the shares that are needed, and tries again after a conflict.
-func (c *shareController) draw(ctx context.Context) {
-	for range maxDrawTries {
+// writeShares writes the shares that are needed, and tries again after a
+// conflict.
+func (c *shareController) writeShares(ctx context.Context) {
+	for range maxWriteAttempts {
 		c.mu.Lock()
 		c.applyPayments()
 		holders := c.loans.updateHomes()
--- a/bluebellport/proxy/stream.go
+++ b/bluebellport/proxy/stream.go
@@ -13,7 +13,7 @@
 // is a stream that has not started.
 type streamState struct {
 	started      bool
-	complete     bool // the whole answer was passed on
+	complete     bool // the whole response was passed on
 	eventCount   int
 	firstEventAt time.Time     // when the first event came
 	lastEventAt  time.Time     // when the latest event came
@@ -50,7 +50,7 @@
 // head.
 func (x *exchange) forwardStream(conn *targetConn, resp *Response) attemptResult {
 	b := responseBody(conn.br, resp.framing, resp.Status, x.req.Method)
-	closeConn := x.req.Close || x.proxy.board.closeConns()
+	closeConn := x.req.Close || x.proxy.board.shouldCloseConns()
 	if !x.stream.started {
 		x.stream.started = true
 		x.stream.lastID = parseLastEventID(x.req.LastEventID)
@@ -103,7 +103,7 @@
 		}
 		n, err := b.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		rest, forwardErr := x.forwardComplete(buf)
+		rest, forwardErr := x.forwardWholeEvents(buf)
 		if forwardErr != nil {
 			return forwardErr
 		}
@@ -120,9 +120,9 @@
 	}
 }
 
-// forwardComplete writes the whole events at the start of buf as one chunk and
-// returns the rest.
-func (x *exchange) forwardComplete(buf []byte) ([]byte, error) {
+// forwardWholeEvents writes the whole events at the start of buf as one chunk
+// and returns the rest.
+func (x *exchange) forwardWholeEvents(buf []byte) ([]byte, error) {
 	events, rest, err := x.stream.splitEvents(buf, x.sentAttempts > 1)
 	if err != nil {
 		return nil, err
--- a/bluebellport/proxy/traffic.go
+++ b/bluebellport/proxy/traffic.go
@@ -47,19 +47,20 @@
 // to connect again, so that other instances take part of the traffic. Without a
 // limit it never does.
 type saturationDetector struct {
-	limit      float64 // bytes a second in each direction; 0 for none
-	ticksAbove int     // consecutive ticks above saturationHigh
-	holdUntil  time.Time
-	saturated  bool
+	limit       float64 // bytes a second in each direction; 0 for none
+	checksAbove int     // consecutive checks above saturationHigh
+	holdUntil   time.Time
+	saturated   bool
 }
 
 const (
 	// linkCheckInterval is the time between two checks of the traffic.
 	linkCheckInterval = 250 * time.Millisecond
-	// saturationTicks is how many consecutive checks must be above saturationHigh.
-	saturationTicks = 2
-	// saturationHigh and saturationLow are the parts of the link's rate at which
-	// saturation begins and ends.
+	// saturationChecks is how many consecutive checks must be above
+	// saturationHigh.
+	saturationChecks = 2
+	// saturationHigh and saturationLow are the fractions of the link's rate at
+	// which saturation begins and ends.
 	saturationHigh = 0.55
 	saturationLow  = 0.3
 	// saturationHold is the least time that an instance counts as saturated.
@@ -73,12 +74,12 @@
 		return false
 	}
 	if rate > saturationHigh*d.limit {
-		d.ticksAbove++
+		d.checksAbove++
 	} else {
-		d.ticksAbove = 0
+		d.checksAbove = 0
 	}
 	switch {
-	case d.ticksAbove >= saturationTicks:
+	case d.checksAbove >= saturationChecks:
 		d.saturated, d.holdUntil = true, now.Add(saturationHold)
 	case d.saturated && rate < saturationLow*d.limit && now.After(d.holdUntil):
 		d.saturated = false
@@ -86,8 +87,8 @@
 	return d.saturated
 }
 
-// watchLink checks the link for saturation until ctx ends.
-func (p *Proxy) watchLink(ctx context.Context) {
+// monitorLink checks the link for saturation until ctx ends.
+func (p *Proxy) monitorLink(ctx context.Context) {
 	detector := saturationDetector{limit: p.settings.LinkMbps * 1e6 / 8}
 	in, out, last := p.traffic.in.Load(), p.traffic.out.Load(), p.now()
 	for ctx.Err() == nil {
