--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -18,8 +18,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// settleTimeout is how long bills may take to be written after the last answer.
-const settleTimeout = 15 * time.Second
+// billTimeout is how long bills may take to be written after the last answer.
+const billTimeout = 15 * time.Second
 
 // requestKey names a request.
 type requestKey struct {
@@ -27,52 +27,52 @@
 	id      string
 }
 
-// runOf is one run of a request as a stand-in recorded it.
-type runOf struct {
-	at    int64 // when it came, in microseconds since the epoch
-	write bool
+// execution is one run of a request as a stand-in recorded it.
+type execution struct {
+	arrivedAt int64 // when it came, in microseconds since the epoch
+	isWrite   bool
 }
 
 // audit compares what callers were told, what the stand-ins ran and what was
 // billed.
 type audit struct {
-	customers []customer
-	results   []bbstand.LoadResult
-	runs      map[string][]runOf
-	bills     map[requestKey][]*bbwire.Record
-	// others are records that are no bills.
-	others map[requestKey]*bbwire.Record
-	// suspects describes what the verdict counts as wrong.
-	suspects []string
+	accounts   []clientAccount
+	results    []bbstand.LoadResult
+	executions map[string][]execution
+	bills      map[requestKey][]*bbwire.Record
+	// otherRecords are records that are no bills.
+	otherRecords map[requestKey]*bbwire.Record
+	// findings describes what the verdict counts as wrong.
+	findings []string
 }
 
-// verdict is one row of the table of faults.
-type verdict struct {
+// auditSummary is one row of the table of faults.
+type auditSummary struct {
 	requests, done, refused, lost int
 	cut, wrong                    int
 	overspend                     int64
 	falseRefusals                 int
 	billedTwice, notBilled        int
-	listed                        int // answered, and among the records of unknown end
+	listedUnknown                 int // answered, and among the records of unknown end
 	ranTwice, wronglyNotRun       int
 	billed, settled, stuck        int64
 	stuckLater                    int64 // ten seconds after stuck, where it was looked at
 }
 
-const verdictHead = "| fault | requests | done | refused | lost | cut | wrong | overspend | false refusals | billed twice | not billed | listed | ran twice | wrongly told not-run | billed | settled | stuck | stuck 10 s later |"
+const summaryHeader = "| fault | requests | done | refused | lost | cut | wrong | overspend | false refusals | billed twice | not billed | listed | ran twice | wrongly told not-run | billed | settled | stuck | stuck 10 s later |"
 
-func (v verdict) row(name string) string {
+func (v auditSummary) tableRow(name string) string {
 	later := "-"
 	if v.stuckLater >= 0 {
 		later = fmt.Sprint(v.stuckLater)
 	}
 	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %s |", name,
 		v.requests, v.done, v.refused, v.lost, v.cut, v.wrong, v.overspend, v.falseRefusals,
-		v.billedTwice, v.notBilled, v.listed, v.ranTwice, v.wronglyNotRun, v.billed, v.settled, v.stuck, later)
+		v.billedTwice, v.notBilled, v.listedUnknown, v.ranTwice, v.wronglyNotRun, v.billed, v.settled, v.stuck, later)
 }
 
-// faulty returns the columns that must be zero and are not.
-func (v verdict) faulty() string {
+// violations returns the columns that must be zero and are not.
+func (v auditSummary) violations() string {
 	var bad []string
 	for _, c := range []struct {
 		name string
@@ -95,59 +95,59 @@
 // newAudit waits until every answered request is billed, or no longer than
 // settleTimeout, and reads all records.
 func newAudit(f *fleet, results []bbstand.LoadResult) *audit {
-	a := &audit{customers: f.customers, results: results, runs: map[string][]runOf{}}
-	for end := time.Now().Add(settleTimeout); ; time.Sleep(500 * time.Millisecond) {
-		a.readBills(f)
+	a := &audit{accounts: f.accounts, results: results, executions: map[string][]execution{}}
+	for end := time.Now().Add(billTimeout); ; time.Sleep(500 * time.Millisecond) {
+		a.readRecords(f)
 		if listed, missing := a.unbilled(); listed+missing == 0 || time.Now().After(end) {
 			break
 		}
 	}
-	for _, x := range f.targets {
-		if x.ended() {
-			a.readLog(f.t, x)
+	for _, target := range f.targets {
+		if target.hasExited() {
+			a.readExecutionLog(f.t, target)
 		} else {
-			a.readRuns(f.t, x)
+			a.readExecutions(f.t, target)
 		}
 	}
 	return a
 }
 
-func (a *audit) readRuns(t *testing.T, x *target) {
-	if x.service == engineService {
+func (a *audit) readExecutions(t *testing.T, target *target) {
+	if target.service == engineService {
 		var ran []bbstand.EngineExecution
-		get(t, x.address, "/admin/ran", &ran)
+		getJSON(t, target.address, "/admin/ran", &ran)
 		for _, r := range ran {
-			a.runs[r.Name] = append(a.runs[r.Name], runOf{at: r.AcceptedAt})
+			a.executions[r.Name] = append(a.executions[r.Name], execution{arrivedAt: r.AcceptedAt})
 		}
 		return
 	}
 	var ran []bbstand.PlainExecution
-	get(t, x.address, "/admin/ran", &ran)
+	getJSON(t, target.address, "/admin/ran", &ran)
 	for _, r := range ran {
-		a.runs[r.Request] = append(a.runs[r.Request], runOf{at: r.AcceptedAt, write: r.WriteNumber > 0})
+		a.executions[r.Request] = append(a.executions[r.Request], execution{arrivedAt: r.AcceptedAt, isWrite: r.WriteNumber > 0})
 	}
 }
 
-// readLog reads what a target that has ended logged of the requests it took.
-func (a *audit) readLog(t *testing.T, x *target) {
+// readExecutionLog reads what a target that has ended logged of the requests it took.
+func (a *audit) readExecutionLog(t *testing.T, target *target) {
 	t.Helper()
-	for line := range strings.Lines(read(t, x.log)) {
+	for line := range strings.Lines(readFile(t, target.logPath)) {
 		var l struct {
 			Msg string                  `json:"msg"`
 			Ran bbstand.EngineExecution `json:"ran"`
 		}
 		if json.Unmarshal([]byte(line), &l) == nil && l.Msg == bbstand.LogAccepted {
-			a.runs[l.Ran.Name] = append(a.runs[l.Ran.Name], runOf{at: l.Ran.AcceptedAt})
+			a.executions[l.Ran.Name] = append(a.executions[l.Ran.Name], execution{arrivedAt: l.Ran.AcceptedAt})
 		}
 	}
 }
 
-func (a *audit) readBills(f *fleet) {
+func (a *audit) readRecords(f *fleet) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	a.bills = map[requestKey][]*bbwire.Record{}
-	a.others = map[requestKey]*bbwire.Record{}
-	list, _, err := f.client.List(ctx, bbjournal.Prefix)
+	a.otherRecords = map[requestKey]*bbwire.Record{}
+	list, _, err := f.storeClient.List(ctx, bbjournal.Prefix)
 	if err != nil {
 		return
 	}
@@ -157,18 +157,18 @@
 			f.t.Fatalf("%s: %s", e.Key, err)
 		}
 		for _, r := range l.Records {
-			k := requestKey{r.Account, r.Request}
+			key := requestKey{r.Account, r.Request}
 			if r.Kind == bbwire.Record_BILL {
-				a.bills[k] = append(a.bills[k], r)
+				a.bills[key] = append(a.bills[key], r)
 			} else {
-				a.others[k] = r
+				a.otherRecords[key] = r
 			}
 		}
 	}
 }
 
-func (a *audit) key(r *bbstand.LoadResult) requestKey {
-	return requestKey{string(a.customers[r.KeyIndex].account), r.ID}
+func (a *audit) key(result *bbstand.LoadResult) requestKey {
+	return requestKey{string(a.accounts[result.KeyIndex].id), result.ID}
 }
 
 // unbilled counts the answered requests without a bill: those that stand in the
@@ -179,7 +179,7 @@
 		if r.Outcome != "done" || len(a.bills[a.key(r)]) > 0 {
 			continue
 		}
-		if a.isListed(a.key(r)) {
+		if a.isListedUnknown(a.key(r)) {
 			listed++
 		} else {
 			missing++
@@ -188,78 +188,78 @@
 	return listed, missing
 }
 
-func (a *audit) isListed(k requestKey) bool {
-	r := a.others[k]
+func (a *audit) isListedUnknown(key requestKey) bool {
+	r := a.otherRecords[key]
 	return r != nil && (r.Kind == bbwire.Record_UNKNOWN || r.Kind == bbwire.Record_CLAIM)
 }
 
-// verdict sums the audit up.
-func (a *audit) verdict() verdict {
-	v := verdict{requests: len(a.results), stuckLater: -1}
-	v.listed, v.notBilled = a.unbilled()
+// summarize sums the audit up.
+func (a *audit) summarize() auditSummary {
+	summary := auditSummary{requests: len(a.results), stuckLater: -1}
+	summary.listedUnknown, summary.notBilled = a.unbilled()
 	for i := range a.results {
-		a.judge(&a.results[i], &v)
+		a.countResult(&a.results[i], &summary)
 	}
-	for _, l := range a.bills {
-		if len(l) > 1 {
-			v.billedTwice++
+	for _, bills := range a.bills {
+		if len(bills) > 1 {
+			summary.billedTwice++
 		}
-		for _, r := range l {
-			v.billed += r.Amount
+		for _, r := range bills {
+			summary.billed += r.Amount
 		}
 	}
-	a.judgeBudgets(&v)
-	a.suspectUnbilled()
-	return v
+	a.checkBudgets(&summary)
+	a.reportUnbilled()
+	return summary
 }
 
-// suspectUnbilled describes the answered requests that have no bill.
-func (a *audit) suspectUnbilled() {
+// reportUnbilled describes the answered requests that have no bill.
+func (a *audit) reportUnbilled() {
 	for i := range a.results {
 		if r := &a.results[i]; r.Outcome == "done" && len(a.bills[a.key(r)]) == 0 {
-			a.suspects = append(a.suspects, fmt.Sprintf("%s (%s) is not billed; due at %d, answered after %s, ran %v, record: %s; %s",
-				r.ID, r.Kind, r.Start, r.Total, a.runs[r.ID], a.others[a.key(r)], strings.Join(r.AttemptErrors, "; ")))
+			a.findings = append(a.findings, fmt.Sprintf("%s (%s) is not billed; due at %d, answered after %s, ran %v, record: %s; %s",
+				r.ID, r.Kind, r.Start, r.Total, a.executions[r.ID], a.otherRecords[a.key(r)], strings.Join(r.AttemptErrors, "; ")))
 		}
 	}
 }
 
-// judge counts one result.
-func (a *audit) judge(r *bbstand.LoadResult, v *verdict) {
+// countResult counts one result.
+func (a *audit) countResult(result *bbstand.LoadResult, summary *auditSummary) {
 	switch {
-	case r.Truncated:
-		v.cut++
-	case r.Outcome == "lost":
-		v.lost++
-	case r.Outcome == "done":
-		v.done++
+	case result.Truncated:
+		summary.cut++
+	case result.Outcome == "lost":
+		summary.lost++
+	case result.Outcome == "done":
+		summary.done++
 	default:
-		v.refused++
+		summary.refused++
 	}
-	if r.Wrong {
-		v.wrong++
+	if result.Wrong {
+		summary.wrong++
 	}
 	writes := 0
-	for _, run := range a.runs[r.ID] {
-		if run.write {
+	for _, run := range a.executions[result.ID] {
+		if run.isWrite {
 			writes++
 		}
 	}
 	if writes > 1 {
-		v.ranTwice++
-		a.suspects = append(a.suspects, fmt.Sprintf("%s ran %v: %s", r.ID, a.runs[r.ID], strings.Join(r.AttemptErrors, "; ")))
+		summary.ranTwice++
+		a.findings = append(a.findings, fmt.Sprintf("%s ran %v: %s", result.ID, a.executions[result.ID], strings.Join(result.AttemptErrors, "; ")))
 	}
-	for _, told := range r.NotRunAt {
-		if a.ranBefore(r.ID, told) {
-			v.wronglyNotRun++
-			a.suspects = append(a.suspects, fmt.Sprintf("%s (%s) ran %v and was told not-run at %v: %s", r.ID, r.Kind, a.runs[r.ID], r.NotRunAt, strings.Join(r.AttemptErrors, "; ")))
+	for _, notRunAt := range result.NotRunAt {
+		if a.ranBy(result.ID, notRunAt) {
+			summary.wronglyNotRun++
+			a.findings = append(a.findings, fmt.Sprintf("%s (%s) ran %v and was told not-run at %v: %s", result.ID, result.Kind, a.executions[result.ID], result.NotRunAt, strings.Join(result.AttemptErrors, "; ")))
 			break
 		}
 	}
 }
 
-func (a *audit) ranBefore(id string, at int64) bool {
-	for _, run := range a.runs[id] {
-		if run.at <= at {
+func (a *audit) ranBy(id string, deadline int64) bool {
+	for _, run := range a.executions[id] {
+		if run.arrivedAt <= deadline {
 			return true
 		}
 	}
@@ -267,34 +267,34 @@
 }
 
 // cost returns what a request costs by what its caller got.
-func cost(r *bbstand.LoadResult) int64 {
-	if r.Kind == bbstand.LoadRead || r.Kind == bbstand.LoadWrite {
+func cost(result *bbstand.LoadResult) int64 {
+	if result.Kind == bbstand.LoadRead || result.Kind == bbstand.LoadWrite {
 		return callPrice
 	}
-	return int64(r.Tokens)
+	return int64(result.Tokens)
 }
 
-// judgeBudgets compares each customer's paid tokens with what was answered and
+// checkBudgets compares each customer's paid tokens with what was answered and
 // with what was billed, and looks for refusals while there was money.
-func (a *audit) judgeBudgets(v *verdict) {
-	for k, c := range a.customers {
-		v.overspend += max(0, max(a.answered(k), a.billed(c))-int64(c.paid))
+func (a *audit) checkBudgets(summary *auditSummary) {
+	for key, account := range a.accounts {
+		summary.overspend += max(0, max(a.answeredCost(key), a.billedAmount(account))-int64(account.prepaid))
 		for i := range a.results {
-			if r := &a.results[i]; r.KeyIndex == k && r.Status == 402 && int64(c.paid)-a.costBefore(k, r.Start+r.Total.Milliseconds()) >= mostCost(r) {
-				v.falseRefusals++
+			if r := &a.results[i]; r.KeyIndex == key && r.Status == 402 && int64(account.prepaid)-a.answeredCostUntil(key, r.Start+r.Total.Milliseconds()) >= maxCost(r) {
+				summary.falseRefusals++
 			}
 		}
 	}
 }
 
-// answered returns what the customer's answered requests cost.
-func (a *audit) answered(key int) int64 {
-	return a.costBefore(key, math.MaxInt64)
+// answeredCost returns what the customer's answered requests cost.
+func (a *audit) answeredCost(key int) int64 {
+	return a.answeredCostUntil(key, math.MaxInt64)
 }
 
-// costBefore returns what the customer's answered requests that were due up to
+// answeredCostUntil returns what the customer's answered requests that were due up to
 // a time cost; one that was sent twice counts once.
-func (a *audit) costBefore(key int, until int64) int64 {
+func (a *audit) answeredCostUntil(key int, until int64) int64 {
 	var n int64
 	seen := map[string]bool{}
 	for i := range a.results {
@@ -306,12 +306,12 @@
 	return n
 }
 
-// billed returns what the customer was billed.
-func (a *audit) billed(c customer) int64 {
+// billedAmount returns what the customer was billed.
+func (a *audit) billedAmount(account clientAccount) int64 {
 	var n int64
-	for k, l := range a.bills {
-		for _, r := range l {
-			if k.account == string(c.account) {
+	for key, bills := range a.bills {
+		for _, r := range bills {
+			if key.account == string(account.id) {
 				n += r.Amount
 			}
 		}
@@ -324,15 +324,15 @@
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	list, err := bbledger.ListBudgets(ctx, f.client)
+	list, err := bbledger.ListBudgets(ctx, f.storeClient)
 	if err != nil {
 		f.t.Errorf("budgets: %s", err)
 	}
 	for _, b := range list {
 		f.t.Logf("%s: paid %d, drawn %d, spent %d, stuck %d, rest %d", b.Budget, b.Paid, b.Drawn, b.Spent, b.Stuck, b.Remaining)
-		for _, c := range f.customers {
-			if c.budget == b.Budget {
-				f.t.Logf("%s: billed %d", b.Budget, a.billed(c))
+		for _, account := range f.accounts {
+			if account.budget == b.Budget {
+				f.t.Logf("%s: billed %d", b.Budget, a.billedAmount(account))
 			}
 		}
 		settled += int64(b.Spent)
@@ -341,9 +341,9 @@
 	return settled, stuck
 }
 
-// mostCost is the most that a request of the kind could have cost.
-func mostCost(r *bbstand.LoadResult) int64 {
-	if r.Kind == bbstand.LoadRead || r.Kind == bbstand.LoadWrite {
+// maxCost is the most that a request of the kind could have cost.
+func maxCost(result *bbstand.LoadResult) int64 {
+	if result.Kind == bbstand.LoadRead || result.Kind == bbstand.LoadWrite {
 		return callPrice
 	}
 	return 120
@@ -354,16 +354,16 @@
 func TestRunsOfKilledEngine(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{t: t}
-	x := f.startTarget("engine", engineService, "uppsala")
-	o := f.load(0, time.Minute)
-	o.Count, o.PlainShare, o.Instances, o.Keys = 3, 0, []string{x.address}, []string{"key"}
-	results := generate(o)
-	live, dead := &audit{runs: map[string][]runOf{}}, &audit{runs: map[string][]runOf{}}
-	live.readRuns(t, x)
-	x.kill()
-	dead.readLog(t, x)
-	is.Equal(len(dead.runs), len(results))
-	is.Equal(dead.runs, live.runs)
+	target := f.startTarget("engine", engineService, "uppsala")
+	o := f.loadOptions(0, time.Minute)
+	o.Count, o.PlainShare, o.Instances, o.Keys = 3, 0, []string{target.address}, []string{"key"}
+	results := generateLoad(o)
+	live, dead := &audit{executions: map[string][]execution{}}, &audit{executions: map[string][]execution{}}
+	live.readExecutions(t, target)
+	target.kill()
+	dead.readExecutionLog(t, target)
+	is.Equal(len(dead.executions), len(results))
+	is.Equal(dead.executions, live.executions)
 }
 
 // TestAudit shows that each column finds its fault.
@@ -379,47 +379,47 @@
 		return out
 	}
 	refused := bbstand.LoadResult{ID: "a", Status: 402, Outcome: "not-run", Start: 100, NotRunAt: []int64{200}}
-	kept := func(k bbwire.Record_Kind) *bbwire.Record { return &bbwire.Record{Kind: k} }
+	record := func(k bbwire.Record_Kind) *bbwire.Record { return &bbwire.Record{Kind: k} }
 	cases := []struct {
 		name   string
 		result bbstand.LoadResult
-		runs   []runOf
+		runs   []execution
 		bills  []*bbwire.Record
 		other  *bbwire.Record
-		want   verdict
+		want   auditSummary
 	}{
-		{"sound", done("a", bbstand.LoadWrite, 0), []runOf{{150, true}}, bill(10), nil, verdict{done: 1}},
-		{"wrong answer", bbstand.LoadResult{ID: "a", Outcome: "done", Tokens: 5, Wrong: true}, nil, bill(5), nil, verdict{done: 1, wrong: 1}},
-		{"cut", bbstand.LoadResult{ID: "a", Outcome: "lost", Truncated: true}, nil, nil, nil, verdict{cut: 1}},
-		{"answered above paid", done("a", bbstand.LoadWhole, 1005), nil, bill(5), nil, verdict{done: 1, overspend: 5}},
-		{"billed above paid", done("a", bbstand.LoadWhole, 5), nil, bill(1007), nil, verdict{done: 1, overspend: 7}},
-		{"billed twice", done("a", bbstand.LoadWhole, 5), nil, bill(5, 5), nil, verdict{done: 1, billedTwice: 1}},
-		{"not billed", done("a", bbstand.LoadWhole, 5), nil, nil, nil, verdict{done: 1, notBilled: 1}},
-		{"not billed and listed as unknown", done("a", bbstand.LoadWrite, 0), nil, nil, kept(bbwire.Record_UNKNOWN), verdict{done: 1, listed: 1}},
-		{"not billed and listed as claimed", done("a", bbstand.LoadWrite, 0), nil, nil, kept(bbwire.Record_CLAIM), verdict{done: 1, listed: 1}},
-		{"not billed and only reserved", done("a", bbstand.LoadWrite, 0), nil, nil, kept(bbwire.Record_OPEN), verdict{done: 1, notBilled: 1}},
-		{"billed and once claimed", done("a", bbstand.LoadWrite, 0), nil, bill(10), kept(bbwire.Record_CLAIM), verdict{done: 1}},
-		{"ran twice", done("a", bbstand.LoadWrite, 0), []runOf{{150, true}, {160, true}}, bill(10), nil, verdict{done: 1, ranTwice: 1}},
-		{"read twice", done("a", bbstand.LoadRead, 0), []runOf{{150, false}, {160, false}}, bill(10), nil, verdict{done: 1}},
-		{"refused with money left", refused, nil, nil, nil, verdict{refused: 1, falseRefusals: 1}},
-		{"told not-run after it ran", refused, []runOf{{199, false}}, nil, nil, verdict{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
-		{"told not-run as it ran", refused, []runOf{{200, false}}, nil, nil, verdict{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
-		{"told not-run between two copies", refused, []runOf{{300, false}, {199, false}}, nil, nil, verdict{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
-		{"told not-run before it ran", refused, []runOf{{201, false}}, nil, nil, verdict{refused: 1, falseRefusals: 1}},
+		{"sound", done("a", bbstand.LoadWrite, 0), []execution{{150, true}}, bill(10), nil, auditSummary{done: 1}},
+		{"wrong answer", bbstand.LoadResult{ID: "a", Outcome: "done", Tokens: 5, Wrong: true}, nil, bill(5), nil, auditSummary{done: 1, wrong: 1}},
+		{"cut", bbstand.LoadResult{ID: "a", Outcome: "lost", Truncated: true}, nil, nil, nil, auditSummary{cut: 1}},
+		{"answered above paid", done("a", bbstand.LoadWhole, 1005), nil, bill(5), nil, auditSummary{done: 1, overspend: 5}},
+		{"billed above paid", done("a", bbstand.LoadWhole, 5), nil, bill(1007), nil, auditSummary{done: 1, overspend: 7}},
+		{"billed twice", done("a", bbstand.LoadWhole, 5), nil, bill(5, 5), nil, auditSummary{done: 1, billedTwice: 1}},
+		{"not billed", done("a", bbstand.LoadWhole, 5), nil, nil, nil, auditSummary{done: 1, notBilled: 1}},
+		{"not billed and listed as unknown", done("a", bbstand.LoadWrite, 0), nil, nil, record(bbwire.Record_UNKNOWN), auditSummary{done: 1, listedUnknown: 1}},
+		{"not billed and listed as claimed", done("a", bbstand.LoadWrite, 0), nil, nil, record(bbwire.Record_CLAIM), auditSummary{done: 1, listedUnknown: 1}},
+		{"not billed and only reserved", done("a", bbstand.LoadWrite, 0), nil, nil, record(bbwire.Record_OPEN), auditSummary{done: 1, notBilled: 1}},
+		{"billed and once claimed", done("a", bbstand.LoadWrite, 0), nil, bill(10), record(bbwire.Record_CLAIM), auditSummary{done: 1}},
+		{"ran twice", done("a", bbstand.LoadWrite, 0), []execution{{150, true}, {160, true}}, bill(10), nil, auditSummary{done: 1, ranTwice: 1}},
+		{"read twice", done("a", bbstand.LoadRead, 0), []execution{{150, false}, {160, false}}, bill(10), nil, auditSummary{done: 1}},
+		{"refused with money left", refused, nil, nil, nil, auditSummary{refused: 1, falseRefusals: 1}},
+		{"told not-run after it ran", refused, []execution{{199, false}}, nil, nil, auditSummary{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
+		{"told not-run as it ran", refused, []execution{{200, false}}, nil, nil, auditSummary{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
+		{"told not-run between two copies", refused, []execution{{300, false}, {199, false}}, nil, nil, auditSummary{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
+		{"told not-run before it ran", refused, []execution{{201, false}}, nil, nil, auditSummary{refused: 1, falseRefusals: 1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			a := &audit{
-				customers: []customer{{account: "x", paid: 1000}},
-				results:   []bbstand.LoadResult{c.result},
-				runs:      map[string][]runOf{"a": c.runs},
-				bills:     map[requestKey][]*bbwire.Record{},
-				others:    map[requestKey]*bbwire.Record{{"x", "a"}: c.other},
+				accounts:     []clientAccount{{id: "x", prepaid: 1000}},
+				results:      []bbstand.LoadResult{c.result},
+				executions:   map[string][]execution{"a": c.runs},
+				bills:        map[requestKey][]*bbwire.Record{},
+				otherRecords: map[requestKey]*bbwire.Record{{"x", "a"}: c.other},
 			}
 			if c.bills != nil {
 				a.bills[requestKey{"x", "a"}] = c.bills
 			}
-			got := a.verdict()
+			got := a.summarize()
 			got.requests, got.billed, got.stuckLater = 0, 0, 0
 			if got != c.want {
 				t.Errorf("%+v, not %+v", got, c.want)
--- a/e2e/client_test.go
+++ b/e2e/client_test.go
@@ -12,9 +12,9 @@
 	bbstand "bluebellport.example/bluebellstand/src"
 )
 
-func smallFleet() fleetOptions {
-	o := defaultFleet()
-	o.perDomain = 1
+func smallFleetOptions() fleetOptions {
+	o := defaultFleetOptions()
+	o.instancesPerDomain = 1
 	return o
 }
 
@@ -22,10 +22,10 @@
 // library that knows nothing of the fleet.
 func TestPublishedClient(t *testing.T) {
 	is := is.New(t)
-	f := startFleet(t, smallFleet())
+	f := startFleet(t, smallFleetOptions())
 	c := openai.NewClient(
 		option.WithBaseURL("http://"+f.instances[0].listen+"/v1/"),
-		option.WithAPIKey(f.customers[0].key),
+		option.WithAPIKey(f.accounts[0].key),
 		option.WithMaxRetries(0),
 	)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	faultRate  = 40 // requests a second
-	faultAfter = 2 * time.Second
-	loadTime   = 8 * time.Second
-	shortTime  = 5 * time.Second
-	stuckWait  = 10 * time.Second
+	faultRate         = 40 // requests a second
+	faultDelay        = 2 * time.Second
+	loadDuration      = 8 * time.Second
+	shortLoadDuration = 5 * time.Second
+	stuckRecheckDelay = 10 * time.Second
 )
 
-// faultRow is one fault, brought about while requests run.
-type faultRow struct {
+// faultCase is one fault, brought about while requests run.
+type faultCase struct {
 	name string
 	// short rows run also without -faults.
 	short bool
-	// time is how long requests are sent; 0 is loadTime.
-	time time.Duration
-	// twice sends every request at once to two instances.
-	twice bool
-	// kills rows look at what is stuck again ten seconds later.
-	kills bool
-	// fleet changes the fleet that is started.
-	fleet func(*fleetOptions)
-	// cause brings the fault about and heals it.
-	cause func(*faultRun)
-	// check looks for what only this fault could break.
-	check func(*faultRun)
-	// after looks at what the instances left behind.
-	after func(*faultRun)
+	// loadDuration is how long requests are sent; 0 is loadTime.
+	loadDuration time.Duration
+	// sendTwice sends every request at once to two instances.
+	sendTwice bool
+	// recheckStuck rows look at what is stuck again ten seconds later.
+	recheckStuck bool
+	// adjustFleet changes the fleet that is started.
+	adjustFleet func(*fleetOptions)
+	// inject brings the fault about and heals it.
+	inject func(*faultRun)
+	// checkRunning looks for what only this fault could break.
+	checkRunning func(*faultRun)
+	// checkStopped looks at what the instances left behind.
+	checkStopped func(*faultRun)
 }
 
 // faultRun is a running row.
@@ -48,48 +48,48 @@
 	t       *testing.T
 	results []bbstand.LoadResult
 	audit   *audit
-	verdict verdict
-}
-
-var faultRows = []faultRow{
-	{name: "none", short: true, cause: func(*faultRun) {}, check: allDone, after: allHandedBack},
-	{name: "kill -9 of an instance", short: true, kills: true, cause: killInstance},
-	{name: "kill -9 of two instances", kills: true, cause: killTwo},
-	{name: "instance frozen past its leases", time: 14 * time.Second, cause: freezeInstance},
-	{name: "store down 10 s", time: 14 * time.Second, cause: storeDown},
-	{name: "store slow (300 ms)", cause: storeSlow},
-	{name: "store answers lost (1 in 3)", short: true, cause: storeLosesAnswers},
-	{name: "store connections silent", cause: storeSilent},
-	{name: "cut between failure domains", time: 14 * time.Second, cause: cutDomains},
-	{name: "failure domain cut from all else", time: 14 * time.Second, cause: cutPlatform},
-	{name: "top-up during a cut", time: 14 * time.Second, cause: topUpDuringCut},
-	{name: "operators race", cause: operatorsRace, check: oneTicketInForce},
-	{name: "callers send twice at once", twice: true, cause: func(*faultRun) {}},
-	{name: "callers send twice, one instance killed", kills: true, twice: true, cause: killInstance},
-	{name: "target leaves", cause: targetLeaves},
-	{name: "ticket takes a target out", cause: ticketTakesTargetOut},
-	{name: "planned stop of an instance", short: true, cause: plannedStop, check: nothingCut, after: allHandedBack},
-	{name: "target connections silent", cause: targetSilent},
-	{name: "plain service loses answers", cause: answersLost},
-	{name: "kill -9 of an engine", cause: killEngine},
-	{name: "poison request", fleet: func(o *fleetOptions) { o.engines = 3 }, cause: poisonRequest, check: enginesLive},
-	{name: "kill, lost answers and a cut at once", time: 14 * time.Second, kills: true, cause: several},
+	summary auditSummary
+}
+
+var faultCases = []faultCase{
+	{name: "none", short: true, inject: func(*faultRun) {}, checkRunning: checkAllDone, checkStopped: checkNothingStuck},
+	{name: "kill -9 of an instance", short: true, recheckStuck: true, inject: killInstance},
+	{name: "kill -9 of two instances", recheckStuck: true, inject: killTwoInstances},
+	{name: "instance frozen past its leases", loadDuration: 14 * time.Second, inject: freezeInstance},
+	{name: "store down 10 s", loadDuration: 14 * time.Second, inject: storeDown},
+	{name: "store slow (300 ms)", inject: storeSlow},
+	{name: "store answers lost (1 in 3)", short: true, inject: storeLosesAnswers},
+	{name: "store connections silent", inject: storeSilent},
+	{name: "cut between failure domains", loadDuration: 14 * time.Second, inject: partitionDomains},
+	{name: "failure domain cut from all else", loadDuration: 14 * time.Second, inject: partitionDomainFromAll},
+	{name: "top-up during a cut", loadDuration: 14 * time.Second, inject: topUpDuringPartition},
+	{name: "operators race", inject: operatorsRace, checkRunning: checkTicketInForce},
+	{name: "callers send twice at once", sendTwice: true, inject: func(*faultRun) {}},
+	{name: "callers send twice, one instance killed", recheckStuck: true, sendTwice: true, inject: killInstance},
+	{name: "target leaves", inject: targetLeaves},
+	{name: "ticket takes a target out", inject: ticketMarksTargetLeaving},
+	{name: "planned stop of an instance", short: true, inject: plannedStop, checkRunning: checkNoBrokenConnections, checkStopped: checkNothingStuck},
+	{name: "target connections silent", inject: targetSilent},
+	{name: "plain service loses answers", inject: plainServiceLosesAnswers},
+	{name: "kill -9 of an engine", inject: killEngine},
+	{name: "poison request", adjustFleet: func(o *fleetOptions) { o.enginesPerDomain = 3 }, inject: poisonRequest, checkRunning: checkEnginesLive},
+	{name: "kill, lost answers and a cut at once", loadDuration: 14 * time.Second, recheckStuck: true, inject: severalFaults},
 }
 
 // TestFaults prints a table with a row for each fault. The columns from
 // overspend on must be zero, but for false refusals, which are measured.
 func TestFaults(t *testing.T) {
-	table := verdictHead + "\n"
-	for _, row := range faultRows {
-		if !row.short && !*faults {
+	table := summaryHeader + "\n"
+	for _, row := range faultCases {
+		if !row.short && !*allFaults {
 			continue
 		}
 		t.Run(row.name, func(t *testing.T) {
-			r := runRow(t, row)
-			line := r.verdict.row(row.name)
+			r := runFaultCase(t, row)
+			line := r.summary.tableRow(row.name)
 			table += line + "\n"
-			t.Log("\n" + verdictHead + "\n" + line)
-			if bad := r.verdict.faulty(); bad != "" {
+			t.Log("\n" + summaryHeader + "\n" + line)
+			if bad := r.summary.violations(); bad != "" {
 				t.Errorf("must be zero: %s", bad)
 			}
 		})
@@ -97,56 +97,56 @@
 	fmt.Print(table)
 }
 
-func runRow(t *testing.T, row faultRow) *faultRun {
-	o := defaultFleet()
-	if row.fleet != nil {
-		row.fleet(&o)
+func runFaultCase(t *testing.T, row faultCase) *faultRun {
+	o := defaultFleetOptions()
+	if row.adjustFleet != nil {
+		row.adjustFleet(&o)
 	}
 	r := &faultRun{fleet: startFleet(t, o), t: t}
-	if row.time == 0 {
-		row.time = loadTime
-		if !*faults {
-			row.time = shortTime
+	if row.loadDuration == 0 {
+		row.loadDuration = loadDuration
+		if !*allFaults {
+			row.loadDuration = shortLoadDuration
 		}
 	}
 	var wg sync.WaitGroup
-	loads := []bbstand.LoadOptions{r.load(faultRate, row.time)}
-	if row.twice {
+	loads := []bbstand.LoadOptions{r.loadOptions(faultRate, row.loadDuration)}
+	if row.sendTwice {
 		o := loads[0]
 		o.Instances = append(slices.Clone(o.Instances[1:]), o.Instances[0])
 		loads = append(loads, o)
 	}
 	results := make([][]bbstand.LoadResult, len(loads))
 	for n, o := range loads {
-		wg.Go(func() { results[n] = generate(o) })
+		wg.Go(func() { results[n] = generateLoad(o) })
 	}
-	time.Sleep(faultAfter)
-	row.cause(r)
+	time.Sleep(faultDelay)
+	row.inject(r)
 	wg.Wait()
 	r.results = slices.Concat(results...)
 	r.audit = newAudit(r.fleet, r.results)
-	r.verdict = r.audit.verdict()
-	r.verdict.settled, r.verdict.stuck = r.audit.readBudgets(r.fleet)
-	if row.kills {
-		time.Sleep(stuckWait)
-		_, r.verdict.stuckLater = r.audit.readBudgets(r.fleet)
+	r.summary = r.audit.summarize()
+	r.summary.settled, r.summary.stuck = r.audit.readBudgets(r.fleet)
+	if row.recheckStuck {
+		time.Sleep(stuckRecheckDelay)
+		_, r.summary.stuckLater = r.audit.readBudgets(r.fleet)
 	}
 	r.logRefusals()
-	for _, s := range r.audit.suspects {
+	for _, s := range r.audit.findings {
 		t.Log(s)
 	}
-	if row.check != nil {
-		row.check(r)
+	if row.checkRunning != nil {
+		row.checkRunning(r)
 	}
 	r.stopInstances()
-	if row.after != nil {
-		row.after(r)
+	if row.checkStopped != nil {
+		row.checkStopped(r)
 	}
 	r.stop()
 	return r
 }
 
-func generate(o bbstand.LoadOptions) []bbstand.LoadResult {
+func generateLoad(o bbstand.LoadOptions) []bbstand.LoadResult {
 	var mu sync.Mutex
 	var out []bbstand.LoadResult
 	bbstand.Generate(context.Background(), o, func(r bbstand.LoadResult) {
@@ -160,31 +160,31 @@
 // logRefusals prints how often callers were told what.
 func (r *faultRun) logRefusals() {
 	report := bbstand.NewLoadReport()
-	for _, x := range r.results {
-		x.Title = fmt.Sprintf("%s (%s)", x.Title, x.Kind)
-		report.Add(x)
+	for _, result := range r.results {
+		result.Title = fmt.Sprintf("%s (%s)", result.Title, result.Kind)
+		report.Add(result)
 	}
-	for _, x := range report.Refusals {
-		r.t.Logf("refused %d times: %d %s, %s", x.Count, x.Status, x.Outcome, x.Title)
+	for _, result := range report.Refusals {
+		r.t.Logf("refused %d times: %d %s, %s", result.Count, result.Status, result.Outcome, result.Title)
 	}
 	r.t.Logf("answers: p50 %.0f ms, p99 %.0f ms; retried: %d", report.Latency.P50, report.Latency.P99, report.Retried)
 }
 
-// allDone fails on refusals other than those of the spent budget.
-func allDone(r *faultRun) {
-	for _, x := range r.results {
-		if x.Outcome != "done" && x.Status != 402 {
-			r.t.Errorf("%s: status %d, %s, %s", x.ID, x.Status, x.Outcome, x.Title)
+// checkAllDone fails on refusals other than those of the spent budget.
+func checkAllDone(r *faultRun) {
+	for _, result := range r.results {
+		if result.Outcome != "done" && result.Status != 402 {
+			r.t.Errorf("%s: status %d, %s, %s", result.ID, result.Status, result.Outcome, result.Title)
 		}
 	}
 }
 
-// allHandedBack fails when instances that stopped as planned left money that is
+// checkNothingStuck fails when instances that stopped as planned left money that is
 // neither settled nor free.
-func allHandedBack(r *faultRun) {
+func checkNothingStuck(r *faultRun) {
 	settled, stuck := r.audit.readBudgets(r.fleet)
-	if stuck != 0 || settled != r.verdict.billed {
-		r.t.Errorf("after a planned stop %d tokens are settled and %d stuck; %d were billed", settled, stuck, r.verdict.billed)
+	if stuck != 0 || settled != r.summary.billed {
+		r.t.Errorf("after a planned stop %d tokens are settled and %d stuck; %d were billed", settled, stuck, r.summary.billed)
 	}
 }
 
@@ -193,7 +193,7 @@
 	r.startInstance("uppsala-3", "uppsala")
 }
 
-func killTwo(r *faultRun) {
+func killTwoInstances(r *faultRun) {
 	r.instances[0].kill()
 	r.instances[2].kill()
 	r.startInstance("uppsala-3", "uppsala")
@@ -206,68 +206,68 @@
 	r.instances[1].signal(syscall.SIGCONT)
 }
 
-// storeFault puts a fault in force for a time.
-func (r *faultRun) storeFault(f bbstand.StoreFault, d time.Duration) {
-	post(r.t, r.store, "/admin/fault", f)
+// injectStoreFault puts a fault in force for a time.
+func (r *faultRun) injectStoreFault(f bbstand.StoreFault, d time.Duration) {
+	postJSON(r.t, r.storeAddress, "/admin/fault", f)
 	time.Sleep(d)
-	post(r.t, r.store, "/admin/fault", bbstand.StoreFault{})
+	postJSON(r.t, r.storeAddress, "/admin/fault", bbstand.StoreFault{})
 }
 
-func storeDown(r *faultRun) { r.storeFault(bbstand.StoreFault{Down: true}, 10*time.Second) }
+func storeDown(r *faultRun) { r.injectStoreFault(bbstand.StoreFault{Down: true}, 10*time.Second) }
 
-func storeSlow(r *faultRun) { r.storeFault(bbstand.StoreFault{LatencyMS: 300}, 5*time.Second) }
+func storeSlow(r *faultRun) { r.injectStoreFault(bbstand.StoreFault{LatencyMS: 300}, 5*time.Second) }
 
 func storeLosesAnswers(r *faultRun) {
-	r.storeFault(bbstand.StoreFault{LoseEveryNthAnswer: 3}, 5*time.Second)
+	r.injectStoreFault(bbstand.StoreFault{LoseEveryNthAnswer: 3}, 5*time.Second)
 }
 
-func storeSilent(r *faultRun) { r.storeFault(bbstand.StoreFault{Silent: true}, time.Second) }
+func storeSilent(r *faultRun) { r.injectStoreFault(bbstand.StoreFault{Silent: true}, time.Second) }
 
-func cutDomains(r *faultRun) {
-	r.cutPeers()
+func partitionDomains(r *faultRun) {
+	r.partitionPeers()
 	time.Sleep(9 * time.Second)
 	r.healPeers()
 }
 
-// cutPeers cuts the instances of the two failure domains off each other.
-func (r *faultRun) cutPeers() {
-	silenced := 0
-	for _, i := range r.instances {
+// partitionPeers cuts the instances of the two failure domains off each other.
+func (r *faultRun) partitionPeers() {
+	blackholed := 0
+	for _, inst := range r.instances {
 		for _, other := range r.instances {
-			if other.domain != i.domain {
-				silenced += i.relay.cut(other.id)
+			if other.domain != inst.domain {
+				blackholed += inst.relay.blackhole(other.id)
 			}
 		}
 	}
-	if silenced == 0 {
+	if blackholed == 0 {
 		r.t.Errorf("the cut silenced no connection between instances")
 	}
 }
 
 func (r *faultRun) healPeers() {
-	for _, i := range r.instances {
-		i.relay.heal()
+	for _, inst := range r.instances {
+		inst.relay.heal()
 	}
 }
 
-func cutPlatform(r *faultRun) {
-	r.cutPeers()
-	r.storeRelay["gavle"].cut()
-	r.listRelay["gavle"].cut()
+func partitionDomainFromAll(r *faultRun) {
+	r.partitionPeers()
+	r.storeRelays["gavle"].blackhole()
+	r.listRelays["gavle"].blackhole()
 	time.Sleep(9 * time.Second)
-	r.storeRelay["gavle"].heal()
-	r.listRelay["gavle"].heal()
+	r.storeRelays["gavle"].heal()
+	r.listRelays["gavle"].heal()
 	r.healPeers()
 }
 
-func topUpDuringCut(r *faultRun) {
-	r.cutPeers()
-	r.storeRelay["gavle"].cut()
+func topUpDuringPartition(r *faultRun) {
+	r.partitionPeers()
+	r.storeRelays["gavle"].blackhole()
 	time.Sleep(2 * time.Second)
-	r.customers[1].paid += 2000
-	r.apply(r.ticket())
+	r.accounts[1].prepaid += 2000
+	r.applyTicket(r.nextTicket())
 	time.Sleep(6 * time.Second)
-	r.storeRelay["gavle"].heal()
+	r.storeRelays["gavle"].heal()
 	r.healPeers()
 }
 
@@ -278,42 +278,44 @@
 		var wg sync.WaitGroup
 		codes := make([]int, racingOperators)
 		for n := range racingOperators {
-			k := r.ticket()
-			k.Note = fmt.Sprintf("operator %d", n)
-			k.Budgets[1].Paid += bbunit.Tokens(n)
-			path := r.write(k)
-			wg.Go(func() { _, codes[n] = command(r.t, "bluebellctl", "--store", r.store, "ticket", "apply", path) })
+			ticket := r.nextTicket()
+			ticket.Note = fmt.Sprintf("operator %d", n)
+			ticket.Budgets[1].Paid += bbunit.Tokens(n)
+			path := r.writeTicket(ticket)
+			wg.Go(func() {
+				_, codes[n] = runProgram(r.t, "bluebellctl", "--store", r.storeAddress, "ticket", "apply", path)
+			})
 		}
 		wg.Wait()
 		accepted := 0
 		for n, code := range codes {
 			if code == 0 {
 				accepted++
-				r.customers[1].paid += bbunit.Tokens(n)
+				r.accounts[1].prepaid += bbunit.Tokens(n)
 			}
 		}
 		if accepted != 1 {
-			r.t.Errorf("ticket %d: %d of %d operators were told that theirs is accepted", r.number+1, accepted, racingOperators)
+			r.t.Errorf("ticket %d: %d of %d operators were told that theirs is accepted", r.ticketNumber+1, accepted, racingOperators)
 		}
-		r.number++
-		r.inForce(5 * time.Second)
+		r.ticketNumber++
+		r.awaitTicket(5 * time.Second)
 	}
 }
 
-// inForce waits until all instances have the newest ticket in force, and fails
+// awaitTicket waits until all instances have the newest ticket in force, and fails
 // when that takes longer than most.
-func (r *faultRun) inForce(most time.Duration) {
+func (r *faultRun) awaitTicket(limit time.Duration) {
 	start := time.Now()
-	for _, i := range r.instances {
-		for s := (instanceStatus{}); s.Number < r.number; time.Sleep(20 * time.Millisecond) {
-			get(r.t, i.admin, "/status", &s)
-			if time.Since(start) > most {
-				r.t.Errorf("%s has ticket %d in force, not %d, after %s", i.id, s.Number, r.number, most)
+	for _, inst := range r.instances {
+		for s := (instanceStatus{}); s.Number < r.ticketNumber; time.Sleep(20 * time.Millisecond) {
+			getJSON(r.t, inst.admin, "/status", &s)
+			if time.Since(start) > limit {
+				r.t.Errorf("%s has ticket %d in force, not %d, after %s", inst.id, s.Number, r.ticketNumber, limit)
 				return
 			}
 		}
 	}
-	r.t.Logf("ticket %d is in force everywhere after %s", r.number, time.Since(start).Round(time.Millisecond))
+	r.t.Logf("ticket %d is in force everywhere after %s", r.ticketNumber, time.Since(start).Round(time.Millisecond))
 }
 
 // instanceStatus is the part of an instance's status that is looked at.
@@ -321,12 +323,12 @@
 	Number bbunit.TicketNumber `json:"number"`
 }
 
-func oneTicketInForce(r *faultRun) {
-	for _, i := range r.instances {
+func checkTicketInForce(r *faultRun) {
+	for _, inst := range r.instances {
 		var s instanceStatus
-		get(r.t, i.admin, "/status", &s)
-		if s.Number != r.number {
-			r.t.Errorf("%s has ticket %d in force, not %d", i.id, s.Number, r.number)
+		getJSON(r.t, inst.admin, "/status", &s)
+		if s.Number != r.ticketNumber {
+			r.t.Errorf("%s has ticket %d in force, not %d", inst.id, s.Number, r.ticketNumber)
 		}
 	}
 }
@@ -334,60 +336,60 @@
 // targetLeaves has an engine refuse new work, and counts what it is still sent
 // after three seconds.
 func targetLeaves(r *faultRun) {
-	post(r.t, r.targets[0].address, "/admin/fault", bbstand.EngineFault{Leaving: true})
-	r.noNewWork(r.targets[0])
+	postJSON(r.t, r.targets[0].address, "/admin/fault", bbstand.EngineFault{Leaving: true})
+	r.checkNoNewRequests(r.targets[0])
 }
 
-func ticketTakesTargetOut(r *faultRun) {
+func ticketMarksTargetLeaving(r *faultRun) {
 	r.targets[0].leaving = true
-	r.apply(r.ticket())
-	r.noNewWork(r.targets[0])
+	r.applyTicket(r.nextTicket())
+	r.checkNoNewRequests(r.targets[0])
 }
 
-// noNewWork fails when the target gets requests from three seconds on.
-func (r *faultRun) noNewWork(x *target) {
+// checkNoNewRequests fails when the target gets requests from three seconds on.
+func (r *faultRun) checkNoNewRequests(target *target) {
 	time.Sleep(3 * time.Second)
 	var before, after bbstand.TargetCounts
-	get(r.t, x.address, "/admin/counts", &before)
-	time.Sleep(loadTime - faultAfter - 3*time.Second)
-	get(r.t, x.address, "/admin/counts", &after)
+	getJSON(r.t, target.address, "/admin/counts", &before)
+	time.Sleep(loadDuration - faultDelay - 3*time.Second)
+	getJSON(r.t, target.address, "/admin/counts", &after)
 	if n := after.Refused + after.Accepted - before.Refused - before.Accepted; n != 0 {
 		r.t.Errorf("%d requests were sent to a target that has been leaving for 3 s", n)
 	}
 }
 
 func plannedStop(r *faultRun) {
-	r.enter(r.instances[0], "leaving")
+	r.setListState(r.instances[0], "leaving")
 	r.instances[0].stop()
 }
 
-// nothingCut fails on any attempt whose connection broke, also where a retry
+// checkNoBrokenConnections fails on any attempt whose connection broke, also where a retry
 // mended it.
-func nothingCut(r *faultRun) {
-	for _, x := range r.results {
-		if x.BrokenAttempts > 0 || x.Truncated {
-			r.t.Errorf("%s: %d connections broke before the answer was whole", x.ID, x.BrokenAttempts)
+func checkNoBrokenConnections(r *faultRun) {
+	for _, result := range r.results {
+		if result.BrokenAttempts > 0 || result.Truncated {
+			r.t.Errorf("%s: %d connections broke before the answer was whole", result.ID, result.BrokenAttempts)
 		}
 	}
 }
 
 func targetSilent(r *faultRun) {
 	for range 3 {
-		for _, x := range r.targets {
-			if x.service == engineService {
-				post(r.t, x.address, "/admin/fault", bbstand.EngineFault{Silent: true})
+		for _, target := range r.targets {
+			if target.service == engineService {
+				postJSON(r.t, target.address, "/admin/fault", bbstand.EngineFault{Silent: true})
 			} else {
-				post(r.t, x.address, "/admin/fault", bbstand.PlainFault{Silent: true, DelayMS: 20})
+				postJSON(r.t, target.address, "/admin/fault", bbstand.PlainFault{Silent: true, DelayMS: 20})
 			}
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-func answersLost(r *faultRun) {
-	for _, x := range r.targets {
-		if x.service == plainService {
-			post(r.t, x.address, "/admin/fault", bbstand.PlainFault{LoseNextAnswers: 10, DelayMS: 20})
+func plainServiceLosesAnswers(r *faultRun) {
+	for _, target := range r.targets {
+		if target.service == plainService {
+			postJSON(r.t, target.address, "/admin/fault", bbstand.PlainFault{LoseNextAnswers: 10, DelayMS: 20})
 		}
 	}
 }
@@ -398,8 +400,8 @@
 // and again.
 func poisonRequest(r *faultRun) {
 	for n := range 5 {
-		out, code := command(r.t, "bluebellstand", "ask", "--instance", r.instances[n%len(r.instances)].listen,
-			"--key", r.customers[0].key, "--service", engineService, "--timeout", "5s", "open the "+poison)
+		out, code := runProgram(r.t, "bluebellstand", "ask", "--instance", r.instances[n%len(r.instances)].listen,
+			"--key", r.accounts[0].key, "--service", engineService, "--timeout", "5s", "open the "+crashWord)
 		if code == 0 {
 			r.t.Errorf("a request that crashes engines was answered: %s", out)
 		}
@@ -410,26 +412,26 @@
 // liveEngines counts the engines that have not crashed.
 func (r *faultRun) liveEngines() int {
 	live := 0
-	for _, x := range r.targets {
-		if x.service == engineService && !x.ended() {
+	for _, target := range r.targets {
+		if target.service == engineService && !target.hasExited() {
 			live++
 		}
 	}
 	return live
 }
 
-func enginesLive(r *faultRun) {
+func checkEnginesLive(r *faultRun) {
 	if live := r.liveEngines(); live < 3 {
 		r.t.Errorf("only %d of 6 engines outlived the poison request", live)
 	}
 }
 
-func several(r *faultRun) {
-	post(r.t, r.store, "/admin/fault", bbstand.StoreFault{LoseEveryNthAnswer: 4, LatencyMS: 50})
-	r.cutPeers()
+func severalFaults(r *faultRun) {
+	postJSON(r.t, r.storeAddress, "/admin/fault", bbstand.StoreFault{LoseEveryNthAnswer: 4, LatencyMS: 50})
+	r.partitionPeers()
 	time.Sleep(2 * time.Second)
 	killInstance(r)
 	time.Sleep(6 * time.Second)
 	r.healPeers()
-	post(r.t, r.store, "/admin/fault", bbstand.StoreFault{})
+	postJSON(r.t, r.storeAddress, "/admin/fault", bbstand.StoreFault{})
 }
--- a/e2e/input_test.go
+++ b/e2e/input_test.go
@@ -33,7 +33,7 @@
 	for _, c := range cases {
 		t.Run(c.prog+" "+c.args, func(t *testing.T) {
 			is := is.New(t)
-			out, code := command(t, c.prog, strings.Fields(c.args)...)
+			out, code := runProgram(t, c.prog, strings.Fields(c.args)...)
 			is.Equal(code, 2)
 			for _, w := range c.want {
 				if !strings.Contains(out, w) {
@@ -45,8 +45,8 @@
 }
 
 func TestBadTickets(t *testing.T) {
-	f := startFleet(t, smallFleet())
-	good, err := os.ReadFile(f.write(f.ticket()))
+	f := startFleet(t, smallFleetOptions())
+	good, err := os.ReadFile(f.writeTicket(f.nextTicket()))
 	is.New(t).NoErr(err)
 	cases := []struct {
 		name, text string
@@ -71,7 +71,7 @@
 			path := filepath.Join(t.TempDir(), "ticket.yaml")
 			is := is.New(t)
 			is.NoErr(os.WriteFile(path, []byte(c.text), 0o600))
-			out, code := command(t, "bluebellctl", "--store", f.store, "ticket", "apply", path)
+			out, code := runProgram(t, "bluebellctl", "--store", f.storeAddress, "ticket", "apply", path)
 			is.True(code == 1 || code == 2)
 			for _, w := range c.want {
 				if !strings.Contains(out, w) {
@@ -80,19 +80,19 @@
 			}
 		})
 	}
-	for _, i := range f.instances {
+	for _, inst := range f.instances {
 		var s instanceStatus
-		get(t, i.admin, "/status", &s)
+		getJSON(t, inst.admin, "/status", &s)
 		if s.Number != 1 {
-			t.Errorf("%s has ticket %d in force after bad ones", i.id, s.Number)
+			t.Errorf("%s has ticket %d in force after bad ones", inst.id, s.Number)
 		}
 	}
-	f.apply(f.ticket())
+	f.applyTicket(f.nextTicket())
 	f.stop()
 }
 
-// problem is the part of a refusal that is looked at.
-type problem struct {
+// problemDetails is the part of a refusal that is looked at.
+type problemDetails struct {
 	Status  int    `json:"status"`
 	Title   string `json:"title"`
 	Detail  string `json:"detail"`
@@ -100,9 +100,9 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	f := startFleet(t, smallFleet())
+	f := startFleet(t, smallFleetOptions())
 	const chat = "/v1/chat/completions"
-	key := f.customers[0].key
+	key := f.accounts[0].key
 	ok := `{"model":"permit-assist","messages":[{"role":"user","content":"hello"}]}`
 	cases := []struct {
 		name, method, path, key, id, body string
@@ -126,7 +126,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			status, p := send(t, f.instances[0], c.method, c.path, c.key, c.id, c.body)
+			status, p := sendRequest(t, f.instances[0], c.method, c.path, c.key, c.id, c.body)
 			if c.status == 0 && (status < 400 || status > 499) || c.status != 0 && status != c.status {
 				t.Errorf("status %d, not %d: %+v", status, c.status, p)
 			}
@@ -140,10 +140,10 @@
 	}
 	t.Run("another body", func(t *testing.T) {
 		is := is.New(t)
-		status, _ := send(t, f.instances[0], "POST", "/services/closure-desk/x", key, "id-1", "one")
+		status, _ := sendRequest(t, f.instances[0], "POST", "/services/closure-desk/x", key, "id-1", "one")
 		is.Equal(status, 200)
-		for _, i := range f.instances {
-			status, p := send(t, i, "POST", "/services/closure-desk/x", key, "id-1", "two")
+		for _, inst := range f.instances {
+			status, p := sendRequest(t, inst, "POST", "/services/closure-desk/x", key, "id-1", "two")
 			is.Equal(status, 409)
 			is.Equal(p.Outcome, "not-run")
 		}
@@ -159,16 +159,16 @@
 		is.Equal(resp.StatusCode, 200)
 		is.True(resp.Header.Get("Idempotency-Key") != "")
 	})
-	status, _ := send(t, f.instances[0], "POST", chat, key, "", ok)
+	status, _ := sendRequest(t, f.instances[0], "POST", chat, key, "", ok)
 	is.New(t).Equal(status, 200) // it goes on
 	f.stop()
 }
 
-// send sends a request and returns the status and, for a refusal, the problem.
-func send(t *testing.T, i *instance, method, path, key, id, body string) (int, problem) {
+// sendRequest sends a request and returns the status and, for a refusal, the problem.
+func sendRequest(t *testing.T, inst *instance, method, path, key, id, body string) (int, problemDetails) {
 	t.Helper()
 	is := is.New(t)
-	r, err := http.NewRequest(method, "http://"+i.listen+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, "http://"+inst.listen+path, strings.NewReader(body))
 	is.NoErr(err)
 	if key != "" {
 		r.Header.Set("Authorization", "Bearer "+key)
@@ -181,7 +181,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
-	var p problem
+	var p problemDetails
 	if resp.StatusCode != http.StatusOK {
 		if got := resp.Header.Get("Content-Type"); got != "application/problem+json" {
 			t.Errorf("content type %q: %s", got, b)
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -10,12 +10,12 @@
 )
 
 var (
-	faults         = flag.Bool("faults", false, "run all rows of TestFaults, not only the short ones")
+	allFaults      = flag.Bool("faults", false, "run all rows of TestFaults, not only the short ones")
 	benchProcesses = flag.Bool("bench-processes", false, "run the measurements of whole processes")
 )
 
-// binaries is the directory that the programs are built into.
-var binaries string
+// binDir is the directory that the programs are built into.
+var binDir string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -29,7 +29,7 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	binaries = dir
+	binDir = dir
 	build := exec.Command("go", "build", "-o", dir, "./bluebellport", "./bluebellctl", "./bluebellstand")
 	build.Dir = ".."
 	if out, err := build.CombinedOutput(); err != nil {
@@ -39,5 +39,5 @@
 	return m.Run()
 }
 
-// program returns the path of a built program.
-func program(name string) string { return filepath.Join(binaries, name) }
+// programPath returns the path of a built program.
+func programPath(name string) string { return filepath.Join(binDir, name) }
--- a/e2e/man_test.go
+++ b/e2e/man_test.go
@@ -17,15 +17,15 @@
 			is := is.New(t)
 			page, err := os.ReadFile(filepath.Join("..", "man", prog+".1"))
 			is.NoErr(err) // run make man
-			out, code := command(t, prog, "--help-man")
+			out, code := runProgram(t, prog, "--help-man")
 			is.Equal(code, 0)
-			is.Equal(body(string(page)), body(out)) // run make man
+			is.Equal(withoutTitleLine(string(page)), withoutTitleLine(out)) // run make man
 		})
 	}
 }
 
-// body is a man page without its first line, which names the version.
-func body(page string) string {
+// withoutTitleLine is a man page without its first line, which names the version.
+func withoutTitleLine(page string) string {
 	_, rest, _ := strings.Cut(page, "\n")
 	return rest
 }
--- a/e2e/native_test.go
+++ b/e2e/native_test.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	nativeHost   = "desk.example"
-	nativeKey    = "key-of-a"
-	nativePaid   = 30_000
-	nativePrompt = 100
-	nativeEvents = 5
-	nativeStride = 10
+	nativeHost         = "desk.example"
+	nativeKey          = "key-of-a"
+	nativePrepaid      = 30_000
+	nativePromptTokens = 100
+	nativeEventCount   = 5
+	nativeStride       = 10
 )
 
 // nativePlan declares one engine service and one plain one, each with a route, and
@@ -37,29 +37,29 @@
 	{"name":"book","host":%q,"path-prefix":"/book/","kind":"non_idempotent","service":"desk","timeout-ms":4000,"target-latency-ms":500,"max-attempts":2}],
 	"services":[{"name":"llm","engine":{"slots":8,"kv-cache-tokens":100000,"stride":%d}},{"name":"desk"}],
 	"limits":{"max-header-bytes":8192,"max-body-bytes":300000,"header-timeout-ms":1000,"idle-timeout-ms":5000},
-	"tenants":[{"name":"a","api-keys":[%q],"prepaid":%d}]}`, nativeHost, nativeHost, nativeStride, nativeKey, nativePaid)
+	"tenants":[{"name":"a","api-keys":[%q],"prepaid":%d}]}`, nativeHost, nativeHost, nativeStride, nativeKey, nativePrepaid)
 
-// native is one instance on the platform's stand-ins, as a process of its own.
-type native struct {
+// nativeInstance is one instance on the platform's stand-ins, as a process of its own.
+type nativeInstance struct {
 	*process
-	settings              string
-	callers, ready, peers string
+	settingsPath                             string
+	callerAddress, readyAddress, peerAddress string
 }
 
 // nativeFleet is the store, targets and instances.
 type nativeFleet struct {
-	t         *testing.T
-	mem       *bbstore.Mem
-	store     string
-	targets   []*bbplatformstand.Target
-	instances []*native
-	attempts  atomic.Int64
+	t            *testing.T
+	memStore     *bbstore.Mem
+	storeAddress string
+	targets      []*bbplatformstand.Target
+	instances    []*nativeInstance
+	attemptCount atomic.Int64
 }
 
 func newNativeFleet(t *testing.T, domains ...string) *nativeFleet {
 	is := is.New(t)
-	f := &nativeFleet{t: t, mem: bbstore.NewMem()}
-	store, stop := bbplatformstand.NewStore(f.mem)
+	f := &nativeFleet{t: t, memStore: bbstore.NewMem()}
+	store, stop := bbplatformstand.NewStore(f.memStore)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() { _ = (&fasthttp.Server{Handler: store.Handle}).Serve(ln) }()
@@ -67,45 +67,45 @@
 		stop()
 		_ = ln.Close()
 	})
-	f.store = ln.Addr().String()
-	_, err = f.mem.CAS(t.Context(), bbplatform.KeyPlan, []byte(nativePlan), 0, 0)
+	f.storeAddress = ln.Addr().String()
+	_, err = f.memStore.CAS(t.Context(), bbplatform.KeyPlan, []byte(nativePlan), 0, 0)
 	is.NoErr(err)
 	for i, d := range domains {
-		f.target(bbplatformstand.TargetOptions{ID: fmt.Sprint("llm-", i), Service: "llm", Domain: d, Engine: true, EventCount: nativeEvents})
-		f.target(bbplatformstand.TargetOptions{ID: fmt.Sprint("desk-", i), Service: "desk", Domain: d})
+		f.startTarget(bbplatformstand.TargetOptions{ID: fmt.Sprint("llm-", i), Service: "llm", Domain: d, Engine: true, EventCount: nativeEventCount})
+		f.startTarget(bbplatformstand.TargetOptions{ID: fmt.Sprint("desk-", i), Service: "desk", Domain: d})
 	}
 	for i, d := range domains {
-		f.instances = append(f.instances, f.instance(fmt.Sprint("i", i), d))
+		f.instances = append(f.instances, f.startInstance(fmt.Sprint("i", i), d))
 	}
 	return f
 }
 
-func (f *nativeFleet) target(o bbplatformstand.TargetOptions) {
+func (f *nativeFleet) startTarget(o bbplatformstand.TargetOptions) {
 	target, stop, err := bbplatformstand.NewTarget(o)
 	is.New(f.t).NoErr(err)
 	f.t.Cleanup(stop)
-	is.New(f.t).NoErr(target.Register(f.t.Context(), f.mem, "ready"))
+	is.New(f.t).NoErr(target.Register(f.t.Context(), f.memStore, "ready"))
 	f.targets = append(f.targets, target)
 }
 
-// instance starts a process and waits until it is ready.
-func (f *nativeFleet) instance(name, domain string) *native {
-	n := &native{callers: freeAddress(f.t), ready: freeAddress(f.t), peers: freeAddress(f.t)}
-	n.settings = filepath.Join(f.t.TempDir(), name)
+// startInstance starts a process and waits until it is ready.
+func (f *nativeFleet) startInstance(name, domain string) *nativeInstance {
+	n := &nativeInstance{callerAddress: freeAddress(f.t), readyAddress: freeAddress(f.t), peerAddress: freeAddress(f.t)}
+	n.settingsPath = filepath.Join(f.t.TempDir(), name)
 	lines := []string{
-		"node-name=" + name, "zone=" + domain, "listen-addresses.frontend=" + n.callers, "listen-addresses.ready=" + n.ready,
-		"listen-addresses.control-plane=" + n.peers, "platform.address=" + f.store, "bounds.grace-period-s=6", "unknown.field=1",
+		"node-name=" + name, "zone=" + domain, "listen-addresses.frontend=" + n.callerAddress, "listen-addresses.ready=" + n.readyAddress,
+		"listen-addresses.control-plane=" + n.peerAddress, "platform.address=" + f.storeAddress, "bounds.grace-period-s=6", "unknown.field=1",
 	}
-	is.New(f.t).NoErr(os.WriteFile(n.settings, []byte(strings.Join(lines, "\n")+"\n"), 0o600))
-	f.start(n, name)
+	is.New(f.t).NoErr(os.WriteFile(n.settingsPath, []byte(strings.Join(lines, "\n")+"\n"), 0o600))
+	f.startAndWait(n, name)
 	return n
 }
 
-func (f *nativeFleet) start(n *native, name string) {
-	f.t.Setenv(bbplatform.SettingsVariable, n.settings)
+func (f *nativeFleet) startAndWait(n *nativeInstance, name string) {
+	f.t.Setenv(bbplatform.SettingsVariable, n.settingsPath)
 	n.process = startProcess(f.t, name, "bluebellport", "native")
 	for end := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
-		if r, err := http.Get("http://" + n.ready + bbplatform.PathReadiness); err == nil {
+		if r, err := http.Get("http://" + n.readyAddress + bbplatform.PathReadiness); err == nil {
 			_ = r.Body.Close()
 			if r.StatusCode == http.StatusOK {
 				return
@@ -119,14 +119,14 @@
 
 // call sends one request to an instance, and returns its status and body; 0 when
 // no whole answer came.
-func (f *nativeFleet) call(n *native, path string) (int, string) {
-	r, err := http.NewRequest("POST", "http://"+n.callers+path, strings.NewReader("body"))
+func (f *nativeFleet) call(n *nativeInstance, path string) (int, string) {
+	r, err := http.NewRequest("POST", "http://"+n.callerAddress+path, strings.NewReader("body"))
 	is.New(f.t).NoErr(err)
 	r.Host = nativeHost
-	r.Header.Set(bbplatform.HeaderAttemptID, fmt.Sprint("attempt-", f.attempts.Add(1)))
+	r.Header.Set(bbplatform.HeaderAttemptID, fmt.Sprint("attempt-", f.attemptCount.Add(1)))
 	r.Header.Set(bbplatform.HeaderAPIKey, nativeKey)
 	r.Header.Set(bbplatform.HeaderDeadline, "3000")
-	r.Header.Set(bbplatform.HeaderTokenUsage, fmt.Sprintf("%d,%d", nativePrompt, nativeEvents*nativeStride))
+	r.Header.Set(bbplatform.HeaderTokenUsage, fmt.Sprintf("%d,%d", nativePromptTokens, nativeEventCount*nativeStride))
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return 0, ""
@@ -139,22 +139,22 @@
 	return resp.StatusCode, string(body)
 }
 
-// spent is what the targets' runs of streams cost at most, and twice tells
+// executedCost is what the targets' runs of streams cost at most, and twice tells
 // attempts that ran more than once.
-func (f *nativeFleet) spent() (tokens int, twice []string) {
+func (f *nativeFleet) executedCost() (tokens int, repeated []string) {
 	seen := map[string]bool{}
 	for _, t := range f.targets {
 		for _, r := range t.Executions() {
 			if seen[r.AttemptID] {
-				twice = append(twice, r.AttemptID)
+				repeated = append(repeated, r.AttemptID)
 			}
 			seen[r.AttemptID] = true
 			if strings.HasPrefix(r.Path, "/draft/") {
-				tokens += nativePrompt + nativeEvents*nativeStride
+				tokens += nativePromptTokens + nativeEventCount*nativeStride
 			}
 		}
 	}
-	return tokens, twice
+	return tokens, repeated
 }
 
 // Real processes on the platform's stand-ins: instances are killed, stopped and
@@ -191,11 +191,11 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	f.instances[2].kill()
-	f.mem.SetFaults(bbstore.Faults{Down: true})
+	f.memStore.SetFaults(bbstore.Faults{Down: true})
 	time.Sleep(500 * time.Millisecond)
-	f.mem.SetFaults(bbstore.Faults{LoseEveryNthAnswer: 3})
-	f.start(f.instances[2], "again")
-	f.mem.SetFaults(bbstore.Faults{})
+	f.memStore.SetFaults(bbstore.Faults{LoseEveryNthAnswer: 3})
+	f.startAndWait(f.instances[2], "again")
+	f.memStore.SetFaults(bbstore.Faults{})
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
 	wg.Wait()
@@ -207,8 +207,8 @@
 			break
 		}
 	}
-	tokens, twice := f.spent()
-	is.Equal(len(twice), 0)
-	is.True(tokens <= nativePaid)
-	is.True(tokens > nativePaid/2) // the rest was held by the killed life
+	tokens, repeated := f.executedCost()
+	is.Equal(len(repeated), 0)
+	is.True(tokens <= nativePrepaid)
+	is.True(tokens > nativePrepaid/2) // the rest was held by the killed life
 }
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -24,11 +24,11 @@
 
 // process is one running program with its log in a file.
 type process struct {
-	t    *testing.T
-	name string
-	cmd  *exec.Cmd
-	log  string
-	done chan struct{}
+	t       *testing.T
+	name    string
+	cmd     *exec.Cmd
+	logPath string
+	done    chan struct{}
 	// killed tells that the process was not meant to end with 0.
 	killed bool
 }
@@ -37,9 +37,9 @@
 // latest.
 func startProcess(t *testing.T, name, prog string, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, name: name, cmd: exec.Command(program(prog), args...), done: make(chan struct{})}
-	p.log = filepath.Join(t.TempDir(), "log")
-	f, err := os.Create(p.log)
+	p := &process{t: t, name: name, cmd: exec.Command(programPath(prog), args...), done: make(chan struct{})}
+	p.logPath = filepath.Join(t.TempDir(), "log")
+	f, err := os.Create(p.logPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,8 +66,8 @@
 	<-p.done
 }
 
-// ended tells whether the process has ended.
-func (p *process) ended() bool {
+// hasExited tells whether the process has ended.
+func (p *process) hasExited() bool {
 	select {
 	case <-p.done:
 		return true
@@ -83,26 +83,26 @@
 	select {
 	case <-p.done:
 	case <-time.After(stopTimeout):
-		p.t.Errorf("%s did not stop within %s\n%s", p.name, stopTimeout, p.tail())
+		p.t.Errorf("%s did not stop within %s\n%s", p.name, stopTimeout, p.logTail())
 		p.kill()
 		return
 	}
 	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
-		p.t.Errorf("%s ended with %d\n%s", p.name, code, p.tail())
+		p.t.Errorf("%s ended with %d\n%s", p.name, code, p.logTail())
 	}
 }
 
-// tail returns the last lines of the log.
-func (p *process) tail() string {
-	b, _ := os.ReadFile(p.log)
+// logTail returns the last lines of the log.
+func (p *process) logTail() string {
+	b, _ := os.ReadFile(p.logPath)
 	lines := strings.Split(string(b), "\n")
 	return strings.Join(lines[max(0, len(lines)-20):], "\n")
 }
 
-// command runs a program to its end and returns its output and exit code.
-func command(t *testing.T, prog string, args ...string) (string, int) {
+// runProgram runs a program to its end and returns its output and exit code.
+func runProgram(t *testing.T, prog string, args ...string) (string, int) {
 	t.Helper()
-	c := exec.Command(program(prog), args...)
+	c := exec.Command(programPath(prog), args...)
 	out, err := c.CombinedOutput()
 	if c.ProcessState == nil {
 		t.Fatal(err)
@@ -121,8 +121,8 @@
 	return address
 }
 
-// waitFor waits until the address answers GET path with 200.
-func waitFor(t *testing.T, address, path string) {
+// waitUntilOK waits until the address answers GET path with 200.
+func waitUntilOK(t *testing.T, address, path string) {
 	t.Helper()
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		r, err := http.Get("http://" + address + path)
@@ -137,8 +137,8 @@
 	t.Fatalf("http://%s%s was not ready within %s", address, path, readyTimeout)
 }
 
-// get reads JSON from the address.
-func get(t *testing.T, address, path string, out any) {
+// getJSON reads JSON from the address.
+func getJSON(t *testing.T, address, path string, out any) {
 	t.Helper()
 	r, err := http.Get("http://" + address + path)
 	if err != nil {
@@ -150,8 +150,8 @@
 	}
 }
 
-// post sends JSON to the address, which must take it.
-func post(t *testing.T, address, path string, in any) {
+// postJSON sends JSON to the address, which must take it.
+func postJSON(t *testing.T, address, path string, in any) {
 	t.Helper()
 	b, err := json.Marshal(in)
 	if err != nil {
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -11,26 +11,26 @@
 	"github.com/matryer/is"
 )
 
-// helloSize is how much of what a dialer sends first is searched for its name.
-const helloSize = 4096
+// maxHelloSize is how much of what a dialer sends first is searched for its name.
+const maxHelloSize = 4096
 
 // relay passes TCP connections on to a target, but not those from cut callers:
 // they stay open and nothing passes any more, in either direction.
 type relay struct {
-	l      net.Listener
-	target string
-	names  []string // callers told apart by what they send first
+	listener    net.Listener
+	target      string
+	callerNames []string // callers told apart by what they send first
 
-	mu    sync.Mutex
-	conns map[*relayConn]bool
-	cuts  map[string]bool // by caller; "" cuts all
+	mu                sync.Mutex
+	conns             map[*relayConn]bool
+	blackholedCallers map[string]bool // by caller; "" cuts all
 }
 
 type relayConn struct {
-	caller   string
-	in, out  net.Conn
-	mu       sync.Mutex
-	isSilent bool
+	caller                 string
+	callerConn, targetConn net.Conn
+	mu                     sync.Mutex
+	isBlackholed           bool
 }
 
 func startRelay(t *testing.T, target string, names ...string) *relay {
@@ -39,62 +39,62 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{l: l, target: target, names: names, conns: map[*relayConn]bool{}, cuts: map[string]bool{}}
+	r := &relay{listener: l, target: target, callerNames: names, conns: map[*relayConn]bool{}, blackholedCallers: map[string]bool{}}
 	go r.accept()
 	t.Cleanup(r.close)
 	return r
 }
 
-func (r *relay) address() string { return r.l.Addr().String() }
+func (r *relay) address() string { return r.listener.Addr().String() }
 
 func (r *relay) accept() {
 	for {
-		c, err := r.l.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.pass(c)
+		go r.forward(c)
 	}
 }
 
-// pass relays one connection until an end closes it.
-func (r *relay) pass(in net.Conn) {
-	c := &relayConn{in: in}
-	r.add(c)
-	var first []byte
-	if len(r.names) > 0 {
-		first = make([]byte, helloSize)
+// forward relays one connection until an end closes it.
+func (r *relay) forward(in net.Conn) {
+	conn := &relayConn{callerConn: in}
+	r.add(conn)
+	var hello []byte
+	if len(r.callerNames) > 0 {
+		hello = make([]byte, maxHelloSize)
 		n := 0
-		for c.caller == "" && n < helloSize {
-			k, err := in.Read(first[n:])
+		for conn.caller == "" && n < maxHelloSize {
+			read, err := in.Read(hello[n:])
 			if err != nil {
-				r.remove(c)
+				r.closeConn(conn)
 				return
 			}
-			n += k
-			c.caller = r.callerIn(first[:n])
+			n += read
+			conn.caller = r.findCaller(hello[:n])
 		}
-		first = first[:n]
+		hello = hello[:n]
 	}
 	out, err := net.Dial("tcp", r.target)
 	if err != nil {
-		r.remove(c)
+		r.closeConn(conn)
 		return
 	}
-	c.mu.Lock()
-	c.out = out
-	c.mu.Unlock()
-	r.check(c)
-	if c.write(out, first) != nil {
-		r.remove(c)
+	conn.mu.Lock()
+	conn.targetConn = out
+	conn.mu.Unlock()
+	r.blackholeIfNamed(conn)
+	if conn.write(out, hello) != nil {
+		r.closeConn(conn)
 		return
 	}
-	go r.copy(c, in, out)
-	r.copy(c, out, in)
+	go r.copy(conn, in, out)
+	r.copy(conn, out, in)
 }
 
-func (r *relay) callerIn(b []byte) string {
-	for _, n := range r.names {
+func (r *relay) findCaller(b []byte) string {
+	for _, n := range r.callerNames {
 		if bytes.Contains(b, []byte(n)) {
 			return n
 		}
@@ -102,12 +102,12 @@
 	return ""
 }
 
-func (r *relay) copy(c *relayConn, from, to net.Conn) {
+func (r *relay) copy(conn *relayConn, from, to net.Conn) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
-		if err != nil || c.write(to, b[:n]) != nil {
-			r.remove(c)
+		if err != nil || conn.write(to, b[:n]) != nil {
+			r.closeConn(conn)
 			return
 		}
 	}
@@ -115,7 +115,7 @@
 
 func (c *relayConn) write(to io.Writer, b []byte) error {
 	c.mu.Lock()
-	silent := c.isSilent
+	silent := c.isBlackholed
 	c.mu.Unlock()
 	if silent {
 		return nil
@@ -124,92 +124,92 @@
 	return err
 }
 
-func (r *relay) add(c *relayConn) {
+func (r *relay) add(conn *relayConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.conns[c] = true
-	c.isSilent = r.cuts[""]
+	r.conns[conn] = true
+	conn.isBlackholed = r.blackholedCallers[""]
 }
 
-// check silences the connection if its caller is cut.
-func (r *relay) check(c *relayConn) {
+// blackholeIfNamed silences the connection if its caller is cut.
+func (r *relay) blackholeIfNamed(conn *relayConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cuts[""] || r.cuts[c.caller] {
-		c.silence()
+	if r.blackholedCallers[""] || r.blackholedCallers[conn.caller] {
+		conn.blackhole()
 	}
 }
 
-func (c *relayConn) silence() {
+func (c *relayConn) blackhole() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.isSilent = true
+	c.isBlackholed = true
 }
 
-// remove closes both ends; a silent connection stays open, so that neither end
+// closeConn closes both ends; a silent connection stays open, so that neither end
 // is told.
-func (r *relay) remove(c *relayConn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.isSilent {
+func (r *relay) closeConn(conn *relayConn) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.isBlackholed {
 		return
 	}
 	r.mu.Lock()
-	delete(r.conns, c)
+	delete(r.conns, conn)
 	r.mu.Unlock()
-	_ = c.in.Close()
-	if c.out != nil {
-		_ = c.out.Close()
+	_ = conn.callerConn.Close()
+	if conn.targetConn != nil {
+		_ = conn.targetConn.Close()
 	}
 }
 
-// cut silences the connections of the callers, or of all, for good, and those
+// blackhole silences the connections of the callers, or of all, for good, and those
 // that they open until it is healed. It returns how many were open.
-func (r *relay) cut(callers ...string) int {
-	silenced := 0
+func (r *relay) blackhole(callers ...string) int {
+	openConns := 0
 	if len(callers) == 0 {
 		callers = []string{""}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range callers {
-		r.cuts[name] = true
-		for c := range r.conns {
-			if name == "" || c.caller == name {
-				c.silence()
-				silenced++
+		r.blackholedCallers[name] = true
+		for conn := range r.conns {
+			if name == "" || conn.caller == name {
+				conn.blackhole()
+				openConns++
 			}
 		}
 	}
-	return silenced
+	return openConns
 }
 
 // heal lets new connections pass again; silent ones are closed.
 func (r *relay) heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.cuts)
-	for c := range r.conns {
-		c.mu.Lock()
-		if c.isSilent {
-			_ = c.in.Close()
-			if c.out != nil {
-				_ = c.out.Close()
+	clear(r.blackholedCallers)
+	for conn := range r.conns {
+		conn.mu.Lock()
+		if conn.isBlackholed {
+			_ = conn.callerConn.Close()
+			if conn.targetConn != nil {
+				_ = conn.targetConn.Close()
 			}
-			delete(r.conns, c)
+			delete(r.conns, conn)
 		}
-		c.mu.Unlock()
+		conn.mu.Unlock()
 	}
 }
 
 func (r *relay) close() {
-	_ = r.l.Close()
+	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c := range r.conns {
-		_ = c.in.Close()
-		if c.out != nil {
-			_ = c.out.Close()
+	for conn := range r.conns {
+		_ = conn.callerConn.Close()
+		if conn.targetConn != nil {
+			_ = conn.targetConn.Close()
 		}
 	}
 }
@@ -246,7 +246,7 @@
 	is.True(echoes(a))
 	is.True(echoes(b))
 	for echoes(a) { // what is under way may still come
-		r.cut("anna")
+		r.blackhole("anna")
 	}
 	is.True(!echoes(a))
 	is.True(echoes(b))
@@ -254,6 +254,6 @@
 	r.heal()
 	is.True(!echoes(a))
 	is.True(echoes(dial("anna")))
-	r.cut()
+	r.blackhole()
 	is.True(!echoes(dial("bo")))
 }
