--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -61,29 +61,29 @@
 
 const summaryHeader = "| fault | requests | done | refused | lost | cut | wrong | overspend | false refusals | billed twice | not billed | listed | ran twice | wrongly told not-run | billed | settled | stuck | stuck 10 s later |"
 
-func (v auditSummary) tableRow(name string) string {
+func (s auditSummary) tableRow(name string) string {
 	later := "-"
-	if v.stuckLater >= 0 {
-		later = fmt.Sprint(v.stuckLater)
+	if s.stuckLater >= 0 {
+		later = fmt.Sprint(s.stuckLater)
 	}
 	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %s |", name,
-		v.requests, v.done, v.refused, v.lost, v.cut, v.wrong, v.overspend, v.falseRefusals,
-		v.billedTwice, v.notBilled, v.listedUnknown, v.ranTwice, v.wronglyNotRun, v.billed, v.settled, v.stuck, later)
+		s.requests, s.done, s.refused, s.lost, s.cut, s.wrong, s.overspend, s.falseRefusals,
+		s.billedTwice, s.notBilled, s.listedUnknown, s.ranTwice, s.wronglyNotRun, s.billed, s.settled, s.stuck, later)
 }
 
 // violations returns the columns that must be zero and are not.
-func (v auditSummary) violations() string {
+func (s auditSummary) violations() string {
 	var bad []string
 	for _, c := range []struct {
 		name string
 		n    int64
 	}{
-		{"wrong answers", int64(v.wrong)},
-		{"overspend", v.overspend},
-		{"billed twice", int64(v.billedTwice)},
-		{"not billed", int64(v.notBilled)},
-		{"ran twice", int64(v.ranTwice)},
-		{"wrongly told not-run", int64(v.wronglyNotRun)},
+		{"wrong answers", int64(s.wrong)},
+		{"overspend", s.overspend},
+		{"billed twice", int64(s.billedTwice)},
+		{"not billed", int64(s.notBilled)},
+		{"ran twice", int64(s.ranTwice)},
+		{"wrongly told not-run", int64(s.wronglyNotRun)},
 	} {
 		if c.n != 0 {
 			bad = append(bad, fmt.Sprintf("%s: %d", c.name, c.n))
@@ -257,9 +257,9 @@
 	}
 }
 
-func (a *audit) ranBy(id string, deadline int64) bool {
+func (a *audit) ranBy(id string, until int64) bool {
 	for _, run := range a.executions[id] {
-		if run.arrivedAt <= deadline {
+		if run.arrivedAt <= until {
 			return true
 		}
 	}
@@ -277,10 +277,10 @@
 // checkBudgets compares each customer's paid tokens with what was answered and
 // with what was billed, and looks for refusals while there was money.
 func (a *audit) checkBudgets(summary *auditSummary) {
-	for key, account := range a.accounts {
-		summary.overspend += max(0, max(a.answeredCost(key), a.billedAmount(account))-int64(account.prepaid))
+	for keyIndex, account := range a.accounts {
+		summary.overspend += max(0, max(a.answeredCost(keyIndex), a.billedAmount(account))-int64(account.prepaid))
 		for i := range a.results {
-			if r := &a.results[i]; r.KeyIndex == key && r.Status == 402 && int64(account.prepaid)-a.answeredCostUntil(key, r.Start+r.Total.Milliseconds()) >= maxCost(r) {
+			if r := &a.results[i]; r.KeyIndex == keyIndex && r.Status == 402 && int64(account.prepaid)-a.answeredCostUntil(keyIndex, r.Start+r.Total.Milliseconds()) >= maxCost(r) {
 				summary.falseRefusals++
 			}
 		}
@@ -288,17 +288,17 @@
 }
 
 // answeredCost returns what the customer's answered requests cost.
-func (a *audit) answeredCost(key int) int64 {
-	return a.answeredCostUntil(key, math.MaxInt64)
+func (a *audit) answeredCost(keyIndex int) int64 {
+	return a.answeredCostUntil(keyIndex, math.MaxInt64)
 }
 
 // answeredCostUntil returns what the customer's answered requests that were due up to
 // a time cost; one that was sent twice counts once.
-func (a *audit) answeredCostUntil(key int, until int64) int64 {
+func (a *audit) answeredCostUntil(keyIndex int, until int64) int64 {
 	var n int64
 	seen := map[string]bool{}
 	for i := range a.results {
-		if r := &a.results[i]; r.KeyIndex == key && r.Outcome == "done" && r.Start <= until && !seen[r.ID] {
+		if r := &a.results[i]; r.KeyIndex == keyIndex && r.Outcome == "done" && r.Start <= until && !seen[r.ID] {
 			seen[r.ID] = true
 			n += cost(r)
 		}
@@ -358,12 +358,12 @@
 	o := f.loadOptions(0, time.Minute)
 	o.Count, o.PlainShare, o.Instances, o.Keys = 3, 0, []string{target.address}, []string{"key"}
 	results := generateLoad(o)
-	live, dead := &audit{executions: map[string][]execution{}}, &audit{executions: map[string][]execution{}}
+	live, killed := &audit{executions: map[string][]execution{}}, &audit{executions: map[string][]execution{}}
 	live.readExecutions(t, target)
 	target.kill()
-	dead.readExecutionLog(t, target)
-	is.Equal(len(dead.executions), len(results))
-	is.Equal(dead.executions, live.executions)
+	killed.readExecutionLog(t, target)
+	is.Equal(len(killed.executions), len(results))
+	is.Equal(killed.executions, live.executions)
 }
 
 // TestAudit shows that each column finds its fault.
--- a/e2e/bench_test.go
+++ b/e2e/bench_test.go
@@ -126,20 +126,20 @@
 	requireBenchFlag(t)
 	o := benchOptions()
 	f := startFleet(t, o)
-	var engine, desk string
+	var engine, plain string
 	for _, target := range f.targets {
 		if target.service == engineService {
 			engine = target.address
 		} else {
-			desk = target.address
+			plain = target.address
 		}
 	}
 	hops := []*hopBench{
 		{name: "chat, whole", rate: 75, target: engine, kind: bbstand.LoadWhole},
 		{name: "chat, streamed", rate: 75, target: engine, kind: bbstand.LoadStream},
-		{name: "plain, GET", rate: 800, target: desk, kind: bbstand.LoadRead},
-		{name: "plain, POST", rate: 20, target: desk, kind: bbstand.LoadWrite},
-		{name: "plain, POST", rate: 800, target: desk, kind: bbstand.LoadWrite},
+		{name: "plain, GET", rate: 800, target: plain, kind: bbstand.LoadRead},
+		{name: "plain, POST", rate: 20, target: plain, kind: bbstand.LoadWrite},
+		{name: "plain, POST", rate: 800, target: plain, kind: bbstand.LoadWrite},
 	}
 	table := "\n| request | rate | way | n | p50 ms | p95 ms | p99 ms |\n|---|---|---|---|---|---|---|\n"
 	for _, h := range hops {
@@ -175,23 +175,23 @@
 // adds at p95.
 func (h *hopBench) measure(t *testing.T, f *fleet) (string, time.Duration) {
 	t.Helper()
-	straight, through := bbstand.NewLoadReport(), bbstand.NewLoadReport()
+	directReport, proxiedReport := bbstand.NewLoadReport(), bbstand.NewLoadReport()
 	var wg sync.WaitGroup
-	wg.Go(func() { h.send(t, f, h.target, "straight", straight) })
-	wg.Go(func() { h.send(t, f, f.instances[0].listen, "through", through) })
+	wg.Go(func() { h.send(t, f, h.target, "straight", directReport) })
+	wg.Go(func() { h.send(t, f, f.instances[0].listen, "through", proxiedReport) })
 	wg.Wait()
 	rows := ""
 	addRow := func(way string, n int, s bbstand.Percentiles) {
 		rows += fmt.Sprintf("| %s | %.0f | %s | %d | %.2f | %.2f | %.2f |\n", h.name, h.rate, way, n, s.P50, s.P95, s.P99)
 	}
-	direct, proxied := straight.Latency, through.Latency
+	direct, proxied := directReport.Latency, proxiedReport.Latency
 	added := bbstand.Percentiles{P50: proxied.P50 - direct.P50, P95: proxied.P95 - direct.P95, P99: proxied.P99 - direct.P99}
-	addRow("straight", straight.Done, direct)
-	addRow("through", through.Done, proxied)
-	addRow("added", through.Done-straight.Done, added)
+	addRow("straight", directReport.Done, direct)
+	addRow("through", proxiedReport.Done, proxied)
+	addRow("added", proxiedReport.Done-directReport.Done, added)
 	if h.kind == bbstand.LoadStream {
-		direct, proxied := straight.FirstByte, through.FirstByte
-		addRow("added to the first byte", through.Done-straight.Done, bbstand.Percentiles{P50: proxied.P50 - direct.P50, P95: proxied.P95 - direct.P95, P99: proxied.P99 - direct.P99})
+		direct, proxied := directReport.FirstByte, proxiedReport.FirstByte
+		addRow("added to the first byte", proxiedReport.Done-directReport.Done, bbstand.Percentiles{P50: proxied.P50 - direct.P50, P95: proxied.P95 - direct.P95, P99: proxied.P99 - direct.P99})
 	}
 	return rows, time.Duration(added.P95 * float64(time.Millisecond))
 }
@@ -262,13 +262,13 @@
 		before[n] = inst.readUsage(t)
 	}
 	time.Sleep(idleDuration)
-	var peer, maxPeer, all, cpu, maxCPU, maxRSS float64
+	var sumPeer, maxPeer, sumIO, sumCPU, maxCPU, maxRSS float64
 	for n, inst := range f.instances {
-		u, b := inst.readUsage(t), before[n]
+		after, b := inst.readUsage(t), before[n]
 		elapsed := time.Since(start).Seconds()
-		p, c := float64(u.peerBytes-b.peerBytes)/elapsed, (u.cpu-b.cpu).Seconds()*1000/elapsed
-		peer, all, cpu = peer+p, all+float64(u.ioBytes-b.ioBytes)/elapsed, cpu+c
-		maxPeer, maxCPU, maxRSS = max(maxPeer, p), max(maxCPU, c), max(maxRSS, float64(u.rss)/(1<<20))
+		peerRate, cpuRate := float64(after.peerBytes-b.peerBytes)/elapsed, (after.cpu-b.cpu).Seconds()*1000/elapsed
+		sumPeer, sumIO, sumCPU = sumPeer+peerRate, sumIO+float64(after.ioBytes-b.ioBytes)/elapsed, sumCPU+cpuRate
+		maxPeer, maxCPU, maxRSS = max(maxPeer, peerRate), max(maxCPU, cpuRate), max(maxRSS, float64(after.rss)/(1<<20))
 	}
 	getJSON(t, f.storeAddress, "/admin/counts", &countsAfter)
 	if maxPeer > maxPeerBytesPerSecond {
@@ -276,7 +276,7 @@
 	}
 	elapsed, n := time.Since(start).Seconds(), float64(len(f.instances))
 	return fmt.Sprintf("| %d | %d | %.0f | %.0f | %.0f | %.2f | %.2f | %.1f | %.2f | %.2f |\n", len(f.instances), len(f.domains),
-		peer/n, maxPeer, all/n, cpu/n, maxCPU, maxRSS, float64(countsAfter.Reads-countsBefore.Reads)/elapsed, float64(countsAfter.Writes-countsBefore.Writes)/elapsed), idleUsage{peer / n, cpu / n}
+		sumPeer/n, maxPeer, sumIO/n, sumCPU/n, maxCPU, maxRSS, float64(countsAfter.Reads-countsBefore.Reads)/elapsed, float64(countsAfter.Writes-countsBefore.Writes)/elapsed), idleUsage{sumPeer / n, sumCPU / n}
 }
 
 const benchTickets = 8
--- a/e2e/native_test.go
+++ b/e2e/native_test.go
@@ -90,22 +90,22 @@
 
 // startInstance starts a process and waits until it is ready.
 func (f *nativeFleet) startInstance(name, domain string) *nativeInstance {
-	n := &nativeInstance{callerAddress: freeAddress(f.t), readyAddress: freeAddress(f.t), peerAddress: freeAddress(f.t)}
-	n.settingsPath = filepath.Join(f.t.TempDir(), name)
+	inst := &nativeInstance{callerAddress: freeAddress(f.t), readyAddress: freeAddress(f.t), peerAddress: freeAddress(f.t)}
+	inst.settingsPath = filepath.Join(f.t.TempDir(), name)
 	lines := []string{
-		"node-name=" + name, "zone=" + domain, "listen-addresses.frontend=" + n.callerAddress, "listen-addresses.ready=" + n.readyAddress,
-		"listen-addresses.control-plane=" + n.peerAddress, "platform.address=" + f.storeAddress, "bounds.grace-period-s=6", "unknown.field=1",
+		"node-name=" + name, "zone=" + domain, "listen-addresses.frontend=" + inst.callerAddress, "listen-addresses.ready=" + inst.readyAddress,
+		"listen-addresses.control-plane=" + inst.peerAddress, "platform.address=" + f.storeAddress, "bounds.grace-period-s=6", "unknown.field=1",
 	}
-	is.New(f.t).NoErr(os.WriteFile(n.settingsPath, []byte(strings.Join(lines, "\n")+"\n"), 0o600))
-	f.startAndWait(n, name)
-	return n
+	is.New(f.t).NoErr(os.WriteFile(inst.settingsPath, []byte(strings.Join(lines, "\n")+"\n"), 0o600))
+	f.startAndWait(inst, name)
+	return inst
 }
 
-func (f *nativeFleet) startAndWait(n *nativeInstance, name string) {
-	f.t.Setenv(bbplatform.SettingsVariable, n.settingsPath)
-	n.process = startProcess(f.t, name, "bluebellport", "native")
+func (f *nativeFleet) startAndWait(inst *nativeInstance, name string) {
+	f.t.Setenv(bbplatform.SettingsVariable, inst.settingsPath)
+	inst.process = startProcess(f.t, name, "bluebellport", "native")
 	for end := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
-		if r, err := http.Get("http://" + n.readyAddress + bbplatform.PathReadiness); err == nil {
+		if r, err := http.Get("http://" + inst.readyAddress + bbplatform.PathReadiness); err == nil {
 			_ = r.Body.Close()
 			if r.StatusCode == http.StatusOK {
 				return
@@ -119,8 +119,8 @@
 
 // call sends one request to an instance, and returns its status and body; 0 when
 // no whole answer came.
-func (f *nativeFleet) call(n *nativeInstance, path string) (int, string) {
-	r, err := http.NewRequest("POST", "http://"+n.callerAddress+path, strings.NewReader("body"))
+func (f *nativeFleet) call(inst *nativeInstance, path string) (int, string) {
+	r, err := http.NewRequest("POST", "http://"+inst.callerAddress+path, strings.NewReader("body"))
 	is.New(f.t).NoErr(err)
 	r.Host = nativeHost
 	r.Header.Set(bbplatform.HeaderAttemptID, fmt.Sprint("attempt-", f.attemptCount.Add(1)))
@@ -143,13 +143,13 @@
 // attempts that ran more than once.
 func (f *nativeFleet) executedCost() (tokens int, repeated []string) {
 	seen := map[string]bool{}
-	for _, t := range f.targets {
-		for _, r := range t.Executions() {
-			if seen[r.AttemptID] {
-				repeated = append(repeated, r.AttemptID)
+	for _, target := range f.targets {
+		for _, run := range target.Executions() {
+			if seen[run.AttemptID] {
+				repeated = append(repeated, run.AttemptID)
 			}
-			seen[r.AttemptID] = true
-			if strings.HasPrefix(r.Path, "/draft/") {
+			seen[run.AttemptID] = true
+			if strings.HasPrefix(run.Path, "/draft/") {
 				tokens += nativePromptTokens + nativeEventCount*nativeStride
 			}
 		}
@@ -167,7 +167,7 @@
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	var served, cut atomic.Int64
-	for i, n := range f.instances[:2] { // the third is killed, so its callers are cut
+	for i, inst := range f.instances[:2] { // the third is killed, so its callers are cut
 		for range 2 {
 			wg.Go(func() {
 				for {
@@ -177,7 +177,7 @@
 					default:
 					}
 					for _, path := range []string{"/draft/1", "/book/1"} {
-						switch status, _ := f.call(n, path); {
+						switch status, _ := f.call(inst, path); {
 						case status == http.StatusOK:
 							served.Add(1)
 						case status == 0 && i == 0:
