--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -18,45 +18,45 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// billTimeout is how long bills may take to be written after the last answer.
+// billTimeout is how long newAudit waits for the bills of answered requests.
 const billTimeout = 15 * time.Second
 
-// requestKey names a request.
+// requestKey identifies a request: ids are unique within a client account.
 type requestKey struct {
 	account string
 	id      string
 }
 
-// execution is one run of a request as a stand-in recorded it.
+// execution is one run of a request, as recorded by the stand-in that ran it.
 type execution struct {
-	arrivedAt int64 // when it came, in microseconds since the epoch
+	arrivedAt int64 // microseconds since the Unix epoch
 	isWrite   bool
 }
 
 // audit compares what callers were told, what the stand-ins ran and what was
-// billed.
+// billed. executions is indexed by request id.
 type audit struct {
 	accounts   []clientAccount
 	results    []bbstand.LoadResult
 	executions map[string][]execution
 	bills      map[requestKey][]*bbwire.Record
-	// otherRecords are records that are no bills.
+	// otherRecords holds the records other than bills.
 	otherRecords map[requestKey]*bbwire.Record
-	// findings describes what the verdict counts as wrong.
+	// findings describes each violation that the summary counts.
 	findings []string
 }
 
-// auditSummary is one row of the table of faults.
+// auditSummary is one row of the table that TestFaults prints.
 type auditSummary struct {
 	requests, done, refused, lost int
 	cut, wrong                    int
 	overspend                     int64
 	falseRefusals                 int
 	billedTwice, notBilled        int
-	listedUnknown                 int // answered, and among the records of unknown end
+	listedUnknown                 int // answered, without a bill, and recorded with an unknown outcome
 	ranTwice, wronglyNotRun       int
 	billed, settled, stuck        int64
-	stuckLater                    int64 // ten seconds after stuck, where it was looked at
+	stuckLater                    int64 // stuck after another stuckRecheckDelay; -1 if not read
 }
 
 const summaryHeader = "| fault | requests | done | refused | lost | cut | wrong | overspend | false refusals | billed twice | not billed | listed | ran twice | wrongly told not-run | billed | settled | stuck | stuck 10 s later |"
@@ -71,7 +71,8 @@
 		s.billedTwice, s.notBilled, s.listedUnknown, s.ranTwice, s.wronglyNotRun, s.billed, s.settled, s.stuck, later)
 }
 
-// violations returns the columns that must be zero and are not.
+// violations returns the columns that must be zero but are not, with their
+// values.
 func (s auditSummary) violations() string {
 	var bad []string
 	for _, c := range []struct {
@@ -92,8 +93,8 @@
 	return strings.Join(bad, ", ")
 }
 
-// newAudit waits until every answered request is billed, or no longer than
-// settleTimeout, and reads all records.
+// newAudit waits until every answered request is billed, at most billTimeout,
+// and reads all records and executions.
 func newAudit(f *fleet, results []bbstand.LoadResult) *audit {
 	a := &audit{accounts: f.accounts, results: results, executions: map[string][]execution{}}
 	for end := time.Now().Add(billTimeout); ; time.Sleep(500 * time.Millisecond) {
@@ -112,6 +113,7 @@
 	return a
 }
 
+// readExecutions reads from a running target which requests it has run.
 func (a *audit) readExecutions(t *testing.T, target *target) {
 	if target.service == engineService {
 		var ran []bbstand.EngineExecution
@@ -128,7 +130,8 @@
 	}
 }
 
-// readExecutionLog reads what a target that has ended logged of the requests it took.
+// readExecutionLog reads from the log of a target that has exited which
+// requests it had accepted.
 func (a *audit) readExecutionLog(t *testing.T, target *target) {
 	t.Helper()
 	for line := range strings.Lines(readFile(t, target.logPath)) {
@@ -142,6 +145,8 @@
 	}
 }
 
+// readRecords reads all records from the store, and leaves them empty when the
+// store cannot be read.
 func (a *audit) readRecords(f *fleet) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -171,8 +176,9 @@
 	return requestKey{string(a.accounts[result.KeyIndex].id), result.ID}
 }
 
-// unbilled counts the answered requests without a bill: those that stand in the
-// records with an unknown end, where operators are shown them, and the others.
+// unbilled counts the answered requests without a bill: listed are those that
+// are recorded with an unknown outcome, which operators can list; missing are
+// the others.
 func (a *audit) unbilled() (listed, missing int) {
 	for i := range a.results {
 		r := &a.results[i]
@@ -188,12 +194,14 @@
 	return listed, missing
 }
 
+// isListedUnknown reports whether the request is recorded with an unknown
+// outcome or an open claim.
 func (a *audit) isListedUnknown(key requestKey) bool {
 	r := a.otherRecords[key]
 	return r != nil && (r.Kind == bbwire.Record_UNKNOWN || r.Kind == bbwire.Record_CLAIM)
 }
 
-// summarize sums the audit up.
+// summarize counts the results and collects the findings.
 func (a *audit) summarize() auditSummary {
 	summary := auditSummary{requests: len(a.results), stuckLater: -1}
 	summary.listedUnknown, summary.notBilled = a.unbilled()
@@ -213,7 +221,7 @@
 	return summary
 }
 
-// reportUnbilled describes the answered requests that have no bill.
+// reportUnbilled adds a finding for each answered request without a bill.
 func (a *audit) reportUnbilled() {
 	for i := range a.results {
 		if r := &a.results[i]; r.Outcome == "done" && len(a.bills[a.key(r)]) == 0 {
@@ -223,7 +231,8 @@
 	}
 }
 
-// countResult counts one result.
+// countResult counts one result, and adds findings for writes that ran twice
+// and for false not-run answers.
 func (a *audit) countResult(result *bbstand.LoadResult, summary *auditSummary) {
 	switch {
 	case result.Truncated:
@@ -257,6 +266,8 @@
 	}
 }
 
+// ranBy reports whether a run of the request arrived at a target at or before
+// the given time, in microseconds since the Unix epoch.
 func (a *audit) ranBy(id string, until int64) bool {
 	for _, run := range a.executions[id] {
 		if run.arrivedAt <= until {
@@ -266,7 +277,7 @@
 	return false
 }
 
-// cost returns what a request costs by what its caller got.
+// cost returns the tokens that a request costs, computed from the answer.
 func cost(result *bbstand.LoadResult) int64 {
 	if result.Kind == bbstand.LoadRead || result.Kind == bbstand.LoadWrite {
 		return callPrice
@@ -274,8 +285,9 @@
 	return int64(result.Tokens)
 }
 
-// checkBudgets compares each customer's paid tokens with what was answered and
-// with what was billed, and looks for refusals while there was money.
+// checkBudgets compares each account's prepaid tokens with the cost of its
+// answers and with its bills, and counts refusals for an exhausted budget
+// (status 402) while the budget could still pay for the request.
 func (a *audit) checkBudgets(summary *auditSummary) {
 	for keyIndex, account := range a.accounts {
 		summary.overspend += max(0, max(a.answeredCost(keyIndex), a.billedAmount(account))-int64(account.prepaid))
@@ -287,13 +299,15 @@
 	}
 }
 
-// answeredCost returns what the customer's answered requests cost.
+// answeredCost returns the cost of all answered requests of the account with
+// the given index.
 func (a *audit) answeredCost(keyIndex int) int64 {
 	return a.answeredCostUntil(keyIndex, math.MaxInt64)
 }
 
-// answeredCostUntil returns what the customer's answered requests that were due up to
-// a time cost; one that was sent twice counts once.
+// answeredCostUntil returns the cost of the answered requests that were due at
+// or before until, in milliseconds since the Unix epoch. A request that was
+// sent twice counts once.
 func (a *audit) answeredCostUntil(keyIndex int, until int64) int64 {
 	var n int64
 	seen := map[string]bool{}
@@ -306,7 +320,7 @@
 	return n
 }
 
-// billedAmount returns what the customer was billed.
+// billedAmount returns the sum of the account's bills.
 func (a *audit) billedAmount(account clientAccount) int64 {
 	var n int64
 	for key, bills := range a.bills {
@@ -319,7 +333,8 @@
 	return n
 }
 
-// readBudgets reads what the pages of budgets say.
+// readBudgets reads the budgets' pages and returns the sums of what is settled
+// and what is stuck.
 func (a *audit) readBudgets(f *fleet) (settled, stuck int64) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -341,7 +356,7 @@
 	return settled, stuck
 }
 
-// maxCost is the most that a request of the kind could have cost.
+// maxCost returns an upper bound on the cost of a request of this kind.
 func maxCost(result *bbstand.LoadResult) int64 {
 	if result.Kind == bbstand.LoadRead || result.Kind == bbstand.LoadWrite {
 		return callPrice
@@ -349,8 +364,8 @@
 	return 120
 }
 
-// TestRunsOfKilledEngine checks that the audit knows what an engine that was
-// killed had taken.
+// TestRunsOfKilledEngine checks that the log of a killed engine lists the same
+// executions as the engine did while it ran.
 func TestRunsOfKilledEngine(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{t: t}
@@ -366,7 +381,7 @@
 	is.Equal(killed.executions, live.executions)
 }
 
-// TestAudit shows that each column finds its fault.
+// TestAudit checks that each violation is counted in its own column.
 func TestAudit(t *testing.T) {
 	done := func(id string, kind bbstand.LoadKind, tokens int) bbstand.LoadResult {
 		return bbstand.LoadResult{ID: id, Kind: kind, Status: 200, Outcome: "done", Tokens: tokens, Start: 100}
@@ -388,23 +403,23 @@
 		other  *bbwire.Record
 		want   auditSummary
 	}{
-		{"sound", done("a", bbstand.LoadWrite, 0), []execution{{150, true}}, bill(10), nil, auditSummary{done: 1}},
+		{"correct", done("a", bbstand.LoadWrite, 0), []execution{{150, true}}, bill(10), nil, auditSummary{done: 1}},
 		{"wrong answer", bbstand.LoadResult{ID: "a", Outcome: "done", Tokens: 5, Wrong: true}, nil, bill(5), nil, auditSummary{done: 1, wrong: 1}},
-		{"cut", bbstand.LoadResult{ID: "a", Outcome: "lost", Truncated: true}, nil, nil, nil, auditSummary{cut: 1}},
+		{"answer cut off", bbstand.LoadResult{ID: "a", Outcome: "lost", Truncated: true}, nil, nil, nil, auditSummary{cut: 1}},
 		{"answered above paid", done("a", bbstand.LoadWhole, 1005), nil, bill(5), nil, auditSummary{done: 1, overspend: 5}},
 		{"billed above paid", done("a", bbstand.LoadWhole, 5), nil, bill(1007), nil, auditSummary{done: 1, overspend: 7}},
 		{"billed twice", done("a", bbstand.LoadWhole, 5), nil, bill(5, 5), nil, auditSummary{done: 1, billedTwice: 1}},
 		{"not billed", done("a", bbstand.LoadWhole, 5), nil, nil, nil, auditSummary{done: 1, notBilled: 1}},
 		{"not billed and listed as unknown", done("a", bbstand.LoadWrite, 0), nil, nil, record(bbwire.Record_UNKNOWN), auditSummary{done: 1, listedUnknown: 1}},
 		{"not billed and listed as claimed", done("a", bbstand.LoadWrite, 0), nil, nil, record(bbwire.Record_CLAIM), auditSummary{done: 1, listedUnknown: 1}},
-		{"not billed and only reserved", done("a", bbstand.LoadWrite, 0), nil, nil, record(bbwire.Record_OPEN), auditSummary{done: 1, notBilled: 1}},
-		{"billed and once claimed", done("a", bbstand.LoadWrite, 0), nil, bill(10), record(bbwire.Record_CLAIM), auditSummary{done: 1}},
+		{"not billed and recorded as open", done("a", bbstand.LoadWrite, 0), nil, nil, record(bbwire.Record_OPEN), auditSummary{done: 1, notBilled: 1}},
+		{"billed, with an older claim", done("a", bbstand.LoadWrite, 0), nil, bill(10), record(bbwire.Record_CLAIM), auditSummary{done: 1}},
 		{"ran twice", done("a", bbstand.LoadWrite, 0), []execution{{150, true}, {160, true}}, bill(10), nil, auditSummary{done: 1, ranTwice: 1}},
 		{"read twice", done("a", bbstand.LoadRead, 0), []execution{{150, false}, {160, false}}, bill(10), nil, auditSummary{done: 1}},
 		{"refused with money left", refused, nil, nil, nil, auditSummary{refused: 1, falseRefusals: 1}},
 		{"told not-run after it ran", refused, []execution{{199, false}}, nil, nil, auditSummary{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
 		{"told not-run as it ran", refused, []execution{{200, false}}, nil, nil, auditSummary{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
-		{"told not-run between two copies", refused, []execution{{300, false}, {199, false}}, nil, nil, auditSummary{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
+		{"told not-run between two runs", refused, []execution{{300, false}, {199, false}}, nil, nil, auditSummary{refused: 1, falseRefusals: 1, wronglyNotRun: 1}},
 		{"told not-run before it ran", refused, []execution{{201, false}}, nil, nil, auditSummary{refused: 1, falseRefusals: 1}},
 	}
 	for _, c := range cases {
@@ -422,7 +437,7 @@
 			got := a.summarize()
 			got.requests, got.billed, got.stuckLater = 0, 0, 0
 			if got != c.want {
-				t.Errorf("%+v, not %+v", got, c.want)
+				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
 	}
--- a/e2e/bench_test.go
+++ b/e2e/bench_test.go
@@ -19,15 +19,17 @@
 const (
 	maxAddedLatency       = 2 * time.Millisecond
 	maxTicketPropagation  = 2 * time.Second
-	maxPeerBytesPerSecond = 10 << 10 // bytes a second of an instance
-	// benchSettleTime is how long a fleet is left alone before it is measured.
+	maxPeerBytesPerSecond = 10 << 10 // of an idle instance
+	// benchSettleTime is the wait between the start of a fleet and a
+	// measurement.
 	benchSettleTime = 5 * time.Second
-	// clockTick is the unit of processor time in /proc.
+	// clockTick is the unit of the CPU times in /proc/PID/stat.
 	clockTick = 10 * time.Millisecond
 )
 
 var benchDomains = []string{"uppsala", "gavle", "falun", "arboga"}
 
+// requireBenchFlag skips the test unless -bench-processes is set.
 func requireBenchFlag(t *testing.T) {
 	t.Helper()
 	if !*benchProcesses {
@@ -58,14 +60,15 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// usage is what an instance has used so far.
+// usage is the resources that an instance has used since its start; rss is the
+// current value, in bytes.
 type usage struct {
 	peerBytes, ioBytes int64
 	cpu                time.Duration
 	rss                int64
 }
 
-// readUsage reads an instance's use from its metrics and from /proc.
+// readUsage reads an instance's resource usage from its metrics and from /proc.
 func (inst *instance) readUsage(t *testing.T) usage {
 	t.Helper()
 	r, err := http.Get("http://" + inst.admin + "/metrics")
@@ -108,7 +111,8 @@
 	return n
 }
 
-// fieldValue returns what follows the name at the begin of a line.
+// fieldValue returns the number on the line that consists of the name and a
+// number.
 func fieldValue(t *testing.T, page, name string) int64 {
 	t.Helper()
 	for line := range strings.Lines(page) {
@@ -116,12 +120,13 @@
 			return parseInt(t, f[1])
 		}
 	}
-	t.Fatalf("%s is not there", name)
+	t.Fatalf("no line with the name %q and a value", name)
 	return 0
 }
 
-// TestBenchHop measures what an instance adds to the time of a request, at half
-// of what one target can do, and at a low rate where a request is claimed first.
+// TestBenchHop measures the latency that an instance adds to a request, at half
+// of one target's capacity. Requests that are claimed before they are sent
+// (POST to a plain service) are also measured at a low rate.
 func TestBenchHop(t *testing.T) {
 	requireBenchFlag(t)
 	o := benchOptions()
@@ -146,7 +151,7 @@
 		rows, added := h.measure(t, f)
 		table += rows
 		if added > maxAddedLatency {
-			t.Errorf("%s: the hop adds %s at p95, above %s", h.name, added, maxAddedLatency)
+			t.Errorf("%s: an instance adds %s to the p95 latency, above %s", h.name, added, maxAddedLatency)
 		}
 	}
 	fmt.Print(table)
@@ -160,7 +165,8 @@
 	}
 }
 
-// hopBench is one kind of request that is sent straight and through an instance.
+// hopBench is one kind of request that is sent both directly to a target and
+// through an instance.
 type hopBench struct {
 	name   string
 	rate   float64
@@ -170,9 +176,9 @@
 
 const hopDuration = 5 * time.Second
 
-// measure sends both ways at once, each at half of the rate, so that the target
-// and the machine are the same for both. It returns their rows, and what the hop
-// adds at p95.
+// measure sends requests both ways at the same time, each at half of the rate,
+// so that the load on the target and the machine is the same for both. It
+// returns the rows of the table and the added p95 latency.
 func (h *hopBench) measure(t *testing.T, f *fleet) (string, time.Duration) {
 	t.Helper()
 	directReport, proxiedReport := bbstand.NewLoadReport(), bbstand.NewLoadReport()
@@ -212,7 +218,7 @@
 	failed := 0
 	for _, r := range generateLoad(o) {
 		if address == h.target && o.PlainShare == 1 {
-			r.Wrong = false // it tells the path that it was sent, which is the instance's here
+			r.Wrong = false // the answer repeats the path: called directly, the target gets /services/ID too
 		}
 		if r.Outcome != "done" || r.Wrong {
 			failed++
@@ -224,8 +230,8 @@
 	}
 }
 
-// TestBenchControl measures fleets of several sizes: what an idle instance uses,
-// and how long a ticket takes to be in force on all of them.
+// TestBenchControl measures, for fleets of several sizes, the resources that an
+// idle instance uses and the time until a ticket is in force on all instances.
 func TestBenchControl(t *testing.T) {
 	requireBenchFlag(t)
 	idleTable := "\n| instances | failure domains | peer bytes/s mean | peer bytes/s max | all I/O bytes/s mean | CPU ms/s mean | CPU ms/s max | RSS MiB max | reads/s | writes/s |\n|---|---|---|---|---|---|---|---|---|---|\n"
@@ -246,12 +252,13 @@
 	fmt.Print(idleTable, propagationTable)
 }
 
-// idleUsage is the mean use of an idle instance in a second.
+// idleUsage is the mean resource usage of an idle instance per second.
 type idleUsage struct{ peerBytesPerSecond, cpuMSPerSecond float64 }
 
 const idleDuration = 10 * time.Second
 
-// measureIdle measures the instances while no requests come.
+// measureIdle measures the resource usage of the instances without requests. It
+// returns the row of the table and the means.
 func (f *fleet) measureIdle(t *testing.T) (string, idleUsage) {
 	t.Helper()
 	before := make([]usage, len(f.instances))
@@ -272,7 +279,7 @@
 	}
 	getJSON(t, f.storeAddress, "/admin/counts", &countsAfter)
 	if maxPeer > maxPeerBytesPerSecond {
-		t.Errorf("%d instances: an idle one moves %.0f bytes/s between instances, above %d", len(f.instances), maxPeer, maxPeerBytesPerSecond)
+		t.Errorf("%d instances: an idle instance exchanges %.0f bytes/s with its peers, above %d", len(f.instances), maxPeer, maxPeerBytesPerSecond)
 	}
 	elapsed, n := time.Since(start).Seconds(), float64(len(f.instances))
 	return fmt.Sprintf("| %d | %d | %.0f | %.0f | %.0f | %.2f | %.2f | %.1f | %.2f | %.2f |\n", len(f.instances), len(f.domains),
@@ -281,8 +288,9 @@
 
 const benchTickets = 8
 
-// measureTicketPropagation measures how long tickets take, from the start of bluebellctl, to be
-// in force on all instances.
+// measureTicketPropagation applies benchTickets tickets and measures the time
+// from the start of bluebellctl until each is in force on all instances. It
+// returns the row of the table and the p50 in milliseconds.
 func (f *fleet) measureTicketPropagation(t *testing.T) (string, float64) {
 	t.Helper()
 	report := bbstand.NewLoadReport()
@@ -300,7 +308,8 @@
 	return fmt.Sprintf("| %d | %d | %d | %.0f | %d |\n", len(f.instances), len(f.domains), benchTickets, report.Latency.P50, longest.Milliseconds()), report.Latency.P50
 }
 
-// ticketPropagation applies the next ticket and waits until the last instance has it.
+// ticketPropagation applies the next ticket and returns the time until it is in
+// force on all instances.
 func (f *fleet) ticketPropagation(t *testing.T) time.Duration {
 	t.Helper()
 	ticket := f.nextTicket()
@@ -329,12 +338,12 @@
 const (
 	writeRequests = 1000
 	writeRate     = 200
-	// writeSettleTime is how long the last records may take to be written.
+	// writeSettleTime is how long the last records may take to reach the store.
 	writeSettleTime = 4 * time.Second
 )
 
-// TestBenchWrites measures how often the key-value service is written to for
-// the requests of several numbers of budgets.
+// TestBenchWrites measures the reads and writes of the key-value service per
+// 1,000 requests, for several numbers of instances and active budgets.
 func TestBenchWrites(t *testing.T) {
 	requireBenchFlag(t)
 	budgets := []int{1, 4, 16}
@@ -350,6 +359,8 @@
 	fmt.Print(table)
 }
 
+// measureStoreWrites sends requests of the first accounts, one for each budget,
+// and returns the row of the table.
 func (f *fleet) measureStoreWrites(t *testing.T, budgets int) string {
 	t.Helper()
 	o := f.loadOptions(writeRate, time.Minute)
--- a/e2e/client_test.go
+++ b/e2e/client_test.go
@@ -12,14 +12,15 @@
 	bbstand "bluebellport.example/bluebellstand/src"
 )
 
+// smallFleetOptions has one instance in each failure domain.
 func smallFleetOptions() fleetOptions {
 	o := defaultFleetOptions()
 	o.instancesPerDomain = 1
 	return o
 }
 
-// TestPublishedClient completes a plain and a streamed call with a client
-// library that knows nothing of the fleet.
+// TestPublishedClient checks that the unmodified OpenAI client library
+// completes a plain call, a streamed call and a list of models.
 func TestPublishedClient(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, smallFleetOptions())
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,2 +1,3 @@
-// Package bbe2e drives the real programs from outside, on loopback.
+// Package bbe2e holds tests that run the built programs as processes on
+// loopback.
 package bbe2e
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	faultRate         = 40 // requests a second
+	faultRate         = 40 // requests per second
 	faultDelay        = 2 * time.Second
 	loadDuration      = 8 * time.Second
 	shortLoadDuration = 5 * time.Second
 	stuckRecheckDelay = 10 * time.Second
 )
 
-// faultCase is one fault, brought about while requests run.
+// faultCase is one fault that is injected while requests run.
 type faultCase struct {
 	name string
-	// short rows run also without -faults.
+	// short cases run also without -faults.
 	short bool
-	// loadDuration is how long requests are sent; 0 is loadTime.
+	// loadDuration is how long requests are sent; 0 means the constant
+	// loadDuration, or shortLoadDuration without -faults.
 	loadDuration time.Duration
-	// sendTwice sends every request at once to two instances.
+	// sendTwice sends every request to two instances at the same time.
 	sendTwice bool
-	// recheckStuck rows look at what is stuck again ten seconds later.
+	// recheckStuck reads the stuck tokens again after stuckRecheckDelay.
 	recheckStuck bool
-	// adjustFleet changes the fleet that is started.
+	// adjustFleet changes the options of the fleet before it starts.
 	adjustFleet func(*fleetOptions)
-	// inject brings the fault about and heals it.
+	// inject causes the fault and, where it can be, ends it again.
 	inject func(*faultRun)
-	// checkRunning looks for what only this fault could break.
+	// checkRunning checks what this fault could break, while the instances run.
 	checkRunning func(*faultRun)
-	// checkStopped looks at what the instances left behind.
+	// checkStopped checks what is in the store after all instances stopped.
 	checkStopped func(*faultRun)
 }
 
-// faultRun is a running row.
+// faultRun is the state of a running fault case.
 type faultRun struct {
 	*fleet
 	t       *testing.T
@@ -76,8 +77,9 @@
 	{name: "kill, lost answers and a cut at once", loadDuration: 14 * time.Second, recheckStuck: true, inject: severalFaults},
 }
 
-// TestFaults prints a table with a row for each fault. The columns from
-// overspend on must be zero, but for false refusals, which are measured.
+// TestFaults prints a table with a row for each fault. Fails when a column that
+// auditSummary.violations lists is not zero; the other columns, such as false
+// refusals, are only measured.
 func TestFaults(t *testing.T) {
 	table := summaryHeader + "\n"
 	for _, row := range faultCases {
@@ -97,6 +99,8 @@
 	fmt.Print(table)
 }
 
+// runFaultCase starts a fleet, injects the fault while requests run, and audits
+// the results.
 func runFaultCase(t *testing.T, row faultCase) *faultRun {
 	o := defaultFleetOptions()
 	if row.adjustFleet != nil {
@@ -146,6 +150,7 @@
 	return r
 }
 
+// generateLoad sends the requests and returns their results.
 func generateLoad(o bbstand.LoadOptions) []bbstand.LoadResult {
 	var mu sync.Mutex
 	var out []bbstand.LoadResult
@@ -157,7 +162,7 @@
 	return out
 }
 
-// logRefusals prints how often callers were told what.
+// logRefusals logs the number of refusals by status, outcome and title.
 func (r *faultRun) logRefusals() {
 	report := bbstand.NewLoadReport()
 	for _, result := range r.results {
@@ -170,7 +175,8 @@
 	r.t.Logf("answers: p50 %.0f ms, p99 %.0f ms; retried: %d", report.Latency.P50, report.Latency.P99, report.Retried)
 }
 
-// checkAllDone fails on refusals other than those of the spent budget.
+// checkAllDone fails on any refusal except for an exhausted budget (status
+// 402).
 func checkAllDone(r *faultRun) {
 	for _, result := range r.results {
 		if result.Outcome != "done" && result.Status != 402 {
@@ -179,8 +185,8 @@
 	}
 }
 
-// checkNothingStuck fails when instances that stopped as planned left money that is
-// neither settled nor free.
+// checkNothingStuck fails when instances that were stopped gracefully left
+// stuck tokens, or settled another amount than was billed.
 func checkNothingStuck(r *faultRun) {
 	settled, stuck := r.audit.readBudgets(r.fleet)
 	if stuck != 0 || settled != r.summary.billed {
@@ -206,7 +212,7 @@
 	r.instances[1].signal(syscall.SIGCONT)
 }
 
-// injectStoreFault puts a fault in force for a time.
+// injectStoreFault applies a fault to the store for the duration.
 func (r *faultRun) injectStoreFault(f bbstand.StoreFault, d time.Duration) {
 	postJSON(r.t, r.storeAddress, "/admin/fault", f)
 	time.Sleep(d)
@@ -229,7 +235,8 @@
 	r.healPeers()
 }
 
-// partitionPeers cuts the instances of the two failure domains off each other.
+// partitionPeers drops all traffic between instances of the two failure
+// domains.
 func (r *faultRun) partitionPeers() {
 	blackholed := 0
 	for _, inst := range r.instances {
@@ -240,7 +247,7 @@
 		}
 	}
 	if blackholed == 0 {
-		r.t.Errorf("the cut silenced no connection between instances")
+		r.t.Errorf("no connection between instances was open when the domains were partitioned")
 	}
 }
 
@@ -295,15 +302,15 @@
 			}
 		}
 		if accepted != 1 {
-			r.t.Errorf("ticket %d: %d of %d operators were told that theirs is accepted", r.ticketNumber+1, accepted, racingOperators)
+			r.t.Errorf("ticket %d: %d of %d operators were told that their ticket was accepted, not 1", r.ticketNumber+1, accepted, racingOperators)
 		}
 		r.ticketNumber++
 		r.awaitTicket(5 * time.Second)
 	}
 }
 
-// awaitTicket waits until all instances have the newest ticket in force, and fails
-// when that takes longer than most.
+// awaitTicket waits until all instances have the newest ticket in force, and
+// fails when that takes longer than limit.
 func (r *faultRun) awaitTicket(limit time.Duration) {
 	start := time.Now()
 	for _, inst := range r.instances {
@@ -318,11 +325,13 @@
 	r.t.Logf("ticket %d is in force everywhere after %s", r.ticketNumber, time.Since(start).Round(time.Millisecond))
 }
 
-// instanceStatus is the part of an instance's status that is looked at.
+// instanceStatus is the part of an instance's status that the tests read.
 type instanceStatus struct {
 	Number bbunit.TicketNumber `json:"number"`
 }
 
+// checkTicketInForce fails unless all instances have the newest ticket in
+// force.
 func checkTicketInForce(r *faultRun) {
 	for _, inst := range r.instances {
 		var s instanceStatus
@@ -333,20 +342,23 @@
 	}
 }
 
-// targetLeaves has an engine refuse new work, and counts what it is still sent
-// after three seconds.
+// targetLeaves makes an engine refuse new requests as leaving, and checks that
+// it is sent none after three seconds.
 func targetLeaves(r *faultRun) {
 	postJSON(r.t, r.targets[0].address, "/admin/fault", bbstand.EngineFault{Leaving: true})
 	r.checkNoNewRequests(r.targets[0])
 }
 
+// ticketMarksTargetLeaving marks an engine as leaving in the ticket, and checks
+// that it is sent no requests after three seconds.
 func ticketMarksTargetLeaving(r *faultRun) {
 	r.targets[0].leaving = true
 	r.applyTicket(r.nextTicket())
 	r.checkNoNewRequests(r.targets[0])
 }
 
-// checkNoNewRequests fails when the target gets requests from three seconds on.
+// checkNoNewRequests fails when the target gets requests later than three
+// seconds from now.
 func (r *faultRun) checkNoNewRequests(target *target) {
 	time.Sleep(3 * time.Second)
 	var before, after bbstand.TargetCounts
@@ -354,21 +366,23 @@
 	time.Sleep(loadDuration - faultDelay - 3*time.Second)
 	getJSON(r.t, target.address, "/admin/counts", &after)
 	if n := after.Refused + after.Accepted - before.Refused - before.Accepted; n != 0 {
-		r.t.Errorf("%d requests were sent to a target that has been leaving for 3 s", n)
+		r.t.Errorf("%d requests were sent to a target that had been leaving for 3 s", n)
 	}
 }
 
+// plannedStop marks an instance as leaving in the list of instances and stops
+// it.
 func plannedStop(r *faultRun) {
 	r.setListState(r.instances[0], "leaving")
 	r.instances[0].stop()
 }
 
-// checkNoBrokenConnections fails on any attempt whose connection broke, also where a retry
-// mended it.
+// checkNoBrokenConnections fails on any attempt whose connection broke, even if
+// a retry succeeded.
 func checkNoBrokenConnections(r *faultRun) {
 	for _, result := range r.results {
 		if result.BrokenAttempts > 0 || result.Truncated {
-			r.t.Errorf("%s: %d connections broke before the answer was whole", result.ID, result.BrokenAttempts)
+			r.t.Errorf("%s: %d connections broke before the answer was complete", result.ID, result.BrokenAttempts)
 		}
 	}
 }
@@ -396,8 +410,8 @@
 
 func killEngine(r *faultRun) { r.targets[0].kill() }
 
-// poisonRequest sends a request that crashes every engine that runs it, again
-// and again.
+// poisonRequest repeatedly sends a request that crashes every engine that runs
+// it.
 func poisonRequest(r *faultRun) {
 	for n := range 5 {
 		out, code := runProgram(r.t, "bluebellstand", "ask", "--instance", r.instances[n%len(r.instances)].listen,
@@ -405,11 +419,11 @@
 		if code == 0 {
 			r.t.Errorf("a request that crashes engines was answered: %s", out)
 		}
-		r.t.Logf("%d engines live; the poison request's caller was told: %s", r.liveEngines(), out)
+		r.t.Logf("%d engines are running; the caller of the poison request was told: %s", r.liveEngines(), out)
 	}
 }
 
-// liveEngines counts the engines that have not crashed.
+// liveEngines returns the number of engines that have not crashed.
 func (r *faultRun) liveEngines() int {
 	live := 0
 	for _, target := range r.targets {
@@ -420,12 +434,16 @@
 	return live
 }
 
+// checkEnginesLive fails when the poison request crashed more than three
+// engines.
 func checkEnginesLive(r *faultRun) {
 	if live := r.liveEngines(); live < 3 {
-		r.t.Errorf("only %d of 6 engines outlived the poison request", live)
+		r.t.Errorf("only %d of 6 engines survived the poison request, fewer than 3", live)
 	}
 }
 
+// severalFaults combines a slow store that loses answers, a partition and a
+// killed instance.
 func severalFaults(r *faultRun) {
 	postJSON(r.t, r.storeAddress, "/admin/fault", bbstand.StoreFault{LoseEveryNthAnswer: 4, LatencyMS: 50})
 	r.partitionPeers()
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -21,13 +21,13 @@
 const (
 	engineService = "permit-assist"
 	plainService  = "closure-desk"
-	callPrice     = 10 // of the plain service
+	callPrice     = 10 // tokens for each call of the plain service
 	crashWord     = "asphaltbreaker"
 )
 
 var domains = []string{"uppsala", "gavle"}
 
-// clientAccount is a client account with its key and its budget.
+// clientAccount is a client account with its API key and its budget.
 type clientAccount struct {
 	id      bbunit.AccountID
 	key     string
@@ -35,7 +35,7 @@
 	prepaid bbunit.Tokens
 }
 
-// target is one process that serves a service.
+// target is one running stand-in that serves a service.
 type target struct {
 	*process
 	id      string
@@ -50,18 +50,20 @@
 	*process
 	id, domain          string
 	listen, admin, peer string
-	relay               *relay // between it and the other instances; nil without
-	advertisedPeer      string // where other instances reach it
+	relay               *relay // between this instance and its peers; nil in a fleet without relays
+	advertisedPeer      string // address at which peers reach this instance
 }
 
-// fleet is a platform, targets and instances, all of them processes.
+// fleet is a platform stand-in, targets and instances, each a process of its
+// own. The platform serves the key-value store at storeAddress and the list of
+// instances at listAddress.
 type fleet struct {
 	t            *testing.T
 	domains      []string
 	storeAddress string
 	listAddress  string
 	platform     *process
-	storeRelays  map[string]*relay // by failure domain
+	storeRelays  map[string]*relay // by failure domain, as listRelays
 	listRelays   map[string]*relay
 	targets      []*target
 	instances    []*instance
@@ -70,15 +72,15 @@
 	storeClient  *bbstore.Client
 }
 
-// fleetOptions set the size of a fleet.
+// fleetOptions sets the size of a fleet.
 type fleetOptions struct {
 	domains            []string
-	instances          int  // in all, spread over the failure domains; 0 is perDomain in each
-	withoutRelays      bool // no relays in between
+	instances          int  // total, spread over the failure domains; 0 means instancesPerDomain in each
+	withoutRelays      bool // instances connect directly to the platform and to each other
 	instancesPerDomain int
-	enginesPerDomain   int // in each failure domain
+	enginesPerDomain   int
 	accounts           []clientAccount
-	instanceArgs       []string // more flags of each instance
+	instanceArgs       []string // additional flags for each instance
 }
 
 func defaultFleetOptions() fleetOptions {
@@ -88,7 +90,8 @@
 	}}
 }
 
-// startFleet starts all processes and puts the first ticket in force.
+// startFleet starts all processes, applies the first ticket and waits until all
+// instances are ready.
 func startFleet(t *testing.T, o fleetOptions) *fleet {
 	t.Helper()
 	f := &fleet{
@@ -124,6 +127,8 @@
 	return f
 }
 
+// startTarget starts a target and waits until it answers. Its address is part
+// of the tickets from the next one on.
 func (f *fleet) startTarget(id, service, domain string) *target {
 	f.t.Helper()
 	target := &target{id: id, service: service, domain: domain, address: freeAddress(f.t)}
@@ -138,7 +143,8 @@
 	return target
 }
 
-// startInstance starts an instance and enters it into the list.
+// startInstance starts an instance, behind relays unless the fleet has none,
+// and adds it to the list of instances.
 func (f *fleet) startInstance(id, domain string, args ...string) *instance {
 	f.t.Helper()
 	inst := &instance{id: id, domain: domain, listen: freeAddress(f.t), admin: freeAddress(f.t), peer: freeAddress(f.t)}
@@ -158,7 +164,7 @@
 	return inst
 }
 
-// possibleInstanceIDs returns what instances may be called.
+// possibleInstanceIDs returns the ids by which a relay recognizes instances.
 func (f *fleet) possibleInstanceIDs() []string {
 	var out []string
 	for _, d := range f.domains {
@@ -169,12 +175,15 @@
 	return out
 }
 
+// setListState writes the instance with the given state to the list of
+// instances.
 func (f *fleet) setListState(inst *instance, state string) {
 	f.t.Helper()
 	postJSON(f.t, f.listAddress, "/v1/instances", bbstand.Instance{ID: inst.id, Domain: inst.domain, Address: inst.advertisedPeer, State: state})
 }
 
-// nextTicket returns the next ticket, with the whole state of all.
+// nextTicket returns a ticket with the next number and the complete
+// configuration: services, accounts, budgets and targets.
 func (f *fleet) nextTicket() bbticket.Ticket {
 	ticket := bbticket.Ticket{Number: f.ticketNumber + 1, Services: []bbticket.Service{
 		{ID: engineService, Kind: bbticket.KindEngine, Price: bbticket.Price{Input: 1, Output: 1}, DefaultMaxOutput: 64},
@@ -194,7 +203,7 @@
 	return ticket
 }
 
-// writeTicket writes a ticket to a file and returns its path.
+// writeTicket writes a ticket to a temporary file and returns its path.
 func (f *fleet) writeTicket(ticket bbticket.Ticket) string {
 	f.t.Helper()
 	b, err := yaml.Marshal(ticket)
@@ -208,7 +217,8 @@
 	return path
 }
 
-// applyTicket puts the ticket in force.
+// applyTicket applies the ticket with bluebellctl and fails the test on an
+// error.
 func (f *fleet) applyTicket(ticket bbticket.Ticket) {
 	f.t.Helper()
 	out, code := runProgram(f.t, "bluebellctl", "--store", f.storeAddress, "ticket", "apply", f.writeTicket(ticket))
@@ -218,7 +228,8 @@
 	f.ticketNumber = ticket.Number
 }
 
-// loadOptions returns the settings of a load on all instances.
+// loadOptions returns the options of a load generator that sends to all
+// instances.
 func (f *fleet) loadOptions(rate float64, d time.Duration) bbstand.LoadOptions {
 	o := bbstand.LoadOptions{
 		Service: engineService, Plain: plainService, StreamedShare: 0.5, PlainShare: 0.4, WriteShare: 0.5,
@@ -245,7 +256,8 @@
 	return out
 }
 
-// stopInstances stops all instances at once.
+// stopInstances stops all instances at the same time and checks their exit
+// codes.
 func (f *fleet) stopInstances() {
 	f.t.Helper()
 	for _, inst := range f.instances {
@@ -258,7 +270,7 @@
 	}
 }
 
-// stop stops instances, targets and platform in this order.
+// stop stops instances, targets and platform, in this order.
 func (f *fleet) stop() {
 	f.t.Helper()
 	f.stopInstances()
--- a/e2e/input_test.go
+++ b/e2e/input_test.go
@@ -12,6 +12,8 @@
 	"github.com/matryer/is"
 )
 
+// TestBadSettings checks that a program with invalid arguments exits with 2 and
+// names each of them.
 func TestBadSettings(t *testing.T) {
 	cases := []struct {
 		prog string
@@ -44,6 +46,8 @@
 	}
 }
 
+// TestBadTickets checks that bluebellctl refuses invalid tickets with an error
+// that names the fault, and that instances keep the ticket that they have.
 func TestBadTickets(t *testing.T) {
 	f := startFleet(t, smallFleetOptions())
 	good, err := os.ReadFile(f.writeTicket(f.nextTicket()))
@@ -56,7 +60,7 @@
 		{"unknown field", "number: 2\nbugets: []\n", []string{"bugets", "2:1"}},
 		{"unknown field inside", "number: 2\nbudgets:\n  - {id: b, account: norra, payd: 1}\n", []string{"payd", "3:"}},
 		{"old number", strings.Replace(string(good), "number: 2", "number: 1", 1), []string{"1"}},
-		{"number ahead", strings.Replace(string(good), "number: 2", "number: 9", 1), []string{"9"}},
+		{"number too high", strings.Replace(string(good), "number: 2", "number: 9", 1), []string{"9"}},
 		{"negative amount", "number: 2\nbudgets:\n  - {id: b, account: norra, paid: -1}\n", []string{"paid", "-1"}},
 		{"amount too large", "number: 2\nbudgets:\n  - {id: b, account: norra, paid: 99999999999999999999}\n", []string{"paid"}},
 		{"unknown account", "number: 2\nbudgets:\n  - {id: b, account: nobody, paid: 1}\n", []string{"nobody"}},
@@ -64,7 +68,7 @@
 		{"bad address", "number: 2\ntargets:\n  - {id: x, service: closure-desk, address: nowhere, domain: d}\n", []string{"nowhere"}},
 		{"bad kind", "number: 2\nservices:\n  - {id: s, kind: magic}\n", []string{"magic"}},
 		{"bad key", "number: 2\naccounts:\n  - {id: a, keys: [secret]}\n", []string{"key must be sha256"}},
-		{"twice the same", "number: 2\nbudgets:\n  - {id: b, account: norra, paid: 1}\n  - {id: b, account: norra, paid: 2}\n", []string{"b"}},
+		{"duplicate budget", "number: 2\nbudgets:\n  - {id: b, account: norra, paid: 1}\n  - {id: b, account: norra, paid: 2}\n", []string{"b"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -84,14 +88,14 @@
 		var s instanceStatus
 		getJSON(t, inst.admin, "/status", &s)
 		if s.Number != 1 {
-			t.Errorf("%s has ticket %d in force after bad ones", inst.id, s.Number)
+			t.Errorf("%s has ticket %d in force after invalid ones, not 1", inst.id, s.Number)
 		}
 	}
 	f.applyTicket(f.nextTicket())
 	f.stop()
 }
 
-// problemDetails is the part of a refusal that is looked at.
+// problemDetails is the part of a refusal's body that the tests read.
 type problemDetails struct {
 	Status  int    `json:"status"`
 	Title   string `json:"title"`
@@ -99,6 +103,8 @@
 	Outcome string `json:"outcome"`
 }
 
+// TestBadRequests checks the status, the outcome and the details of the answers
+// to invalid requests, and that the instance serves valid ones afterwards.
 func TestBadRequests(t *testing.T) {
 	f := startFleet(t, smallFleetOptions())
 	const chat = "/v1/chat/completions"
@@ -138,7 +144,7 @@
 			}
 		})
 	}
-	t.Run("another body", func(t *testing.T) {
+	t.Run("id reused with another body", func(t *testing.T) {
 		is := is.New(t)
 		status, _ := sendRequest(t, f.instances[0], "POST", "/services/closure-desk/x", key, "id-1", "one")
 		is.Equal(status, 200)
@@ -148,7 +154,7 @@
 			is.Equal(p.Outcome, "not-run")
 		}
 	})
-	t.Run("an id is made and returned", func(t *testing.T) {
+	t.Run("generated id is returned", func(t *testing.T) {
 		is := is.New(t)
 		r, err := http.NewRequest("POST", "http://"+f.instances[0].listen+"/services/closure-desk/y", strings.NewReader("x"))
 		is.NoErr(err)
@@ -160,11 +166,12 @@
 		is.True(resp.Header.Get("Idempotency-Key") != "")
 	})
 	status, _ := sendRequest(t, f.instances[0], "POST", chat, key, "", ok)
-	is.New(t).Equal(status, 200) // it goes on
+	is.New(t).Equal(status, 200) // the instance still serves
 	f.stop()
 }
 
-// sendRequest sends a request and returns the status and, for a refusal, the problem.
+// sendRequest sends a request and returns the status and, for a refusal, the
+// problem details.
 func sendRequest(t *testing.T, inst *instance, method, path, key, id, body string) (int, problemDetails) {
 	t.Helper()
 	is := is.New(t)
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	allFaults      = flag.Bool("faults", false, "run all rows of TestFaults, not only the short ones")
-	benchProcesses = flag.Bool("bench-processes", false, "run the measurements of whole processes")
+	allFaults      = flag.Bool("faults", false, "run all cases of TestFaults, not only the short ones")
+	benchProcesses = flag.Bool("bench-processes", false, "run the benchmarks that start processes")
 )
 
 // binDir is the directory that the programs are built into.
--- a/e2e/native_test.go
+++ b/e2e/native_test.go
@@ -30,8 +30,8 @@
 	nativeStride       = 10
 )
 
-// nativePlan declares one engine service and one plain one, each with a route, and
-// an account.
+// nativePlan is a platform plan with an engine service and a plain service,
+// each with one route, and one client account.
 var nativePlan = fmt.Sprintf(`{"version":1,"routes":[
 	{"name":"draft","host":%q,"path-prefix":"/draft/","kind":"streaming","service":"llm","timeout-ms":4000,"target-latency-ms":500,"target-gap-ms":300,"max-attempts":1},
 	{"name":"book","host":%q,"path-prefix":"/book/","kind":"non_idempotent","service":"desk","timeout-ms":4000,"target-latency-ms":500,"max-attempts":2}],
@@ -39,14 +39,15 @@
 	"limits":{"max-header-bytes":8192,"max-body-bytes":300000,"header-timeout-ms":1000,"idle-timeout-ms":5000},
 	"tenants":[{"name":"a","api-keys":[%q],"prepaid":%d}]}`, nativeHost, nativeHost, nativeStride, nativeKey, nativePrepaid)
 
-// nativeInstance is one instance on the platform's stand-ins, as a process of its own.
+// nativeInstance is one running "bluebellport native" process.
 type nativeInstance struct {
 	*process
 	settingsPath                             string
 	callerAddress, readyAddress, peerAddress string
 }
 
-// nativeFleet is the store, targets and instances.
+// nativeFleet is a platform store and targets inside the test, and instances as
+// processes.
 type nativeFleet struct {
 	t            *testing.T
 	memStore     *bbstore.Mem
@@ -80,6 +81,7 @@
 	return f
 }
 
+// startTarget starts a target and registers it in the store as ready.
 func (f *nativeFleet) startTarget(o bbplatformstand.TargetOptions) {
 	target, stop, err := bbplatformstand.NewTarget(o)
 	is.New(f.t).NoErr(err)
@@ -88,7 +90,8 @@
 	f.targets = append(f.targets, target)
 }
 
-// startInstance starts a process and waits until it is ready.
+// startInstance writes the settings of an instance, starts it and waits until
+// it is ready.
 func (f *nativeFleet) startInstance(name, domain string) *nativeInstance {
 	inst := &nativeInstance{callerAddress: freeAddress(f.t), readyAddress: freeAddress(f.t), peerAddress: freeAddress(f.t)}
 	inst.settingsPath = filepath.Join(f.t.TempDir(), name)
@@ -101,6 +104,8 @@
 	return inst
 }
 
+// startAndWait starts the process of an instance and waits until it is ready;
+// the name is that of the process.
 func (f *nativeFleet) startAndWait(inst *nativeInstance, name string) {
 	f.t.Setenv(bbplatform.SettingsVariable, inst.settingsPath)
 	inst.process = startProcess(f.t, name, "bluebellport", "native")
@@ -117,8 +122,8 @@
 	}
 }
 
-// call sends one request to an instance, and returns its status and body; 0 when
-// no whole answer came.
+// call sends one request to an instance and returns the status and body of the
+// answer, or 0 if no complete answer came.
 func (f *nativeFleet) call(inst *nativeInstance, path string) (int, string) {
 	r, err := http.NewRequest("POST", "http://"+inst.callerAddress+path, strings.NewReader("body"))
 	is.New(f.t).NoErr(err)
@@ -139,8 +144,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// executedCost is what the targets' runs of streams cost at most, and twice tells
-// attempts that ran more than once.
+// executedCost returns an upper bound on the tokens of all streams that targets
+// ran, and the ids of attempts that ran more than once.
 func (f *nativeFleet) executedCost() (tokens int, repeated []string) {
 	seen := map[string]bool{}
 	for _, target := range f.targets {
@@ -157,17 +162,17 @@
 	return tokens, repeated
 }
 
-// Real processes on the platform's stand-ins: instances are killed, stopped and
-// started anew and the store goes away while callers call. Nothing is overspent,
-// nothing runs twice, a planned stop cuts nothing, and the rest of the sum is
-// spent in the end.
+// TestNativeFleet kills and restarts an instance and makes the store
+// unavailable while two other instances serve requests, and then stops one of
+// those. Guards against overspending the account, attempts that run twice,
+// answers that break off, and prepaid tokens that nobody can spend afterwards.
 func TestNativeFleet(t *testing.T) {
 	is := is.New(t)
 	f := newNativeFleet(t, "uppsala", "uppsala", "gavle")
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	var served, cut atomic.Int64
-	for i, inst := range f.instances[:2] { // the third is killed, so its callers are cut
+	for i, inst := range f.instances[:2] { // the third instance is killed, so its answers may break off
 		for range 2 {
 			wg.Go(func() {
 				for {
@@ -201,7 +206,7 @@
 	wg.Wait()
 	is.True(served.Load() > 50)
 	is.Equal(cut.Load(), int64(0))
-	f.instances[1].stop() // fails the test unless it ends with 0
+	f.instances[1].stop() // fails the test unless it exits with 0
 	for range 400 {
 		if status, _ := f.call(f.instances[0], "/draft/1"); status == http.StatusPaymentRequired {
 			break
@@ -210,5 +215,5 @@
 	tokens, repeated := f.executedCost()
 	is.Equal(len(repeated), 0)
 	is.True(tokens <= nativePrepaid)
-	is.True(tokens > nativePrepaid/2) // the rest was held by the killed life
+	is.True(tokens > nativePrepaid/2) // the rest was granted to the killed process
 }
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -22,19 +22,20 @@
 	stopTimeout  = 30 * time.Second
 )
 
-// process is one running program with its log in a file.
+// process is one started program; its output goes to the file logPath.
 type process struct {
 	t       *testing.T
 	name    string
 	cmd     *exec.Cmd
 	logPath string
 	done    chan struct{}
-	// killed tells that the process was not meant to end with 0.
+	// killed reports that the test killed the process, so that no exit code is
+	// expected.
 	killed bool
 }
 
-// startProcess runs a program, which is killed at the end of the test at the
-// latest.
+// startProcess starts a program. It is killed at the end of the test if it is
+// still running then.
 func startProcess(t *testing.T, name, prog string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, cmd: exec.Command(programPath(prog), args...), done: make(chan struct{})}
@@ -59,14 +60,15 @@
 // signal sends a signal to the process.
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process without a chance to clean up.
+// kill sends SIGKILL, so that the process cannot clean up, and waits for its
+// end.
 func (p *process) kill() {
 	p.killed = true
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// hasExited tells whether the process has ended.
+// hasExited reports whether the process has ended.
 func (p *process) hasExited() bool {
 	select {
 	case <-p.done:
@@ -76,7 +78,8 @@
 	}
 }
 
-// stop asks the process to stop and checks that it ends with 0.
+// stop sends SIGTERM and checks that the process exits with 0 within
+// stopTimeout.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -88,18 +91,19 @@
 		return
 	}
 	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
-		p.t.Errorf("%s ended with %d\n%s", p.name, code, p.logTail())
+		p.t.Errorf("%s exited with %d\n%s", p.name, code, p.logTail())
 	}
 }
 
-// logTail returns the last lines of the log.
+// logTail returns the last 20 lines of the log.
 func (p *process) logTail() string {
 	b, _ := os.ReadFile(p.logPath)
 	lines := strings.Split(string(b), "\n")
 	return strings.Join(lines[max(0, len(lines)-20):], "\n")
 }
 
-// runProgram runs a program to its end and returns its output and exit code.
+// runProgram runs a program until it exits, and returns its output and exit
+// code.
 func runProgram(t *testing.T, prog string, args ...string) (string, int) {
 	t.Helper()
 	c := exec.Command(programPath(prog), args...)
@@ -110,8 +114,8 @@
 	return string(out), c.ProcessState.ExitCode()
 }
 
-// freeAddress returns an address on loopback that nothing listens on and that
-// was not returned before.
+// freeAddress returns a loopback address that nothing listens on and that was
+// not returned before.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := bbserve.FreeAddress()
@@ -121,7 +125,7 @@
 	return address
 }
 
-// waitUntilOK waits until the address answers GET path with 200.
+// waitUntilOK waits until GET path returns 200, at most readyTimeout.
 func waitUntilOK(t *testing.T, address, path string) {
 	t.Helper()
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -137,7 +141,7 @@
 	t.Fatalf("http://%s%s was not ready within %s", address, path, readyTimeout)
 }
 
-// getJSON reads JSON from the address.
+// getJSON decodes the JSON answer to GET path into out.
 func getJSON(t *testing.T, address, path string, out any) {
 	t.Helper()
 	r, err := http.Get("http://" + address + path)
@@ -150,7 +154,7 @@
 	}
 }
 
-// postJSON sends JSON to the address, which must take it.
+// postJSON sends in as JSON with POST path, which must return 200.
 func postJSON(t *testing.T, address, path string, in any) {
 	t.Helper()
 	b, err := json.Marshal(in)
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -11,19 +11,21 @@
 	"github.com/matryer/is"
 )
 
-// maxHelloSize is how much of what a dialer sends first is searched for its name.
+// maxHelloSize is how many bytes at the start of a connection are searched for
+// the name of the caller.
 const maxHelloSize = 4096
 
-// relay passes TCP connections on to a target, but not those from cut callers:
-// they stay open and nothing passes any more, in either direction.
+// relay forwards TCP connections to a target. Connections of blackholed callers
+// stay open, but their data is dropped in both directions, as in a network
+// partition.
 type relay struct {
 	listener    net.Listener
 	target      string
-	callerNames []string // callers told apart by what they send first
+	callerNames []string // identify a caller by the first bytes that it sends
 
 	mu                sync.Mutex
 	conns             map[*relayConn]bool
-	blackholedCallers map[string]bool // by caller; "" cuts all
+	blackholedCallers map[string]bool // by name; "" stands for all callers
 }
 
 type relayConn struct {
@@ -57,7 +59,7 @@
 	}
 }
 
-// forward relays one connection until an end closes it.
+// forward handles one connection until one of its ends closes it.
 func (r *relay) forward(in net.Conn) {
 	conn := &relayConn{callerConn: in}
 	r.add(conn)
@@ -93,6 +95,7 @@
 	r.copy(conn, out, in)
 }
 
+// findCaller returns the caller name that the bytes contain, or "".
 func (r *relay) findCaller(b []byte) string {
 	for _, n := range r.callerNames {
 		if bytes.Contains(b, []byte(n)) {
@@ -131,7 +134,7 @@
 	conn.isBlackholed = r.blackholedCallers[""]
 }
 
-// blackholeIfNamed silences the connection if its caller is cut.
+// blackholeIfNamed blackholes the connection if its caller is blackholed.
 func (r *relay) blackholeIfNamed(conn *relayConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,8 +149,8 @@
 	c.isBlackholed = true
 }
 
-// closeConn closes both ends; a silent connection stays open, so that neither end
-// is told.
+// closeConn closes both ends. A blackholed connection stays open, so that
+// neither end notices that the other one closed it.
 func (r *relay) closeConn(conn *relayConn) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -163,8 +166,9 @@
 	}
 }
 
-// blackhole silences the connections of the callers, or of all, for good, and those
-// that they open until it is healed. It returns how many were open.
+// blackhole drops, from now on, all data of the open connections of the
+// callers, and of those that they open until heal is called. No callers means
+// all. It returns the number of open connections.
 func (r *relay) blackhole(callers ...string) int {
 	openConns := 0
 	if len(callers) == 0 {
@@ -184,7 +188,7 @@
 	return openConns
 }
 
-// heal lets new connections pass again; silent ones are closed.
+// heal forwards new connections again, and closes the blackholed ones.
 func (r *relay) heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -214,6 +218,8 @@
 	}
 }
 
+// TestRelay checks that only the connections of blackholed callers stop, and
+// that new ones work again after heal.
 func TestRelay(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -245,7 +251,7 @@
 	a, b := dial("anna"), dial("bo")
 	is.True(echoes(a))
 	is.True(echoes(b))
-	for echoes(a) { // what is under way may still come
+	for echoes(a) { // an echo in flight may still arrive
 		r.blackhole("anna")
 	}
 	is.True(!echoes(a))
