--- a/Makefile
+++ b/Makefile
@@ -36,7 +36,7 @@
 generate:
 	cd shared && go generate ./...
 
-# The pages name no version, so that they change only with the settings.
+# Built with a fixed version, so that the pages change only when the settings do.
 man:
 	@dir=$$(mktemp -d) && trap 'rm -rf "$$dir"' EXIT && \
 	go build -ldflags "-X bluebellport.example/shared/bbunit.Version=unversioned" -o "$$dir/" ./bluebellport ./bluebellctl ./bluebellstand && \
--- a/demo/demo.sh
+++ b/demo/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs a small fleet on loopback: the platform's stand-ins, two model engines,
-# a plain service and four instances in two failure domains. Sends requests,
-# shows the answers, the bills and the budgets, and stops everything.
+# Starts a small fleet on loopback: the platform stand-in, two model engines, a plain
+# service and four instances in two failure domains. Sends requests, prints the
+# answers, the bills and the budgets, and stops all processes.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 
@@ -22,7 +22,7 @@
 	echo
 }
 
-# start NAME PROGRAM ARGUMENTS... runs a process and keeps its log.
+# start NAME PROGRAM ARGUMENTS... starts a process, with its output and log in $dir.
 start() {
 	local name=$1
 	shift
@@ -31,7 +31,7 @@
 	names+=("$name")
 }
 
-# stop ends processes from the one numbered $1 on and checks their exit codes.
+# stop FIRST stops the processes from index FIRST on and checks their exit codes.
 stop() {
 	local i code
 	for ((i = $1; i < ${#pids[@]}; i++)); do
@@ -54,17 +54,19 @@
 	rm -rf "$dir"
 }
 
-# port sets $port to the next free port.
 port=$((20000 + RANDOM % 10000))
-next() {
+
+# next_port sets $port to the next free port.
+next_port() {
 	port=$((port + 1))
 	while (: <"/dev/tcp/127.0.0.1/$port") 2>/dev/null; do
 		port=$((port + 1))
 	done
 }
 
+# address VARIABLE sets the variable to a free loopback address.
 address() {
-	next
+	next_port
 	printf -v "$1" '127.0.0.1:%d' "$port"
 }
 
--- a/demo/native.sh
+++ b/demo/native.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs two instances on the stand-ins of the platform, on loopback: spends a small
-# prepaid sum through both, shows the truthful refusal at its end, stops all.
+# Starts two "bluebellport native" instances and the platform stand-ins on loopback.
+# Spends a small prepaid amount through both instances, prints the refusal once it is
+# used up, and stops all processes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -24,7 +25,8 @@
 	--target desk-1=closure-desk@uppsala >"$dir/stand.out" 2>"$dir/stand.log" &
 pids+=($!)
 
-# instance NAME DOMAIN sets $address and starts an instance there.
+# instance NAME DOMAIN starts an instance, sets $address to its address and waits
+# until it is ready.
 instance() {
 	port=$((port + 10))
 	address=127.0.0.1:$port
