--- a/model/check.sh
+++ b/model/check.sh
@@ -1,16 +1,17 @@
 #!/usr/bin/env bash
-# Checks the models exhaustively at small bounds, and that every broken variant
-# is refuted. Prints states; fails when a good one has an error, does not finish
-# or a broken one passes.
+# Checks the models exhaustively at small bounds, and that the checker refutes
+# every broken variant. Prints the verdict and the number of states of each run.
+# Fails when a correct model has an error or is not searched completely, and when
+# a broken variant passes.
 set -euo pipefail
 here="$(cd "$(dirname "$0")" && pwd)"
 dir="$(mktemp -d)"
 trap 'rm -rf "$dir"' EXIT
-memory=1500   # MB for each run; runs come one after the other
+memory=1500   # MB for each run; the runs are sequential
 seconds=180   # for each run
 failed=0
 
-# run FILE DEFINES... prints the checker's report.
+# run FILE DEFINES... runs the checker: the report is in pan.log, $states and $errors are set.
 run() {
 	local file="$1"
 	shift
@@ -23,7 +24,7 @@
 	errors="$(sed -n 's/.*errors: \([0-9]*\).*/\1/p' pan.log)"
 }
 
-# good FILE DEFINES... must be searched whole, without an error.
+# good FILE DEFINES... must be searched completely, without an error.
 good() {
 	run "$@"
 	if [ "${errors:-none}" = 0 ] && ! grep -Eq 'reached -DMEMLIM|search not completed|max search depth' pan.log; then
--- a/model/ledger.pml
+++ b/model/ledger.pml
@@ -1,21 +1,24 @@
-/* Budgets: draw, grant, spend, move of the witness, close, borrow, settle.
+/* Budgets: draw, grant, spend, change of witness, close, borrow, settle.
  *
- * One page with one budget. Holder 0 is watched: a keeper with two grantees and
- * two possible witnesses. Holder 1 belongs to another failure domain and lends
- * to grantee 1. A closer closes holder 0 at any time, also while it lives.
+ * One page in the store holds one budget. A holder draws an amount from the page.
+ * Holder 0 is modelled in detail: its keeper, the instance that owns it, grants
+ * amounts to two grantees and reports the granted totals as marks to one of two
+ * witnesses. Holder 1 belongs to another failure domain and lends to grantee 1. A
+ * closer may close holder 0 at any time, also while its keeper is running.
  *
  * Pause, crash and partition are steps that are taken late or never: each step
- * may be put off for ever. A message in flight is a variable that may be read
- * at any later time, or not at all, or twice. A write without an answer stays in
- * a slot and may take effect as long as the page is at the revision on which it
- * was based.
+ * may be delayed for ever. A message in flight is a variable that may be read at
+ * any later time, never, or twice. A page write whose answer was lost stays in a
+ * slot and may take effect as long as the page is at the revision on which the
+ * write was based.
  *
- * Broken variants, each of which must be refuted:
- *   RECLAIM_TIME   the closer takes silence for death and takes all back
- *   RECLAIM_COPY   the closer trusts a copy of what the grantees had spent
- *   LATE_ACK       a holder that moves still takes its old witness's word
- *   LIMBO_MOST     a draw without an answer is used as if it had landed
- *   GRANT_CLOSED   a grantee that surrendered takes later grants
+ * Broken variants, each of which the checker must refute:
+ *   RECLAIM_TIME   the closer treats a silent keeper as dead and reclaims all
+ *   RECLAIM_COPY   the closer trusts a stale copy of what the grantees had spent
+ *   LATE_ACK       a keeper that changes its witness still accepts
+ *                  acknowledgements of the old one
+ *   LIMBO_MOST     a draw whose answer was lost is used as if it had taken effect
+ *   GRANT_CLOSED   a grantee that surrendered accepts later grants
  */
 
 #ifndef PAID
@@ -25,219 +28,226 @@
 #define TOPUP 1
 #endif
 #ifndef REVS
-#define REVS 5              /* writes of the page, beside closing and settling */
+#define REVS 5   /* page writes, except closing and settling */
 #endif
-#ifndef MOVES
-#define MOVES 1
+#ifndef MAX_MOVES
+#define MAX_MOVES 1
 #endif
-#define MOST (PAID + TOPUP)
+#define MAX_PAID (PAID + TOPUP)
 
-/* the page */
-byte rev, paid = PAID, settled;
+/* The page. */
+byte revision, paid = PAID, settled;
 byte drawn[2];
-bool has[2];
-byte wit;                 /* the witness that the page names for holder 0 */
+bool hasEntry[2];
+byte witness;  /* the witness that the page names for holder 0 */
 byte stuck[2];
-bool isstuck[2];
+bool isStuck[2];
 
-/* writes of holder 0 that may still take effect */
-bool won[2];
-byte wbase[2], wdrawn[2], wwit[2];
+/* Page writes of holder 0 that may still take effect: whether the slot is in use,
+ * the page revision that the write expects, and what it writes. */
+bool pendingWrite[2];
+byte writeBase[2], writeDrawn[2], writeWitness[2];
 
-/* the keeper that holds 0 */
+/* The keeper of holder 0. UNCERTAIN: the answer to a write was lost, and the write
+ * may still take effect while the page is at uncertainBase. keeperFresh: the page
+ * was read after the last write. keeperLost: the entry was removed from the page. */
 #define IDLE 0
-#define OUT 1
-#define LIMBO 2
-byte kst, kslot, krev, kdrawn, kwit, kbase;
-bool kopen, klost, kmoving, kfresh;
-byte ksent[2], kacked[2];
-byte moves;
-
-/* Witnesses: their marks, at witness * 2 + grantee. An acknowledgement in flight
- * is a mark that the keeper has not read; a mark in flight is one that the
- * witness has not taken. */
-byte mark[4];
-bool frozen[2];
-
-/* grantees */
-byte gg[2], gspent[2];
-bit gres[2];              /* reserved by an open request */
-bool gclosed[2];
-
-/* holder 1 and what it lent to grantee 1 */
-byte lent, lspent;
-
-/* the closer */
-#define CREAD 0
-#define CFREEZE 1
-#define CASK 2
-#define CDONE 3
-byte cst, cw, cmark[2], canswer[2];
+#define WRITING 1
+#define UNCERTAIN 2
+byte keeperState, keeperSlot, keeperRevision, keeperDrawn, keeperWitness, uncertainBase;
+bool keeperOpen, keeperLost, keeperMoving, keeperFresh;
+byte sentMark[2], ackedMark[2];
+byte witnessMoves;
+
+/* Marks held by the witnesses, indexed by witness * 2 + grantee: the total granted
+ * to a grantee. An acknowledgement in flight is a mark that the keeper has not
+ * read; a mark in flight is a sentMark that the witness has not taken over. */
+byte witnessMark[4];
+bool witnessFrozen[2];
+
+/* Grantees. */
+byte granted[2], granteeSpent[2];
+bit granteeReserved[2];  /* reserved by a request in flight */
+bool granteeClosed[2];
+
+/* What holder 1 lent to grantee 1, and how much of it was spent. */
+byte lent, lentSpent;
+
+/* The closer: reads the page, freezes the witness, asks the grantees. */
+#define CLOSER_READ 0
+#define CLOSER_FREEZE 1
+#define CLOSER_ASK 2
+#define CLOSER_DONE 3
+byte closerState, closerWitness, closerMark[2], closerAnswer[2];
 #ifdef RECLAIM_COPY
-byte copy[2];
+byte copiedSpent[2];
 #endif
-bool cgot[2], cfinal[2];
+bool closerAnswered[2], closerFinal[2];
 
-byte total;               /* all that was ever spent */
+byte totalSpent;  /* by all grantees and from the loan */
 
-#define TAKEN (settled + stuck[0] + stuck[1] + drawn[0] + drawn[1])
+#define ALLOCATED (settled + stuck[0] + stuck[1] + drawn[0] + drawn[1])
 #define MIN(a, b) ((a) < (b) -> (a) : (b))
 #define MAX(a, b) ((a) > (b) -> (a) : (b))
 
-/* The broken variants are judged by the spend alone. */
+/* A broken variant counts as refuted only when it overspends. */
 inline check() {
-	assert(total <= paid);
+	assert(totalSpent <= paid);
 #ifndef BROKEN
-	assert(TAKEN <= paid);
-	assert(total <= TAKEN)
+	assert(ALLOCATED <= paid);
+	assert(totalSpent <= ALLOCATED)
 #endif
 }
 
-/* submit puts a write of holder 0 in flight */
+/* submit puts a page write of holder 0 in flight. */
 inline submit(d, w) {
-	kslot = won[0];
-	won[kslot] = true; wbase[kslot] = krev; wdrawn[kslot] = d; wwit[kslot] = w;
+	keeperSlot = pendingWrite[0];
+	pendingWrite[keeperSlot] = true; writeBase[keeperSlot] = keeperRevision; writeDrawn[keeperSlot] = d; writeWitness[keeperSlot] = w;
 #ifdef LIMBO_MOST
-	kdrawn = MAX(kdrawn, d);
+	keeperDrawn = MAX(keeperDrawn, d);
 #else
-	kdrawn = MIN(kdrawn, d);
+	keeperDrawn = MIN(keeperDrawn, d);
 #endif
-	kbase = (kst == LIMBO -> kbase : krev);
-	kst = OUT; kfresh = false
+	uncertainBase = (keeperState == UNCERTAIN -> uncertainBase : keeperRevision);
+	keeperState = WRITING; keeperFresh = false
 }
 
-/* land lets the write of a slot take effect, if the page has not moved on */
-inline land(s) {
+/* applyWrite lets the write of a slot take effect if the page is still at the
+ * revision that the write expects. */
+inline applyWrite(s) {
 	if
-	:: wbase[s] == rev ->
-		drawn[0] = wdrawn[s]; wit = wwit[s]; has[0] = true; rev++
+	:: writeBase[s] == revision ->
+		drawn[0] = writeDrawn[s]; witness = writeWitness[s]; hasEntry[0] = true; revision++
 	:: else
 	fi;
-	won[s] = false; wbase[s] = 0; wdrawn[s] = 0; wwit[s] = 0
+	pendingWrite[s] = false; writeBase[s] = 0; writeDrawn[s] = 0; writeWitness[s] = 0
 }
 
-/* adopt takes over the page once no write of the keeper can land */
-inline adopt() {
-	krev = rev; kst = IDLE; kfresh = true; kbase = 0;
+/* adoptPage sets the keeper's state from the page once no write of the keeper can
+ * take effect any more. */
+inline adoptPage() {
+	keeperRevision = revision; keeperState = IDLE; keeperFresh = true; uncertainBase = 0;
 	if
-	:: has[0] -> kopen = true; kdrawn = drawn[0]; kwit = wit
-	:: !has[0] && kopen -> klost = true; kdrawn = 0; kwit = 0; krev = 0; ksent[0] = 0; ksent[1] = 0; kslot = 0
-	:: else -> kdrawn = 0
+	:: hasEntry[0] -> keeperOpen = true; keeperDrawn = drawn[0]; keeperWitness = witness
+	:: !hasEntry[0] && keeperOpen -> keeperLost = true; keeperDrawn = 0; keeperWitness = 0; keeperRevision = 0; sentMark[0] = 0; sentMark[1] = 0; keeperSlot = 0
+	:: else -> keeperDrawn = 0
 	fi;
-	kmoving = false
+	keeperMoving = false
 }
 
-/* The keeper may not write while both slots hold writes without an answer. */
-#define CANWRITE (rev < REVS && kst != OUT && kfresh && !klost && krev == rev && !(won[0] && won[1]))
+/* The keeper may not write while both slots hold writes whose answer was lost. */
+#define CAN_WRITE (revision < REVS && keeperState != WRITING && keeperFresh && !keeperLost && keeperRevision == revision && !(pendingWrite[0] && pendingWrite[1]))
 
 active proctype ledger() {
-	byte g;
+	byte grantee;
 	do
-	/* the keeper: read, draw, give back, move, answers */
-	:: atomic { kst != OUT && !klost && (!kfresh || krev != rev) ->
+	/* The keeper: read the page, draw, give back, change the witness; then the
+	 * answer to its write comes, or is lost. */
+	:: atomic { keeperState != WRITING && !keeperLost && (!keeperFresh || keeperRevision != revision) ->
 		if
-		:: kst == LIMBO && rev == kbase -> krev = rev; kfresh = true
-		:: else -> adopt()
+		:: keeperState == UNCERTAIN && revision == uncertainBase -> keeperRevision = revision; keeperFresh = true
+		:: else -> adoptPage()
 		fi }
-	:: atomic { CANWRITE && (has[0] || (!kopen && kst == IDLE && cst != CDONE)) && TAKEN < paid ->
-		submit(drawn[0] + 1, wit * has[0]) }
-	:: atomic { CANWRITE && has[0] && kopen && drawn[0] > 0 && drawn[0] - 1 >= ksent[0] + ksent[1] && moves > 0 ->
-		submit(drawn[0] - 1, wit) }
-	:: atomic { CANWRITE && kst == IDLE && has[0] && kopen && moves < MOVES &&
-	   mark[(1 - wit) * 2] >= ksent[0] && mark[(1 - wit) * 2 + 1] >= ksent[1] && ksent[0] + ksent[1] > 0 ->
-		moves++; kmoving = true;
-		submit(drawn[0], 1 - wit) }
-	:: atomic { kst == OUT && wbase[kslot] == rev -> land(kslot); adopt() }
-	:: atomic { kst == OUT && wbase[kslot] != rev -> won[kslot] = false; wbase[kslot] = 0; wdrawn[kslot] = 0; wwit[kslot] = 0; kst = LIMBO }
-	:: atomic { kst == OUT -> kst = LIMBO }
-	:: atomic { kst == OUT -> land(kslot); kst = LIMBO }
-	/* a write without an answer lands late */
-	:: atomic { won[0] && !(kst == OUT && kslot == 0) -> land(0); check() }
-	:: atomic { won[1] && !(kst == OUT && kslot == 1) -> land(1); check() }
-
-	/* marks: raise, deliver, acknowledge */
-	:: atomic { !klost && kopen && kst != OUT && ksent[0] + ksent[1] < kdrawn -> ksent[0]++ }
-	:: atomic { !klost && kopen && kst != OUT && ksent[0] + ksent[1] < kdrawn -> ksent[1]++ }
-	:: atomic { !frozen[0] && (ksent[0] > mark[0] || ksent[1] > mark[1]) -> mark[0] = ksent[0]; mark[1] = ksent[1] }
-	:: atomic { !frozen[1] && (ksent[0] > mark[2] || ksent[1] > mark[3]) -> mark[2] = ksent[0]; mark[3] = ksent[1] }
+	:: atomic { CAN_WRITE && (hasEntry[0] || (!keeperOpen && keeperState == IDLE && closerState != CLOSER_DONE)) && ALLOCATED < paid ->
+		submit(drawn[0] + 1, witness * hasEntry[0]) }
+	:: atomic { CAN_WRITE && hasEntry[0] && keeperOpen && drawn[0] > 0 && drawn[0] - 1 >= sentMark[0] + sentMark[1] && witnessMoves > 0 ->
+		submit(drawn[0] - 1, witness) }
+	:: atomic { CAN_WRITE && keeperState == IDLE && hasEntry[0] && keeperOpen && witnessMoves < MAX_MOVES &&
+	   witnessMark[(1 - witness) * 2] >= sentMark[0] && witnessMark[(1 - witness) * 2 + 1] >= sentMark[1] && sentMark[0] + sentMark[1] > 0 ->
+		witnessMoves++; keeperMoving = true;
+		submit(drawn[0], 1 - witness) }
+	:: atomic { keeperState == WRITING && writeBase[keeperSlot] == revision -> applyWrite(keeperSlot); adoptPage() }
+	:: atomic { keeperState == WRITING && writeBase[keeperSlot] != revision -> pendingWrite[keeperSlot] = false; writeBase[keeperSlot] = 0; writeDrawn[keeperSlot] = 0; writeWitness[keeperSlot] = 0; keeperState = UNCERTAIN }
+	:: atomic { keeperState == WRITING -> keeperState = UNCERTAIN }
+	:: atomic { keeperState == WRITING -> applyWrite(keeperSlot); keeperState = UNCERTAIN }
+	/* A write whose answer was lost takes effect late. */
+	:: atomic { pendingWrite[0] && !(keeperState == WRITING && keeperSlot == 0) -> applyWrite(0); check() }
+	:: atomic { pendingWrite[1] && !(keeperState == WRITING && keeperSlot == 1) -> applyWrite(1); check() }
+
+	/* Marks: raise, deliver to a witness, acknowledge. */
+	:: atomic { !keeperLost && keeperOpen && keeperState != WRITING && sentMark[0] + sentMark[1] < keeperDrawn -> sentMark[0]++ }
+	:: atomic { !keeperLost && keeperOpen && keeperState != WRITING && sentMark[0] + sentMark[1] < keeperDrawn -> sentMark[1]++ }
+	:: atomic { !witnessFrozen[0] && (sentMark[0] > witnessMark[0] || sentMark[1] > witnessMark[1]) -> witnessMark[0] = sentMark[0]; witnessMark[1] = sentMark[1] }
+	:: atomic { !witnessFrozen[1] && (sentMark[0] > witnessMark[2] || sentMark[1] > witnessMark[3]) -> witnessMark[2] = sentMark[0]; witnessMark[3] = sentMark[1] }
 #ifdef LATE_ACK
-	:: atomic { !klost && kopen && (mark[0] > kacked[0] || mark[1] > kacked[1]) ->
-		kacked[0] = MAX(kacked[0], mark[0]); kacked[1] = MAX(kacked[1], mark[1]) }
+	:: atomic { !keeperLost && keeperOpen && (witnessMark[0] > ackedMark[0] || witnessMark[1] > ackedMark[1]) ->
+		ackedMark[0] = MAX(ackedMark[0], witnessMark[0]); ackedMark[1] = MAX(ackedMark[1], witnessMark[1]) }
 #else
-	:: atomic { !klost && kopen && !kmoving && (mark[kwit * 2] > kacked[0] || mark[kwit * 2 + 1] > kacked[1]) ->
-		kacked[0] = MAX(kacked[0], mark[kwit * 2]); kacked[1] = MAX(kacked[1], mark[kwit * 2 + 1]) }
+	:: atomic { !keeperLost && keeperOpen && !keeperMoving && (witnessMark[keeperWitness * 2] > ackedMark[0] || witnessMark[keeperWitness * 2 + 1] > ackedMark[1]) ->
+		ackedMark[0] = MAX(ackedMark[0], witnessMark[keeperWitness * 2]); ackedMark[1] = MAX(ackedMark[1], witnessMark[keeperWitness * 2 + 1]) }
 #endif
 
-	/* grants, reservations and spending */
+	/* Grants, reservations and spending. */
 #ifdef GRANT_CLOSED
-	:: atomic { gg[0] < kacked[0] -> gg[0]++; gclosed[0] = false }
-	:: atomic { gg[1] < kacked[1] -> gg[1]++; gclosed[1] = false }
+	:: atomic { granted[0] < ackedMark[0] -> granted[0]++; granteeClosed[0] = false }
+	:: atomic { granted[1] < ackedMark[1] -> granted[1]++; granteeClosed[1] = false }
 #else
-	:: atomic { !gclosed[0] && gg[0] < kacked[0] -> gg[0]++ }
-	:: atomic { !gclosed[1] && gg[1] < kacked[1] -> gg[1]++ }
+	:: atomic { !granteeClosed[0] && granted[0] < ackedMark[0] -> granted[0]++ }
+	:: atomic { !granteeClosed[1] && granted[1] < ackedMark[1] -> granted[1]++ }
 #endif
-	:: atomic { !gclosed[0] && !gres[0] && gspent[0] < gg[0] -> gres[0] = 1 }
-	:: atomic { !gclosed[1] && !gres[1] && gspent[1] < gg[1] -> gres[1] = 1 }
-	:: atomic { gres[0] -> gres[0] = 0; gspent[0]++; total++; check() }
-	:: atomic { gres[1] -> gres[1] = 0; gspent[1]++; total++; check() }
-	:: atomic { gclosed[0] && gres[0] -> gres[0] = 0 }
-	:: atomic { gclosed[1] && gres[1] -> gres[1] = 0 }
-
-	/* holder 1 draws, lends to grantee 1 and settles */
-	:: atomic { rev < REVS && TAKEN < paid -> drawn[1]++; has[1] = true; rev++; check() }
-	:: atomic { has[1] && lent < drawn[1] -> lent++ }
-	:: atomic { lspent < lent -> lspent++; total++; check() }
-	:: atomic { has[1] && drawn[1] > 0 ->
-		settled = settled + lspent; drawn[1] = 0; has[1] = false; lent = 0; lspent = 0; rev++; check() }
-
-	/* a top-up */
-	:: atomic { rev < REVS && paid < MOST -> paid++; rev++ }
-
-	/* the closer of holder 0 */
-	:: atomic { cst == CREAD && has[0] -> cw = wit; cst = CFREEZE }
-	:: atomic { cst == CFREEZE && wit == cw -> frozen[cw] = true;
-		cmark[0] = mark[cw * 2]; cmark[1] = mark[cw * 2 + 1]; cst = CASK }
-	:: atomic { (cst == CFREEZE || cst == CASK) && wit != cw ->
-		cst = CREAD; cmark[0] = 0; cmark[1] = 0; cw = 0 }
-	:: atomic { cst == CASK && !cgot[0] ->
-		gclosed[0] = true; cgot[0] = true; cfinal[0] = (gres[0] == 0); canswer[0] = gspent[0] + gres[0] }
-	:: atomic { cst == CASK && !cgot[1] ->
-		gclosed[1] = true; cgot[1] = true; cfinal[1] = (gres[1] == 0); canswer[1] = gspent[1] + gres[1] }
-	:: atomic { cst == CASK && has[0] && wit == cw ->
+	:: atomic { !granteeClosed[0] && !granteeReserved[0] && granteeSpent[0] < granted[0] -> granteeReserved[0] = 1 }
+	:: atomic { !granteeClosed[1] && !granteeReserved[1] && granteeSpent[1] < granted[1] -> granteeReserved[1] = 1 }
+	:: atomic { granteeReserved[0] -> granteeReserved[0] = 0; granteeSpent[0]++; totalSpent++; check() }
+	:: atomic { granteeReserved[1] -> granteeReserved[1] = 0; granteeSpent[1]++; totalSpent++; check() }
+	:: atomic { granteeClosed[0] && granteeReserved[0] -> granteeReserved[0] = 0 }
+	:: atomic { granteeClosed[1] && granteeReserved[1] -> granteeReserved[1] = 0 }
+
+	/* Holder 1 draws, lends to grantee 1 and settles. */
+	:: atomic { revision < REVS && ALLOCATED < paid -> drawn[1]++; hasEntry[1] = true; revision++; check() }
+	:: atomic { hasEntry[1] && lent < drawn[1] -> lent++ }
+	:: atomic { lentSpent < lent -> lentSpent++; totalSpent++; check() }
+	:: atomic { hasEntry[1] && drawn[1] > 0 ->
+		settled = settled + lentSpent; drawn[1] = 0; hasEntry[1] = false; lent = 0; lentSpent = 0; revision++; check() }
+
+	/* A top-up of the budget. */
+	:: atomic { revision < REVS && paid < MAX_PAID -> paid++; revision++ }
+
+	/* The closer of holder 0. Where the page names another witness by then, it
+	 * starts again. An amount of which no final account is known stays stuck. */
+	:: atomic { closerState == CLOSER_READ && hasEntry[0] -> closerWitness = witness; closerState = CLOSER_FREEZE }
+	:: atomic { closerState == CLOSER_FREEZE && witness == closerWitness -> witnessFrozen[closerWitness] = true;
+		closerMark[0] = witnessMark[closerWitness * 2]; closerMark[1] = witnessMark[closerWitness * 2 + 1]; closerState = CLOSER_ASK }
+	:: atomic { (closerState == CLOSER_FREEZE || closerState == CLOSER_ASK) && witness != closerWitness ->
+		closerState = CLOSER_READ; closerMark[0] = 0; closerMark[1] = 0; closerWitness = 0 }
+	:: atomic { closerState == CLOSER_ASK && !closerAnswered[0] ->
+		granteeClosed[0] = true; closerAnswered[0] = true; closerFinal[0] = (granteeReserved[0] == 0); closerAnswer[0] = granteeSpent[0] + granteeReserved[0] }
+	:: atomic { closerState == CLOSER_ASK && !closerAnswered[1] ->
+		granteeClosed[1] = true; closerAnswered[1] = true; closerFinal[1] = (granteeReserved[1] == 0); closerAnswer[1] = granteeSpent[1] + granteeReserved[1] }
+	:: atomic { closerState == CLOSER_ASK && hasEntry[0] && witness == closerWitness ->
 		do
-		:: g < 2 ->
+		:: grantee < 2 ->
 			if
-			:: cgot[g] && cfinal[g] -> settled = settled + canswer[g]
-			:: cgot[g] && !cfinal[g] -> stuck[g] = canswer[g]; isstuck[g] = true
-			:: !cgot[g] -> stuck[g] = cmark[g]; isstuck[g] = true
+			:: closerAnswered[grantee] && closerFinal[grantee] -> settled = settled + closerAnswer[grantee]
+			:: closerAnswered[grantee] && !closerFinal[grantee] -> stuck[grantee] = closerAnswer[grantee]; isStuck[grantee] = true
+			:: !closerAnswered[grantee] -> stuck[grantee] = closerMark[grantee]; isStuck[grantee] = true
 			fi;
-			g++
+			grantee++
 		:: else -> break
 		od;
-		g = 0;
-		drawn[0] = 0; has[0] = false; rev++; cst = CDONE;
-		cw = 0; cmark[0] = 0; cmark[1] = 0; canswer[0] = 0; canswer[1] = 0;
-		cgot[0] = false; cgot[1] = false; cfinal[0] = false; cfinal[1] = false;
+		grantee = 0;
+		drawn[0] = 0; hasEntry[0] = false; revision++; closerState = CLOSER_DONE;
+		closerWitness = 0; closerMark[0] = 0; closerMark[1] = 0; closerAnswer[0] = 0; closerAnswer[1] = 0;
+		closerAnswered[0] = false; closerAnswered[1] = false; closerFinal[0] = false; closerFinal[1] = false;
 		check() }
 #ifdef RECLAIM_TIME
-	:: atomic { cst == CREAD && has[0] ->
-		settled = settled + gspent[0] + gspent[1]; drawn[0] = 0; has[0] = false; rev++; cst = CDONE }
+	:: atomic { closerState == CLOSER_READ && hasEntry[0] ->
+		settled = settled + granteeSpent[0] + granteeSpent[1]; drawn[0] = 0; hasEntry[0] = false; revision++; closerState = CLOSER_DONE }
 #endif
 #ifdef RECLAIM_COPY
-	:: atomic { copy[0] < gspent[0] -> copy[0] = gspent[0] }
-	:: atomic { copy[1] < gspent[1] -> copy[1] = gspent[1] }
-	:: atomic { cst == CASK && has[0] && wit == cw ->
-		settled = settled + copy[0] + copy[1]; drawn[0] = 0; has[0] = false; rev++; cst = CDONE }
+	:: atomic { copiedSpent[0] < granteeSpent[0] -> copiedSpent[0] = granteeSpent[0] }
+	:: atomic { copiedSpent[1] < granteeSpent[1] -> copiedSpent[1] = granteeSpent[1] }
+	:: atomic { closerState == CLOSER_ASK && hasEntry[0] && witness == closerWitness ->
+		settled = settled + copiedSpent[0] + copiedSpent[1]; drawn[0] = 0; hasEntry[0] = false; revision++; closerState = CLOSER_DONE }
 #endif
-	/* stuck amounts come back on the grantee's final account */
-	:: atomic { isstuck[0] && gres[0] == 0 ->
-		gclosed[0] = true; settled = settled + gspent[0]; stuck[0] = 0; isstuck[0] = false; rev++; check() }
-	:: atomic { isstuck[1] && gres[1] == 0 ->
-		gclosed[1] = true; settled = settled + gspent[1]; stuck[1] = 0; isstuck[1] = false; rev++; check() }
-	/* all closed: what is settled is exactly what was spent */
-	:: atomic { cst == CDONE && !isstuck[0] && !isstuck[1] && !has[0] && !has[1] ->
+	/* A stuck amount is settled when the grantee gives its final account. */
+	:: atomic { isStuck[0] && granteeReserved[0] == 0 ->
+		granteeClosed[0] = true; settled = settled + granteeSpent[0]; stuck[0] = 0; isStuck[0] = false; revision++; check() }
+	:: atomic { isStuck[1] && granteeReserved[1] == 0 ->
+		granteeClosed[1] = true; settled = settled + granteeSpent[1]; stuck[1] = 0; isStuck[1] = false; revision++; check() }
+	/* All is closed: the settled amount equals what was spent. */
+	:: atomic { closerState == CLOSER_DONE && !isStuck[0] && !isStuck[1] && !hasEntry[0] && !hasEntry[1] ->
 #ifndef BROKEN
-		assert(settled == total);
+		assert(settled == totalSpent);
 #endif
 		break }
 	od
