--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -289,10 +289,10 @@
 // answers and with its bills, and counts refusals for an exhausted budget
 // (status 402) while the budget could still pay for the request.
 func (a *audit) checkBudgets(summary *auditSummary) {
-	for keyIndex, account := range a.accounts {
-		summary.overspend += max(0, max(a.answeredCost(keyIndex), a.billedAmount(account))-int64(account.prepaid))
+	for accountIndex, account := range a.accounts {
+		summary.overspend += max(0, max(a.answeredCost(accountIndex), a.billedAmount(account))-int64(account.prepaid))
 		for i := range a.results {
-			if r := &a.results[i]; r.KeyIndex == keyIndex && r.Status == 402 && int64(account.prepaid)-a.answeredCostUntil(keyIndex, r.Start+r.Total.Milliseconds()) >= maxCost(r) {
+			if r := &a.results[i]; r.KeyIndex == accountIndex && r.Status == 402 && int64(account.prepaid)-a.answeredCostUntil(accountIndex, r.Start+r.Total.Milliseconds()) >= maxCost(r) {
 				summary.falseRefusals++
 			}
 		}
@@ -301,18 +301,18 @@
 
 // answeredCost returns the cost of all answered requests of the account with
 // the given index.
-func (a *audit) answeredCost(keyIndex int) int64 {
-	return a.answeredCostUntil(keyIndex, math.MaxInt64)
+func (a *audit) answeredCost(accountIndex int) int64 {
+	return a.answeredCostUntil(accountIndex, math.MaxInt64)
 }
 
 // answeredCostUntil returns the cost of the answered requests that were due at
 // or before until, in milliseconds since the Unix epoch. A request that was
 // sent twice counts once.
-func (a *audit) answeredCostUntil(keyIndex int, until int64) int64 {
+func (a *audit) answeredCostUntil(accountIndex int, until int64) int64 {
 	var n int64
 	seen := map[string]bool{}
 	for i := range a.results {
-		if r := &a.results[i]; r.KeyIndex == keyIndex && r.Outcome == "done" && r.Start <= until && !seen[r.ID] {
+		if r := &a.results[i]; r.KeyIndex == accountIndex && r.Outcome == "done" && r.Start <= until && !seen[r.ID] {
 			seen[r.ID] = true
 			n += cost(r)
 		}
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -118,9 +118,9 @@
 
 func (c *relayConn) write(to io.Writer, b []byte) error {
 	c.mu.Lock()
-	silent := c.isBlackholed
+	drop := c.isBlackholed
 	c.mu.Unlock()
-	if silent {
+	if drop {
 		return nil
 	}
 	_, err := to.Write(b)
