--- a/shared/bbroute/admission_test.go
+++ b/shared/bbroute/admission_test.go
@@ -89,7 +89,7 @@
 	is.True(errors.Is(err, ErrOverload))
 }
 
-// TestWindow lists the admission window of one of 4 instances that share
+// TestWindow checks the admission window of one of 4 instances that share
 // targets with 8 slots each.
 func TestWindow(t *testing.T) {
 	reported := func(running, own int) func(g *Group) {
--- a/shared/bbroute/capacity_test.go
+++ b/shared/bbroute/capacity_test.go
@@ -9,8 +9,8 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// BenchmarkCapacityNext measures the cost of a new ticket for the routing
-// table: one that changes a target, and one that changes only a budget.
+// BenchmarkCapacityNext measures Table.WithState after a new ticket: one that
+// changes a target, and one that changes only a budget.
 func BenchmarkCapacityNext(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		ticket := bbticket.Ticket{Number: 1}
--- a/shared/bbroute/constants.go
+++ b/shared/bbroute/constants.go
@@ -9,8 +9,8 @@
 	// completionEWMAWeight is the weight of a new answer in a target's mean
 	// response time and in the service's mean output length.
 	completionEWMAWeight = 0.02
-	// reportDecayFactor is the time constant with which a load report loses its
-	// weight, as a fraction of the mean response time.
+	// reportDecayFactor is the time constant of the exponential decay of a load
+	// report's weight, as a fraction of the mean response time.
 	reportDecayFactor = 0.25
 	// responseTimeEWMAWeight is the weight of a new answer in the service's
 	// mean response time.
@@ -27,8 +27,8 @@
 	// otherLoadEWMAWeight is the weight of a new report in the mean load that
 	// other instances put on a target.
 	otherLoadEWMAWeight = 0.1
-	// maxNanos limits computed durations, so that adding one to a time does not
-	// overflow.
+	// maxNanos limits computed durations, so that adding a duration to a time
+	// does not overflow.
 	maxNanos = 1 << 60
 	// defaultResponseSeconds is the mean response time assumed before the first
 	// answer.
@@ -77,9 +77,10 @@
 	// unlimited is the admission window without a bound.
 	unlimited = 1 << 40
 
-	// minUsageShare is the fraction of a limit that is added to each instance's
-	// usage before the limit is divided, so that an idle instance can start.
-	minUsageShare = 0.05
+	// usageFloorFraction is the fraction of a limit that is added to each
+	// instance's usage before the limit is divided, so that an idle instance
+	// can start.
+	usageFloorFraction = 0.05
 	// usageEWMAWeight is the weight of the last interval in the mean demand.
 	usageEWMAWeight = 0.3
 	// inFlightRetryAfter is the Retry-After of a request refused by an
@@ -103,6 +104,6 @@
 	// maxTargetsPerFingerprint is the most crashed targets recorded for one
 	// fingerprint.
 	maxTargetsPerFingerprint = 8
-	// knownGoodSize is the number of slots in a KnownGood set.
+	// knownGoodSize is the number of entries in a KnownGood set.
 	knownGoodSize = 4096
 )
--- a/shared/bbroute/error.go
+++ b/shared/bbroute/error.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 )
 
-// Sentinel errors of the router, tested with errors.Is. Those that refuse a
+// Sentinel errors of routing, tested with errors.Is. Those that refuse a
 // request are wrapped in a Refusal.
 const (
 	// ErrLimit means that the account or the service has reached its limit.
--- a/shared/bbroute/limiter.go
+++ b/shared/bbroute/limiter.go
@@ -141,7 +141,7 @@
 // instance can start. The fractions of all instances add up to 1 if all know
 // the same usage.
 func share(own, others float64, instances int, limit float64) float64 {
-	floor := limit * minUsageShare
+	floor := limit * usageFloorFraction
 	return (own + floor) / (own + others + float64(instances)*floor)
 }
 
--- a/shared/bbroute/poison.go
+++ b/shared/bbroute/poison.go
@@ -18,8 +18,8 @@
 	UpdatedAt time.Time
 }
 
-// PoisonPolicy sets when a fingerprint is refused. One with fewer crashes is a
-// suspect.
+// PoisonPolicy sets when a fingerprint is refused. A fingerprint with fewer
+// crashes is a suspect.
 type PoisonPolicy struct {
 	// CrashThreshold is the number of crashed targets from which a fingerprint
 	// is refused.
@@ -117,15 +117,15 @@
 // KnownGood is a bounded set of the fingerprints of requests that recently ran
 // to completion. Such a request does not crash targets, so it is not blamed
 // when a target crashes for another reason. A new fingerprint replaces the one
-// that has the same slot. Access takes no lock.
+// that hashes to the same entry. Access takes no lock.
 type KnownGood struct {
 	fingerprints [knownGoodSize]atomic.Uint64
 }
 
 // Add notes that a request with the fingerprint ran to completion.
 func (k *KnownGood) Add(fingerprint uint64) {
-	if slot := &k.fingerprints[splitmix64(fingerprint)%knownGoodSize]; slot.Load() != fingerprint {
-		slot.Store(fingerprint)
+	if entry := &k.fingerprints[splitmix64(fingerprint)%knownGoodSize]; entry.Load() != fingerprint {
+		entry.Store(fingerprint)
 	}
 }
 
--- a/shared/bbroute/report.go
+++ b/shared/bbroute/report.go
@@ -8,8 +8,8 @@
 
 // Errors of a rejected report.
 const (
-	// ErrBadReport means that a count is negative or absurdly large, or that
-	// the report is from the future.
+	// ErrBadReport means that a count is negative or above maxReportValue, or
+	// that the report is more than maxReportSkew in the future.
 	ErrBadReport = errors.ConstError("bad load report")
 	// ErrStaleReport means that a newer report is known, or that this one is
 	// too old.
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// Observe takes over a report, or returns ErrBadReport or ErrStaleReport and
+// Observe stores a report, or returns ErrBadReport or ErrStaleReport and
 // changes nothing. The result changed reports whether the target became leaving
 // or is no longer leaving.
 func (t *TargetState) Observe(r LoadReport, now time.Time) (changed bool, err error) {
@@ -66,10 +66,10 @@
 }
 
 // allowance returns how many requests this instance may have at the target,
-// which the given number of instances use. It is what the instance had when the
-// report came in, plus its fraction of the room that was left, or minus its
-// fraction of the excess. The fraction is the instance's part of the target's
-// load, but of room at least an equal part. Without a report it is all slots.
+// which the given number of instances use: its requests in flight when the
+// report came in, plus its fraction of the free room, or minus its fraction of
+// the excess. The fraction is the instance's part of the target's load; of free
+// room it is at least 1/instances. Without a report the allowance is all slots.
 func (c *Candidate) allowance(now time.Time, instances int) float64 {
 	if !c.Usable(now) {
 		return 0
--- a/shared/bbroute/retry.go
+++ b/shared/bbroute/retry.go
@@ -45,8 +45,8 @@
 func (r *AttemptResult) RefusedAsLeaving() bool { return errors.Is(r.Err, ErrLeaving) }
 
 // staleConnection reports whether a reused connection may have failed and not
-// the target. That requires that the connection took some of the request; if it
-// took nothing, no connection could be opened.
+// the target. If nothing was sent, no connection could be opened, which
+// counts against the target.
 func (r *AttemptResult) staleConnection() bool { return r.ConnReused && r.Sent && !r.Crashed }
 
 // IsTargetFault reports whether the failure counts against the target.
--- a/shared/bbroute/simulation_test.go
+++ b/shared/bbroute/simulation_test.go
@@ -13,9 +13,9 @@
 )
 
 // simulation is a deterministic discrete-event simulation of independent
-// routers in front of targets. A target has slots and a first-in-first-out
-// queue, and its load reports arrive late. Callers give up at their deadline,
-// and the target then stops the request.
+// instances, called routers here, in front of targets. A target has slots and a
+// first-in-first-out queue, and its load reports arrive late. Callers give up
+// at their deadline, and the target then stops the request.
 type simulation struct {
 	routerCount, targetCount, slots int
 	meanServiceTime                 float64 // seconds
