--- a/shared/bbmember/fleet.go
+++ b/shared/bbmember/fleet.go
@@ -306,7 +306,7 @@
 	return p
 }
 
-// leftBefore tells whether this incarnation of m was dropped while leaving.
+// leftBefore reports whether this incarnation of m was dropped while leaving.
 func (f *Fleet) leftBefore(m Member) bool {
 	tombstone, ok := f.tombstones[m.ID]
 	return ok && tombstone.leaving && tombstone.inc == m.Inc
@@ -324,7 +324,7 @@
 
 func (f *Fleet) isSilent(p *peer) bool { return f.silence(p) > f.cfg.SuspicionTimeout }
 
-// isLive tells whether a member belongs in the view. A silent member stays in
+// isLive reports whether a member belongs in the view. A silent member stays in
 // it until a connection to it has failed as well.
 func (f *Fleet) isLive(p *peer) bool { return !f.isSilent(p) || p.lastFailure <= p.lastSeen }
 
@@ -337,7 +337,7 @@
 	return a
 }
 
-// viewIsCurrent tells whether buildView would return a view equal to the
+// viewIsCurrent reports whether buildView would return a view equal to the
 // current one.
 func (f *Fleet) viewIsCurrent() bool {
 	if f.view.Self != f.self.Member {
--- a/shared/bbmember/fleet_test.go
+++ b/shared/bbmember/fleet_test.go
@@ -28,24 +28,27 @@
 	const periods = 30
 	s := newSim(n, domains, 7)
 	s.run(20)
-	for _, node := range s.nodes {
-		node.bytesSent = 0
+	for _, instance := range s.instances {
+		instance.bytesSent = 0
 	}
 	s.probes = 0
 	s.run(periods)
 	c := fleetCost{missingPairs: s.missingPairs()}
-	for _, node := range s.nodes {
-		c.bytesPerSecond += float64(node.bytesSent) / float64(n) / periods
+	for _, instance := range s.instances {
+		c.bytesPerSecond += float64(instance.bytesSent) / float64(n) / periods
 	}
 	c.probesPerSecond = float64(s.probes) / float64(n) / periods
-	leaver, crashed := s.nodes[0], s.nodes[1]
+	leaver, crashed := s.instances[0], s.instances[1]
 	s.perform(leaver, leaver.Leave(s.now))
 	leaver.down = true
-	c.leaveSeconds = s.runUntil(60, func(node *simNode) bool { m, ok := node.View().Find(leaver.Member.ID); return !ok || m.Leaving })
+	c.leaveSeconds = s.runUntil(60, func(instance *simInstance) bool {
+		m, ok := instance.View().Find(leaver.Member.ID)
+		return !ok || m.Leaving
+	})
 	crashed.down = true
-	c.crashSeconds = s.runUntil(60, func(node *simNode) bool {
-		_, ok := node.View().Find(crashed.Member.ID)
-		return !ok || node.Member.Domain != crashed.Member.Domain
+	c.crashSeconds = s.runUntil(60, func(instance *simInstance) bool {
+		_, ok := instance.View().Find(crashed.Member.ID)
+		return !ok || instance.Member.Domain != crashed.Member.Domain
 	})
 	return c
 }
@@ -247,19 +250,19 @@
 	is := is.New(t)
 	s := newSim(48, 4, 3)
 	s.run(10)
-	inFirstDomain := func(node *simNode) bool { return node.Member.Domain == s.nodes[0].Member.Domain }
-	s.partitioned = func(a, b *simNode) bool { return inFirstDomain(a) != inFirstDomain(b) }
-	split := s.runUntil(120, func(node *simNode) bool {
-		for _, m := range node.View().Members {
-			if inFirstDomain(s.byID[m.ID]) != inFirstDomain(node) {
+	inFirstDomain := func(instance *simInstance) bool { return instance.Member.Domain == s.instances[0].Member.Domain }
+	s.partitioned = func(a, b *simInstance) bool { return inFirstDomain(a) != inFirstDomain(b) }
+	split := s.runUntil(120, func(instance *simInstance) bool {
+		for _, m := range instance.View().Members {
+			if inFirstDomain(s.byID[m.ID]) != inFirstDomain(instance) {
 				return false
 			}
 		}
 		return true
 	})
 	s.run(120)
-	s.partitioned = func(_, _ *simNode) bool { return false }
-	healed := s.runUntil(60, func(node *simNode) bool { return len(node.View().Members) == len(s.nodes) })
+	s.partitioned = func(_, _ *simInstance) bool { return false }
+	healed := s.runUntil(60, func(instance *simInstance) bool { return len(instance.View().Members) == len(s.instances) })
 	t.Logf("partition detected by all after %d s, healed after %d s", split, healed)
 	is.True(split >= 0)
 	is.True(healed >= 0 && healed <= 30)
--- a/shared/bbmember/report.go
+++ b/shared/bbmember/report.go
@@ -19,15 +19,15 @@
 	return id != "" && len(id) <= maxIDBytes && d != "" && len(d) <= maxIDBytes
 }
 
-// ValidAddress tells whether address is a specified IP address and a non-zero
+// ValidAddress reports whether address is a specified IP address and a non-zero
 // port. Host names are not accepted.
 func ValidAddress(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	return err == nil && a.Port() != 0 && !a.Addr().IsUnspecified()
 }
 
-// validReport tells whether r is well formed: valid ids and address, a non-zero
-// incarnation, and a heartbeat that is not too far in the future.
+// validReport reports whether r is well formed: valid ids and address, a
+// non-zero incarnation, and a heartbeat that is not too far in the future.
 func (f *Fleet) validReport(r Report) bool {
 	switch {
 	case !validIDs(r.ID, r.Domain), !ValidAddress(r.Address):
--- a/shared/bbmember/sim_test.go
+++ b/shared/bbmember/sim_test.go
@@ -19,14 +19,14 @@
 	cfg         Config
 	rng         *rand.Rand
 	now         time.Time
-	nodes       []*simNode
-	byID        map[bbunit.InstanceID]*simNode
-	partitioned func(a, b *simNode) bool
+	instances   []*simInstance
+	byID        map[bbunit.InstanceID]*simInstance
+	partitioned func(a, b *simInstance) bool
 	probes      int
 	lost        int // members that left a view while they were up
 }
 
-type simNode struct {
+type simInstance struct {
 	*Fleet
 	Member
 	down      bool
@@ -36,7 +36,7 @@
 func newSim(n, domains int, seed uint64) *sim {
 	s := &sim{
 		cfg: DefaultConfig(time.Second, 5*time.Second), rng: rand.New(rand.NewPCG(seed, 1)),
-		now: simStart, byID: map[bbunit.InstanceID]*simNode{}, partitioned: func(_, _ *simNode) bool { return false },
+		now: simStart, byID: map[bbunit.InstanceID]*simInstance{}, partitioned: func(_, _ *simInstance) bool { return false },
 	}
 	var list []ListEntry
 	for i := range n {
@@ -47,64 +47,64 @@
 		s.start(m)
 		list = append(list, ListEntry{ID: m.ID, Domain: m.Domain, Address: m.Address})
 	}
-	for _, node := range s.nodes {
-		s.perform(node, node.UpdateList(s.now, list))
+	for _, instance := range s.instances {
+		s.perform(instance, instance.UpdateList(s.now, list))
 	}
 	return s
 }
 
-func (s *sim) start(m Member) *simNode {
-	node := &simNode{Fleet: NewFleet(m, s.cfg, s.now, rand.New(rand.NewPCG(s.rng.Uint64(), 2))), Member: m}
-	s.nodes = append(s.nodes, node)
-	s.byID[m.ID] = node
-	return node
+func (s *sim) start(m Member) *simInstance {
+	instance := &simInstance{Fleet: NewFleet(m, s.cfg, s.now, rand.New(rand.NewPCG(s.rng.Uint64(), 2))), Member: m}
+	s.instances = append(s.instances, instance)
+	s.byID[m.ID] = instance
+	return instance
 }
 
-// perform executes the actions of a node. Messages arrive immediately.
-func (s *sim) perform(node *simNode, a Actions) {
+// perform executes the actions of an instance. Messages arrive immediately.
+func (s *sim) perform(instance *simInstance, a Actions) {
 	for _, msg := range a.Send {
 		to := s.byID[msg.To]
-		node.bytesSent += proto.Size(&bbwire.Gossip{Number: 1 << 20, Members: Encode(msg.Reports)})
-		if s.reachable(node, to) {
+		instance.bytesSent += proto.Size(&bbwire.Gossip{Number: 1 << 20, Members: Encode(msg.Reports)})
+		if s.reachable(instance, to) {
 			s.perform(to, to.HandleGossip(s.now, msg.Reports))
-			s.perform(to, to.RecordContact(s.now, []Member{node.Member}))
+			s.perform(to, to.RecordContact(s.now, []Member{instance.Member}))
 			continue
 		}
-		s.perform(node, node.RecordFailure(s.now, msg.To))
+		s.perform(instance, instance.RecordFailure(s.now, msg.To))
 	}
 	for _, id := range a.Probe {
 		s.probes++
 		to := s.byID[id]
-		if s.reachable(node, to) {
-			s.perform(node, node.HandleHello(s.now, to.Member))
-			s.perform(to, to.HandleHello(s.now, node.Member))
+		if s.reachable(instance, to) {
+			s.perform(instance, instance.HandleHello(s.now, to.Member))
+			s.perform(to, to.HandleHello(s.now, instance.Member))
 			continue
 		}
-		s.perform(node, node.RecordFailure(s.now, id))
+		s.perform(instance, instance.RecordFailure(s.now, id))
 	}
 }
 
-func (s *sim) reachable(a, b *simNode) bool { return b != nil && !b.down && !s.partitioned(a, b) }
+func (s *sim) reachable(a, b *simInstance) bool { return b != nil && !b.down && !s.partitioned(a, b) }
 
-// run simulates whole periods. In each, the nodes tick in random order.
+// run simulates whole periods. In each, the instances tick in random order.
 func (s *sim) run(periods int) {
 	for range periods {
 		s.now = s.now.Add(s.cfg.Period)
-		for _, i := range s.rng.Perm(len(s.nodes)) {
-			if node := s.nodes[i]; !node.down {
-				s.perform(node, node.Tick(s.now))
+		for _, i := range s.rng.Perm(len(s.instances)) {
+			if instance := s.instances[i]; !instance.down {
+				s.perform(instance, instance.Tick(s.now))
 			}
 		}
 	}
 }
 
-// runUntil runs until the condition holds for every node that is up. It returns
-// the number of periods that took, or -1 after maxPeriods.
-func (s *sim) runUntil(maxPeriods int, condition func(node *simNode) bool) int {
+// runUntil runs until the condition holds for every instance that is up. It
+// returns the number of periods that took, or -1 after maxPeriods.
+func (s *sim) runUntil(maxPeriods int, condition func(instance *simInstance) bool) int {
 	for i := range maxPeriods {
 		all := true
-		for _, node := range s.nodes {
-			all = all && (node.down || condition(node))
+		for _, instance := range s.instances {
+			all = all && (instance.down || condition(instance))
 		}
 		if all {
 			return i
@@ -114,13 +114,13 @@
 	return -1
 }
 
-// missingPairs counts the pairs of running nodes of which the first does not
+// missingPairs counts the pairs of running instances of which the first does not
 // have the second in its view.
 func (s *sim) missingPairs() int {
 	n := 0
-	for _, node := range s.nodes {
-		for _, other := range s.nodes {
-			if _, ok := node.View().Find(other.Member.ID); !node.down && !other.down && !ok {
+	for _, instance := range s.instances {
+		for _, other := range s.instances {
+			if _, ok := instance.View().Find(other.Member.ID); !instance.down && !other.down && !ok {
 				n++
 			}
 		}
