--- a/shared/bbjournal/chain.go
+++ b/shared/bbjournal/chain.go
@@ -99,7 +99,7 @@
 	c.readLeaves = map[LeafNumber]*leaf{}
 }
 
-// Loaded tells whether the partition has been listed.
+// Loaded reports whether the partition has been listed.
 func (c *ChainCache) Loaded() bool { return c.loaded }
 
 // Load replaces the cache with a listing of the partition. The error means that
--- a/shared/bbjournal/chain_test.go
+++ b/shared/bbjournal/chain_test.go
@@ -15,8 +15,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// cell is the value of one key in fakeStore.
-type cell struct {
+// storedValue is the value of one key in fakeStore.
+type storedValue struct {
 	value []byte
 	rev   bbstore.Revision
 }
@@ -24,29 +24,29 @@
 // fakeStore is a key-value store in memory. inFlight holds delayed writes,
 // which may still take effect.
 type fakeStore struct {
-	cells    map[string]cell
+	values   map[string]storedValue
 	rev      bbstore.Revision
 	inFlight []Write
 }
 
-func newFakeStore() *fakeStore { return &fakeStore{cells: map[string]cell{}} }
+func newFakeStore() *fakeStore { return &fakeStore{values: map[string]storedValue{}} }
 
 func (s *fakeStore) cas(w Write) (bbstore.Revision, bool) {
-	if s.cells[w.Key].rev != w.Prev {
+	if s.values[w.Key].rev != w.Prev {
 		return 0, false
 	}
 	s.rev++
 	if w.Value == nil {
-		delete(s.cells, w.Key)
+		delete(s.values, w.Key)
 	} else {
-		s.cells[w.Key] = cell{w.Value, s.rev}
+		s.values[w.Key] = storedValue{w.Value, s.rev}
 	}
 	return s.rev, true
 }
 
 func (s *fakeStore) list() []bbstore.Entry {
 	var out []bbstore.Entry
-	for k, c := range s.cells {
+	for k, c := range s.values {
 		out = append(out, bbstore.Entry{Key: k, Value: c.value, Rev: c.rev})
 	}
 	return out
@@ -96,8 +96,8 @@
 		c.replan(now)
 	case c.stepIndex < len(p.Reads):
 		n := p.Reads[c.stepIndex]
-		cell := store.cells[c.chain.Key(n)]
-		if err := c.chain.OnLeafRead(n, bbstore.Entry{Value: cell.value, Rev: cell.rev}); err != nil {
+		stored := store.values[c.chain.Key(n)]
+		if err := c.chain.OnLeafRead(n, bbstore.Entry{Value: stored.value, Rev: stored.rev}); err != nil {
 			return err
 		}
 		if c.stepIndex++; c.stepIndex == len(p.Reads) {
@@ -392,19 +392,19 @@
 			"claim":  func(t *rapid.T) { m.submit(m.anyCommitter("at"), m.newAttempt(request.Draw(t, "request"))) },
 			"resend": func(*rapid.T) { m.submit(m.anyCommitter("at"), m.anyAttempt("pending")) },
 			"abandon": func(*rapid.T) {
-				t := m.anyAttempt("pending")
-				t.state = "abandoned"
-				m.withdraw(m.anyCommitter("at"), t.rec)
+				a := m.anyAttempt("pending")
+				a.state = "abandoned"
+				m.withdraw(m.anyCommitter("at"), a.rec)
 			},
 			"withdraw": func(*rapid.T) {
-				t := m.anyAttempt("granted")
-				t.state = "abandoned"
-				m.withdraw(m.anyCommitter("at"), t.rec)
+				a := m.anyAttempt("granted")
+				a.state = "abandoned"
+				m.withdraw(m.anyCommitter("at"), a.rec)
 			},
 			"send": func(*rapid.T) {
-				t := m.anyAttempt("granted")
-				t.state = "sent"
-				m.runs[t.rec.Request]++
+				a := m.anyAttempt("granted")
+				a.state = "sent"
+				m.runs[a.rec.Request]++
 			},
 			"bill":    func(*rapid.T) { m.bill(m.anyAttempt("sent")) },
 			"unknown": func(*rapid.T) { m.unknown(m.anyAttempt("sent")) },
@@ -454,9 +454,9 @@
 			is.Equal(v, bbwire.Verdict_TAKEN)
 		}
 	}
-	is.True(len(store.cells) >= 3)
-	for _, cell := range store.cells {
-		is.True(len(cell.value) < 2*sealLeafBytes)
+	is.True(len(store.values) >= 3)
+	for _, stored := range store.values {
+		is.True(len(stored.value) < 2*sealLeafBytes)
 	}
 	for _, other := range []*committer{c, newCommitter()} {
 		is.Equal(commitAll(other, store, now, newClaim("r0-0", "i#1/2", now))[0], bbwire.Verdict_CONFLICT)
@@ -571,7 +571,7 @@
 	now = now.Add(10 * time.Minute)
 	commitAll(c, store, now, newClaim("r2", "i#1/2", now))
 	commitAll(c, store, now, newClaim("r3", "i#1/3", now))
-	delete(store.cells, w.Key)
+	delete(store.values, w.Key)
 	_, ok := store.cas(w)
 	is.True(ok)
 	is.Equal(commitAll(newCommitter(), store, now, newClaim("delayed", "i#1/4", now))[0], bbwire.Verdict_TAKEN)
@@ -598,7 +598,7 @@
 		}
 		c.chain.Begin(now) // a sweep begins a commit too
 	}
-	_, kept := store.cells[c.chain.Key(2)]
+	_, kept := store.values[c.chain.Key(2)]
 	is.True(!kept)
 	is.Equal(commitAll(c, store, now, newClaim("o19", "i#1/4", now))[0], bbwire.Verdict_CONFLICT)
 }
--- a/shared/bbjournal/plan.go
+++ b/shared/bbjournal/plan.go
@@ -131,8 +131,8 @@
 	p.leafOf[key] = n
 }
 
-// pastRetention tells whether r is older than the retention, so that an earlier
-// record of its request may have been deleted with its leaf.
+// pastRetention reports whether r is older than the retention, so that an
+// earlier record of its request may have been deleted with its leaf.
 func (p *planner) pastRetention(r *bbwire.Record) bool {
 	cutoff := p.now.Add(-p.Retention)
 	switch r.Kind {
--- a/shared/bbstore/client_test.go
+++ b/shared/bbstore/client_test.go
@@ -55,7 +55,7 @@
 	}{
 		{"503", respondWith(503, `{"code":14,"message":"etcdserver: no leader"}`), ErrDown, ErrDown},
 		{"503 without a body", respondWith(503, ""), ErrDown, ErrDown},
-		{"503 after a time-out", respondWith(503, `{"code":14,"message":"etcdserver: request timed out"}`), ErrDown, ErrUnknown},
+		{"503 after a timeout", respondWith(503, `{"code":14,"message":"etcdserver: request timed out"}`), ErrDown, ErrUnknown},
 		{"429", respondWith(429, ""), ErrDown, ErrDown},
 		{"500", respondWith(500, ""), ErrDown, ErrUnknown},
 		{"not JSON", respondWith(200, "<html>"), ErrDown, ErrUnknown},
--- a/shared/bbstore/mem.go
+++ b/shared/bbstore/mem.go
@@ -10,9 +10,9 @@
 	"github.com/juju/errors"
 )
 
-// memHistory is the number of events that a Mem keeps for watches from an older
-// revision.
-const memHistory = 10000
+// maxHistoryEvents is the number of events that a Mem keeps for watches from an
+// older revision.
+const maxHistoryEvents = 10000
 
 // Mem is a Store in memory. It simulates faults, which can be changed while it
 // is in use. The zero value is an empty store without faults.
@@ -116,7 +116,7 @@
 		m.keys[key] = memValue{value: value, rev: m.rev, lease: lease}
 	}
 	m.history = append(m.history, Event{Entry{Key: key, Value: value, Rev: m.rev}})
-	if len(m.history) > memHistory {
+	if len(m.history) > maxHistoryEvents {
 		m.compactedTo = m.history[0].Rev
 		m.history = m.history[1:]
 	}
--- a/shared/bbstore/mem_swap.go
+++ b/shared/bbstore/mem_swap.go
@@ -7,18 +7,18 @@
 	"github.com/juju/errors"
 )
 
-// Swap is a compare-and-swap of several keys: it writes all rows at one
-// revision if every key is at the revision of its row, and none otherwise. A
-// nil value deletes the key. With ErrConflict it returns the current rows.
-func (m *Mem) Swap(ctx context.Context, rows []Entry, lease LeaseID) (Revision, []Entry, error) {
-	copies := make([]Entry, len(rows))
-	for i, r := range rows {
-		if len(r.Value) > MaxValueBytes {
-			return 0, nil, errors.Annotatef(ErrTooLarge, "%s: %d bytes", r.Key, len(r.Value))
+// Swap is a compare-and-swap of several keys: it writes all entries at one
+// revision if every key is at the revision of its entry, and none otherwise. A
+// nil value deletes the key. With ErrConflict it returns the current entries.
+func (m *Mem) Swap(ctx context.Context, entries []Entry, lease LeaseID) (Revision, []Entry, error) {
+	copies := make([]Entry, len(entries))
+	for i, e := range entries {
+		if len(e.Value) > MaxValueBytes {
+			return 0, nil, errors.Annotatef(ErrTooLarge, "%s: %d bytes", e.Key, len(e.Value))
 		}
-		copies[i] = r
-		if r.Value != nil {
-			copies[i].Value = append([]byte{}, r.Value...)
+		copies[i] = e
+		if e.Value != nil {
+			copies[i].Value = append([]byte{}, e.Value...)
 		}
 	}
 	rev, err := m.write(ctx, func() (Revision, error) { return m.applySwap(copies, lease) })
@@ -27,27 +27,27 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	current := make([]Entry, len(rows))
-	for i, r := range rows {
-		current[i] = m.entry(r.Key)
+	current := make([]Entry, len(entries))
+	for i, e := range entries {
+		current[i] = m.entry(e.Key)
 	}
 	return 0, current, err
 }
 
 // applySwap executes a Swap. Unlike applyCAS it makes an event and a revision
 // also for deleting an absent key.
-func (m *Mem) applySwap(rows []Entry, lease LeaseID) (Revision, error) {
-	for _, r := range rows {
-		if current := m.keys[r.Key].rev; current != r.Rev {
-			return 0, errors.Annotatef(ErrConflict, "%s: at revision %d, expected %d", r.Key, current, r.Rev)
+func (m *Mem) applySwap(entries []Entry, lease LeaseID) (Revision, error) {
+	for _, e := range entries {
+		if current := m.keys[e.Key].rev; current != e.Rev {
+			return 0, errors.Annotatef(ErrConflict, "%s: at revision %d, expected %d", e.Key, current, e.Rev)
 		}
 	}
 	if lease != 0 && m.leases[lease] == nil {
 		return 0, ErrLeaseNotFound
 	}
 	m.rev++
-	for _, r := range rows {
-		m.putAtRevision(r.Key, r.Value, lease)
+	for _, e := range entries {
+		m.putAtRevision(e.Key, e.Value, lease)
 	}
 	return m.rev, nil
 }
--- a/shared/bbticket/apply.go
+++ b/shared/bbticket/apply.go
@@ -152,7 +152,8 @@
 }
 
 // mergeTicket returns a copy of old with the objects of ticket n, except where
-// old has an object with the same or a higher number.
+// old has an object with the same or a higher number. Without objects it returns
+// old itself.
 func mergeTicket[K comparable, T any](old map[K]Numbered[T], objects []T, n bbunit.TicketNumber, id func(T) K) map[K]Numbered[T] {
 	if len(objects) == 0 && old != nil {
 		return old
--- a/shared/bbticket/log.go
+++ b/shared/bbticket/log.go
@@ -185,7 +185,7 @@
 		if err != nil {
 			return errors.Trace(err)
 		}
-		if done, err := h.outcome(t.Number, nonce); done {
+		if decided, err := h.outcome(t.Number, nonce); decided {
 			return err
 		}
 		s, err := l.Load(ctx)
@@ -214,9 +214,9 @@
 	}
 }
 
-// outcome tells whether the head decides on ticket n: (true, nil) if the ticket
-// with this nonce was accepted, (true, *NumberError) if its number is taken or
-// not the next one, and (false, nil) if n is the next number.
+// outcome reports whether the head decides on ticket n: (true, nil) if the
+// ticket with this nonce was accepted, (true, *NumberError) if its number is
+// taken or not the next one, and (false, nil) if n is the next number.
 func (h Head) outcome(n bbunit.TicketNumber, nonce string) (bool, error) {
 	if n == h.Number+1 {
 		return false, nil
@@ -246,7 +246,7 @@
 		if err := l.compact(ctx, h); err != nil {
 			return errors.Annotate(err, "compacting the ticket log")
 		}
-		next.SnapshotNumber, next.Tail, next.Compacted = h.Number, []LogEntry{entry}, h.compactTail()
+		next.SnapshotNumber, next.Tail, next.Compacted = h.Number, []LogEntry{entry}, h.nextCompacted()
 		if v, err = json.Marshal(next); err != nil {
 			return errors.Trace(err)
 		}
@@ -255,8 +255,9 @@
 	return errors.Trace(err)
 }
 
-// compactTail returns the value of Compacted after the whole tail is compacted.
-func (h Head) compactTail() []CompactedTicket {
+// nextCompacted returns the value of Compacted after the whole tail is
+// compacted.
+func (h Head) nextCompacted() []CompactedTicket {
 	out := slices.Clone(h.Compacted)
 	for _, entry := range h.Tail {
 		out = append(out, CompactedTicket{Number: entry.Ticket.Number, Nonce: entry.Nonce})
