--- a/bluebellctl/main.go
+++ b/bluebellctl/main.go
@@ -1,5 +1,6 @@
 // Command bluebellctl is the operators' command-line client. It applies change
-// tickets and shows budgets, bills and the status of instances.
+// tickets, sends orders to targets, and shows budgets, bills, the status of
+// instances and what their logs say about a request.
 package main
 
 import (
--- a/bluebellctl/src/bill.go
+++ b/bluebellctl/src/bill.go
@@ -84,11 +84,11 @@
 
 func (e *env) renderRecords(records []*bbwire.Record) error {
 	rows := make([]recordRow, 0, len(records))
-	var cells [][]any
+	var tableRows [][]any
 	for _, r := range records {
 		row := newRecordRow(r)
 		rows = append(rows, row)
-		cells = append(cells, []any{row.Made.Format(time.RFC3339), row.Kind, row.Account, row.Request, row.Service, row.Target, row.Budget, row.Tokens})
+		tableRows = append(tableRows, []any{row.Made.Format(time.RFC3339), row.Kind, row.Account, row.Request, row.Service, row.Target, row.Budget, row.Tokens})
 	}
-	return e.render(rows, []string{"MADE", "KIND", "ACCOUNT", "REQUEST", "SERVICE", "TARGET", "BUDGET", "TOKENS"}, cells)
+	return e.render(rows, []string{"MADE", "KIND", "ACCOUNT", "REQUEST", "SERVICE", "TARGET", "BUDGET", "TOKENS"}, tableRows)
 }
--- a/bluebellctl/src/budget.go
+++ b/bluebellctl/src/budget.go
@@ -114,9 +114,10 @@
 }
 
 // capBudgets caps every budget that the ticket lowers below its paid amount in
-// s, so that holders cannot draw more than the ticket will leave while it is
-// being accepted. The returned function removes the caps; call it if the ticket
-// is refused.
+// s, so that holders cannot draw more than the new paid amount before the ticket
+// is in force. The caps carry the nonce, which identifies this attempt to apply
+// the ticket. The returned function removes the caps; call it if the ticket is
+// refused.
 func capBudgets(ctx context.Context, e *env, s *bbticket.State, t bbticket.Ticket, nonce string) (func(), error) {
 	var capped []bbunit.BudgetID
 	undo := func() {
--- a/bluebellctl/src/ticket.go
+++ b/bluebellctl/src/ticket.go
@@ -134,14 +134,14 @@
 		return errors.Trace(err)
 	}
 	rows := []ticketRow{}
-	var cells [][]any
+	var tableRows [][]any
 	for _, accepted := range head.Tail {
 		t := accepted.Ticket
 		r := ticketRow{t.Number, accepted.At, len(t.Accounts) + len(t.Budgets) + len(t.Services) + len(t.Targets), t.Note}
 		rows = append(rows, r)
-		cells = append(cells, []any{r.Number, r.At.Format(time.RFC3339), r.Objects, r.Note})
+		tableRows = append(tableRows, []any{r.Number, r.At.Format(time.RFC3339), r.Objects, r.Note})
 	}
-	return e.render(rows, []string{"NUMBER", "AT", "OBJECTS", "NOTE"}, cells)
+	return e.render(rows, []string{"NUMBER", "AT", "OBJECTS", "NOTE"}, tableRows)
 }
 
 // showTicket prints ticket n, or all that is in force if n is 0.
@@ -192,9 +192,9 @@
 		return errors.Trace(err)
 	}
 	rows := s.Diff(t)
-	var cells [][]any
+	var tableRows [][]any
 	for _, r := range rows {
-		cells = append(cells, []any{r.Action, r.Object, r.Field, r.Old, r.New})
+		tableRows = append(tableRows, []any{r.Action, r.Object, r.Field, r.Old, r.New})
 	}
-	return e.render(rows, []string{"CHANGE", "OBJECT", "FIELD", "IN FORCE", "TICKET"}, cells)
+	return e.render(rows, []string{"CHANGE", "OBJECT", "FIELD", "IN FORCE", "TICKET"}, tableRows)
 }
--- a/bluebellctl/src/timeline.go
+++ b/bluebellctl/src/timeline.go
@@ -59,7 +59,8 @@
 }
 
 // stateKey returns the part of its instance's state that the line changes, or
-// "" if it changes none. A newer line replaces an older one with the same key.
+// "" if it changes none: "life" is the state of the process, "store" its access
+// to the store. A newer line replaces an older one with the same key.
 func (l *logLine) stateKey() string {
 	switch l.Event {
 	case "store-lost", "store-back", "watch-handed":
