--- a/bluebellstand/src/engine.go
+++ b/bluebellstand/src/engine.go
@@ -95,9 +95,9 @@
 func newEngine(o EngineOptions) (*engine, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &engine{opts: o, exit: os.Exit, onAccepted: func(EngineExecution) {}, jobs: map[string]*job{}, ctx: ctx}
-	e.cache = prefixCache{size: o.Cache, dropEvery: o.EventGap}
+	e.cache = prefixCache{size: o.Cache, dropEvery: o.DropEventEvery}
 	e.loadHistory = loadHistory{lag: o.LoadLag}
-	e.orders = orderLog{rejectStale: o.Fence}
+	e.orders = orderLog{rejectStale: o.RejectStaleOrders}
 	return e, func() {
 		cancel()
 		e.wg.Wait()
@@ -141,7 +141,7 @@
 	}
 	for _, m := range r.Messages {
 		j.name = wordAfter(m.Content, nameMarker, j.name)
-		j.crash = j.crash || e.opts.Crash != "" && strings.Contains(m.Content, e.opts.Crash)
+		j.crash = j.crash || e.opts.CrashWord != "" && strings.Contains(m.Content, e.opts.CrashWord)
 	}
 	var ok bool
 	j.answerTokens, ok = remainingTokens(AnswerTokens(r.Model, messages, e.opts.Answer), partial)
@@ -185,16 +185,16 @@
 	if j.prefixCached {
 		prefill /= 10
 	}
-	alive := e.sleep(j.ctx, prefill)
-	if alive && j.crash {
+	active := e.sleep(j.ctx, prefill)
+	if active && j.crash {
 		e.exit(exitCodeCrash)
 	}
-	for alive && j.generated < len(j.answerTokens) {
+	for active && j.generated < len(j.answerTokens) {
 		e.mu.Lock()
 		j.generated++
 		j.notifyReaders()
 		e.mu.Unlock()
-		alive = e.sleep(j.ctx, e.opts.Interval)
+		active = e.sleep(j.ctx, e.opts.Interval)
 	}
 	e.releaseSlot(j)
 }
@@ -267,8 +267,8 @@
 	changed   <-chan struct{}
 }
 
-// readProgress returns the progress of the request, with the tokens generated
-// after the first from tokens.
+// readProgress returns the progress of the request, with the tokens that follow
+// token number from.
 func (e *engine) readProgress(j *job, from int) progress {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/bluebellstand/src/engine_http.go
+++ b/bluebellstand/src/engine_http.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// respondStream sends the events of the request after the first from events.
+// respondStream streams the events of the request that follow event number from.
 func (e *engine) respondStream(c *fiber.Ctx, j *job, from int) error {
 	c.Set("Content-Type", "text/event-stream")
 	e.addReader(j)
--- a/bluebellstand/src/engine_state.go
+++ b/bluebellstand/src/engine_state.go
@@ -23,8 +23,8 @@
 	return TargetLoad{Running: e.running, Waiting: len(e.waiting), Slots: e.opts.Slots, Leaving: e.leaving}
 }
 
-// loadHistory keeps the loads of the last lag, so that the engine can report an
-// outdated load.
+// loadHistory keeps the load samples that cover the last lag, so that the engine
+// can report an outdated load.
 type loadHistory struct {
 	lag     time.Duration
 	samples []loadSample
@@ -42,8 +42,7 @@
 	}
 }
 
-// lagged returns the load as it was lag ago, or idle if none is known from
-// then.
+// lagged returns the load as it was lag ago, or idle if no sample is that old.
 func (h *loadHistory) lagged(now time.Time, idle TargetLoad) TargetLoad {
 	load := idle
 	for _, sample := range h.samples {
--- a/bluebellstand/src/engine_test.go
+++ b/bluebellstand/src/engine_test.go
@@ -178,19 +178,19 @@
 }
 
 func TestEngineOrders(t *testing.T) {
-	for _, fence := range []bool{true, false} {
+	for _, rejectStale := range []bool{true, false} {
 		is := is.New(t)
-		_, url := startTestEngine(t, func(o *EngineOptions) { o.Fence = fence })
+		_, url := startTestEngine(t, func(o *EngineOptions) { o.RejectStaleOrders = rejectStale })
 		status, _, _ := sendRequest(t, "POST", url+"/v1/orders", "", `{"fence":2,"action":"load","model":"m"}`)
 		is.Equal(status, 200)
 		status, _, _ = sendRequest(t, "POST", url+"/v1/orders", "", `{"fence":1,"action":"unload","model":"m"}`)
-		is.Equal(status == 409, fence)
+		is.Equal(status == 409, rejectStale)
 	}
 }
 
 func TestEngineCrash(t *testing.T) {
 	is := is.New(t)
-	e, url := startTestEngine(t, func(o *EngineOptions) { o.Crash = "boom" })
+	e, url := startTestEngine(t, func(o *EngineOptions) { o.CrashWord = "boom" })
 	crashed := make(chan int, 1)
 	e.exit = func(code int) { crashed <- code }
 	_, _, _ = sendRequest(t, "POST", url+"/v1/chat/completions", "", chatBody("a boom b", ""))
--- a/bluebellstand/src/listener.go
+++ b/bluebellstand/src/listener.go
@@ -73,8 +73,8 @@
 	return c.Conn.Write(b)
 }
 
-// Close does not close a silent connection, so that the other end does not see
-// an end.
+// Close does not close a silent connection, so that the other end does not
+// notice.
 func (c *conn) Close() error {
 	if c.muted.Load() {
 		return nil
--- a/bluebellstand/src/load_request.go
+++ b/bluebellstand/src/load_request.go
@@ -26,7 +26,7 @@
 
 // loadRequest is a request with the expected answer.
 type loadRequest struct {
-	n        int
+	n        int // also selects the instance that gets it first
 	id       string
 	kind     LoadKind
 	keyIndex int // index in LoadOptions.Keys
--- a/bluebellstand/src/load_send.go
+++ b/bluebellstand/src/load_send.go
@@ -16,8 +16,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// outcomeLost means that the connection broke or the timeout expired before the
-// answer arrived, so that the caller does not know the outcome.
+// outcomeLost means that no complete answer arrived, for example because the
+// connection broke or the timeout expired, so that the caller does not know the
+// outcome.
 const outcomeLost = "lost"
 
 // LoadResult is the result of one request. The outcome and the fields about the
@@ -27,13 +28,14 @@
 	Kind     LoadKind `json:"kind"`
 	KeyIndex int      `json:"key"`
 	Status   int      `json:"status"`
-	Outcome  string   `json:"outcome"` // from an RFC 9457 answer, "done" or "lost"
+	Outcome  string   `json:"outcome"` // from an RFC 9457 answer ("none" if it has none), "done" or "lost"
 	Title    string   `json:"title,omitempty"`
 	Attempts int      `json:"attempts"`
 	// BrokenAttempts is the number of attempts that were connected but got no
 	// complete answer.
 	BrokenAttempts int `json:"broken"`
-	// Truncated means that an answer with status 200 began but did not end.
+	// Truncated means that an answer with status 200 began but did not end, or
+	// cannot be decoded.
 	Truncated bool `json:"cut,omitempty"`
 	// Wrong means that the answer is complete but not the expected one.
 	Wrong bool `json:"wrong,omitempty"`
@@ -49,9 +51,11 @@
 	NotRunAt []int64 `json:"notrun,omitempty"`
 	// FirstByte and Total are durations since the request was scheduled, in
 	// nanoseconds in the JSON.
-	FirstByte  time.Duration `json:"first"`
-	Total      time.Duration `json:"total"`
-	text       string
+	FirstByte time.Duration `json:"first"`
+	Total     time.Duration `json:"total"`
+
+	text string // of the answer
+	// retryDelay is the wait before the next attempt. Above 0, a retry can help.
 	retryDelay time.Duration
 	err        error
 }
--- a/bluebellstand/src/options.go
+++ b/bluebellstand/src/options.go
@@ -72,20 +72,20 @@
 
 // EngineOptions configures the stand-in for a model engine.
 type EngineOptions struct {
-	Listen   string
-	Model    string
-	Slots    int
-	Queue    int
-	Interval time.Duration // between tokens
-	Prefill  time.Duration // per prompt token
-	Answer   int           // tokens, unless the prompt has another number
-	LoadLag  time.Duration
-	EventLag time.Duration
-	EventGap int
-	Cache    int // prompt prefixes
-	Linger   time.Duration
-	Fence    bool
-	Crash    string
+	Listen            string
+	Model             string
+	Slots             int
+	Queue             int
+	Interval          time.Duration // between tokens
+	Prefill           time.Duration // per prompt token
+	Answer            int           // tokens, unless the prompt has another number
+	LoadLag           time.Duration
+	EventLag          time.Duration
+	DropEventEvery    int           // every n-th cache event is lost; 0 loses none
+	Cache             int           // prompt prefixes
+	Linger            time.Duration // for a stream without a reader
+	RejectStaleOrders bool          // by fencing number
+	CrashWord         string        // in a prompt; empty never crashes
 }
 
 func (o *EngineOptions) flags(cmd *kingpin.CmdClause) {
@@ -98,11 +98,11 @@
 	flag(cmd, "answer", "20", "Tokens of an answer whose prompt tells no other number.").IntVar(&o.Answer)
 	flag(cmd, "load-lag", "0s", "How far the reported load is behind.").DurationVar(&o.LoadLag)
 	flag(cmd, "event-lag", "1s", "How far the cache events are behind.").DurationVar(&o.EventLag)
-	flag(cmd, "event-gap", "0", "Every n-th cache event is lost; 0 loses none.").IntVar(&o.EventGap)
+	flag(cmd, "event-gap", "0", "Every n-th cache event is lost; 0 loses none.").IntVar(&o.DropEventEvery)
 	flag(cmd, "cache", "64", "Prompts whose prefix is cached.").IntVar(&o.Cache)
 	flag(cmd, "linger", "10s", "How long a stream without a reader goes on.").DurationVar(&o.Linger)
-	flag(cmd, "fence", "", "Refuse orders with an old fencing number.").BoolVar(&o.Fence)
-	flag(cmd, "crash", "", "Word in a prompt that crashes the engine; empty never does.").StringVar(&o.Crash)
+	flag(cmd, "fence", "", "Refuse orders with an old fencing number.").BoolVar(&o.RejectStaleOrders)
+	flag(cmd, "crash", "", "Word in a prompt that crashes the engine; empty never does.").StringVar(&o.CrashWord)
 }
 
 func (o *EngineOptions) check() []string {
@@ -114,7 +114,7 @@
 	bad = append(bad, checkMin("--answer", float64(o.Answer), 1)...)
 	bad = append(bad, checkMin("--load-lag", o.LoadLag.Seconds(), 0)...)
 	bad = append(bad, checkMin("--event-lag", o.EventLag.Seconds(), 0)...)
-	bad = append(bad, checkMin("--event-gap", float64(o.EventGap), 0)...)
+	bad = append(bad, checkMin("--event-gap", float64(o.DropEventEvery), 0)...)
 	bad = append(bad, checkMin("--cache", float64(o.Cache), 0)...)
 	return append(bad, checkMin("--linger", o.Linger.Seconds(), 0)...)
 }
--- a/bluebellstand/src/plain.go
+++ b/bluebellstand/src/plain.go
@@ -20,8 +20,8 @@
 	Path        string `json:"path"`
 	WriteNumber int    `json:"run"`
 	State       string `json:"state"`
-	// AcceptedAt is when the request arrived, in microseconds since the epoch.
-	AcceptedAt int64 `json:"at"`
+	// ReceivedAt is when the request arrived, in microseconds since the epoch.
+	ReceivedAt int64 `json:"at"`
 }
 
 // PlainResponse is the answer of a plain service. It depends on the request
@@ -148,7 +148,7 @@
 	defer p.mu.Unlock()
 	p.waiting--
 	p.running++
-	execution := PlainExecution{Request: id, Method: c.Method(), Path: c.OriginalURL(), State: stateRunning, AcceptedAt: receivedAt.UnixMicro()}
+	execution := PlainExecution{Request: id, Method: c.Method(), Path: c.OriginalURL(), State: stateRunning, ReceivedAt: receivedAt.UnixMicro()}
 	if execution.Method != http.MethodGet && execution.Method != http.MethodHead {
 		p.writes++
 		execution.WriteNumber = p.writes
--- a/bluebellstand/src/serve.go
+++ b/bluebellstand/src/serve.go
@@ -25,37 +25,37 @@
 	addr string
 	// mount adds the routes of the stand-in.
 	mount func(app *fiber.App, l *listener)
-	// stop ends what the stand-in has running.
+	// stop ends the stand-in's background work.
 	stop func()
 }
 
 // serve listens at the address of each stand-in and serves until ctx is done.
 func serve(ctx context.Context, s streams, standIns ...standIn) error {
 	listeners := make([]*listener, len(standIns))
-	for i, p := range standIns {
-		l, err := listen(p.addr)
+	for i, service := range standIns {
+		l, err := listen(service.addr)
 		if err != nil {
-			return errors.Annotate(err, p.name)
+			return errors.Annotate(err, service.name)
 		}
 		defer func() { _ = l.Close() }()
 		listeners[i] = l
 	}
 	group := pool.New().WithContext(ctx).WithCancelOnError()
-	for i, p := range standIns {
+	for i, service := range standIns {
 		app := fiber.New(fiber.Config{
-			AppName:               p.name,
+			AppName:               service.name,
 			DisableStartupMessage: true,
 			Immutable:             true,
 			UnescapePath:          true,
 			BodyLimit:             fasthttp.DefaultMaxRequestBodySize,
 			ErrorHandler:          respondError,
 		})
-		p.mount(app, listeners[i])
-		s.log.WithField("part", p.name).WithField("address", listeners[i].Addr().String()).Info("ready")
+		service.mount(app, listeners[i])
+		s.log.WithField("part", service.name).WithField("address", listeners[i].Addr().String()).Info("ready")
 		group.Go(func(context.Context) error { return app.Listener(listeners[i]) })
 		group.Go(func(ctx context.Context) error {
 			<-ctx.Done()
-			p.stop()
+			service.stop()
 			err := bbserve.Stop(app, listeners[i], shutdownTimeout)
 			if errors.Is(err, context.DeadlineExceeded) {
 				return nil
--- a/e2e/audit_test.go
+++ b/e2e/audit_test.go
@@ -53,7 +53,7 @@
 	overspend                     int64
 	falseRefusals                 int
 	billedTwice, notBilled        int
-	listedUnknown                 int // answered, without a bill, and recorded with an unknown outcome
+	listedUnknown                 int // answered, without a bill, and recorded with an unknown outcome or an open claim
 	ranTwice, wronglyNotRun       int
 	billed, settled, stuck        int64
 	stuckLater                    int64 // stuck after another stuckRecheckDelay; -1 if not read
@@ -126,7 +126,7 @@
 	var ran []bbstand.PlainExecution
 	getJSON(t, target.address, "/admin/ran", &ran)
 	for _, r := range ran {
-		a.executions[r.Request] = append(a.executions[r.Request], execution{arrivedAt: r.AcceptedAt, isWrite: r.WriteNumber > 0})
+		a.executions[r.Request] = append(a.executions[r.Request], execution{arrivedAt: r.ReceivedAt, isWrite: r.WriteNumber > 0})
 	}
 }
 
@@ -176,9 +176,9 @@
 	return requestKey{string(a.accounts[result.KeyIndex].id), result.ID}
 }
 
-// unbilled counts the answered requests without a bill: listed are those that
-// are recorded with an unknown outcome, which operators can list; missing are
-// the others.
+// unbilled counts the answered requests without a bill: listed are those for
+// which isListedUnknown is true, which operators can list; missing are the
+// others.
 func (a *audit) unbilled() (listed, missing int) {
 	for i := range a.results {
 		r := &a.results[i]
@@ -225,7 +225,7 @@
 func (a *audit) reportUnbilled() {
 	for i := range a.results {
 		if r := &a.results[i]; r.Outcome == "done" && len(a.bills[a.key(r)]) == 0 {
-			a.findings = append(a.findings, fmt.Sprintf("%s (%s) is not billed; due at %d, answered after %s, ran %v, record: %s; %s",
+			a.findings = append(a.findings, fmt.Sprintf("%s (%s) is not billed; scheduled at %d, answered after %s, ran %v, record: %s; %s",
 				r.ID, r.Kind, r.Start, r.Total, a.executions[r.ID], a.otherRecords[a.key(r)], strings.Join(r.AttemptErrors, "; ")))
 		}
 	}
@@ -305,9 +305,9 @@
 	return a.answeredCostUntil(accountIndex, math.MaxInt64)
 }
 
-// answeredCostUntil returns the cost of the answered requests that were due at
-// or before until, in milliseconds since the Unix epoch. A request that was
-// sent twice counts once.
+// answeredCostUntil returns the cost of the answered requests that were
+// scheduled at or before until, in milliseconds since the Unix epoch. A request
+// that was sent twice counts once.
 func (a *audit) answeredCostUntil(accountIndex int, until int64) int64 {
 	var n int64
 	seen := map[string]bool{}
