--- a/e2e/bench_test.go
+++ b/e2e/bench_test.go
@@ -60,8 +60,8 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// usage is the resources that an instance has used since its start; rss is the
-// current value, in bytes.
+// usage holds the resources that an instance has used since its start, except
+// rss, which is its current resident memory in bytes.
 type usage struct {
 	peerBytes, ioBytes int64
 	cpu                time.Duration
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -77,8 +77,8 @@
 	{name: "kill, lost answers and a cut at once", loadDuration: 14 * time.Second, recheckStuck: true, inject: severalFaults},
 }
 
-// TestFaults prints a table with a row for each fault. Fails when a column that
-// auditSummary.violations lists is not zero; the other columns, such as false
+// TestFaults prints a table with a row for each fault. It fails if a column that
+// auditSummary.violations checks is not zero. The other columns, such as false
 // refusals, are only measured.
 func TestFaults(t *testing.T) {
 	table := summaryHeader + "\n"
@@ -162,7 +162,8 @@
 	return out
 }
 
-// logRefusals logs the number of refusals by status, outcome and title.
+// logRefusals logs the number of refusals by status, outcome, title and kind of
+// request, the latencies of the answers and the number of retried requests.
 func (r *faultRun) logRefusals() {
 	report := bbstand.NewLoadReport()
 	for _, result := range r.results {
--- a/e2e/native_test.go
+++ b/e2e/native_test.go
@@ -164,7 +164,7 @@
 
 // TestNativeFleet kills and restarts an instance and makes the store
 // unavailable while two other instances serve requests, and then stops one of
-// those. Guards against overspending the account, attempts that run twice,
+// those. It guards against overspending the account, attempts that run twice,
 // answers that break off, and prepaid tokens that nobody can spend afterwards.
 func TestNativeFleet(t *testing.T) {
 	is := is.New(t)
--- a/model/claim.pml
+++ b/model/claim.pml
@@ -33,6 +33,8 @@
 bool toldNotRun[INSTANCES];      /* this instance told the caller "not run" */
 bool bytesSent[INSTANCES];       /* this instance has sent a byte of the request */
 
+/* The target ran the request at most once. An instance that told the caller "not
+ * run" has sent no byte of the request and no longer acts on its claim. */
 inline check() {
 	assert(runs <= 1);
 	assert(!(toldNotRun[0] && (bytesSent[0] || claimOwner == 0 && state[0] != DONE)));
--- a/model/ledger.pml
+++ b/model/ledger.pml
@@ -202,8 +202,8 @@
 	/* A top-up of the budget. */
 	:: atomic { revision < REVS && paid < MAX_PAID -> paid++; revision++ }
 
-	/* The closer of holder 0. Where the page names another witness by then, it
-	 * starts again. An amount of which no final account is known stays stuck. */
+	/* The closer of holder 0. If the page names another witness by then, it
+	 * starts again. An amount whose final spend is not known stays stuck. */
 	:: atomic { closerState == CLOSER_READ && hasEntry[0] -> closerWitness = witness; closerState = CLOSER_FREEZE }
 	:: atomic { closerState == CLOSER_FREEZE && witness == closerWitness -> witnessFrozen[closerWitness] = true;
 		closerMark[0] = witnessMark[closerWitness * 2]; closerMark[1] = witnessMark[closerWitness * 2 + 1]; closerState = CLOSER_ASK }
@@ -239,12 +239,12 @@
 	:: atomic { closerState == CLOSER_ASK && hasEntry[0] && witness == closerWitness ->
 		settled = settled + copiedSpent[0] + copiedSpent[1]; drawn[0] = 0; hasEntry[0] = false; revision++; closerState = CLOSER_DONE }
 #endif
-	/* A stuck amount is settled when the grantee gives its final account. */
+	/* A stuck amount is settled when the grantee reports its final spend. */
 	:: atomic { isStuck[0] && granteeReserved[0] == 0 ->
 		granteeClosed[0] = true; settled = settled + granteeSpent[0]; stuck[0] = 0; isStuck[0] = false; revision++; check() }
 	:: atomic { isStuck[1] && granteeReserved[1] == 0 ->
 		granteeClosed[1] = true; settled = settled + granteeSpent[1]; stuck[1] = 0; isStuck[1] = false; revision++; check() }
-	/* All is closed: the settled amount equals what was spent. */
+	/* Both holders are closed and nothing is stuck: the settled amount equals what was spent. */
 	:: atomic { closerState == CLOSER_DONE && !isStuck[0] && !isStuck[1] && !hasEntry[0] && !hasEntry[1] ->
 #ifndef BROKEN
 		assert(settled == totalSpent);
