--- a/bluebellport/src/admit.go
+++ b/bluebellport/src/admit.go
@@ -13,7 +13,7 @@
 // has ended.
 type Admission struct {
 	Done func()
-	// hasSlot tells that the request holds an admission slot of the service.
+	// hasSlot is set if the request has an admission slot of the service.
 	hasSlot atomic.Bool
 }
 
--- a/bluebellport/src/admit_test.go
+++ b/bluebellport/src/admit_test.go
@@ -25,7 +25,7 @@
 		{name: "unknown service", req: RouteRequest{Service: "none"}, err: ErrNoTarget},
 		{name: "deadline over", req: RouteRequest{Service: "s1", Deadline: time.Unix(1000, 0)}, err: ErrDeadline},
 		{name: "poisoned", req: RouteRequest{Service: "s1", Fingerprint: 9}, err: ErrPoisoned, setUp: func(tr *testRouter) {
-			tr.router.Take("i2", &bbwire.Gossip{Poisons: []*bbwire.Poison{{Print: 9, Targets: []string{"a", "b"}}}})
+			tr.router.HandleGossip("i2", &bbwire.Gossip{Poisons: []*bbwire.Poison{{Print: 9, Targets: []string{"a", "b"}}}})
 		}},
 		{name: "account's rate", req: RouteRequest{Service: "s1", Account: "few"}, err: ErrLimit, retryable: true, setUp: func(tr *testRouter) {
 			_, _ = tr.router.Admit(RouteRequest{Service: "s1", Account: "few"})
@@ -122,8 +122,8 @@
 	is.NoErr(err)
 
 	g := &bbwire.Gossip{}
-	tr.router.Fill(g)
-	other.router.Take("i1", g)
+	tr.router.FillGossip(g)
+	other.router.HandleGossip("i1", g)
 	_, err = other.router.Admit(poison)
 	is.True(errors.Is(err, ErrPoisoned))
 	_, err = other.router.Admit(innocent)
--- a/bluebellport/src/budget_manager.go
+++ b/bluebellport/src/budget_manager.go
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	view := deps.Board.View.Load()
 	bm := &BudgetManager{
-		deps: deps, self: view.Self, policy: deps.Opts.Money.policy(), maxShareWait: deps.Opts.Money.maxShareWait(),
+		deps: deps, self: view.Self, policy: deps.Opts.Budget.policy(), maxShareWait: deps.Opts.Budget.maxShareWait(),
 		tasks: newMailbox(), ctx: ctx, allocators: map[int]*bbledger.Allocator{}, view: view,
 		refresher: pageRefresher{lastRead: map[int]time.Time{}},
 	}
--- a/bluebellport/src/budget_manager_loop.go
+++ b/bluebellport/src/budget_manager_loop.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// tick passes the present view and ticket state to the allocators and refreshes
+// tick passes the current view and ticket state to the allocators and refreshes
 // the pages that are due.
 func (bm *BudgetManager) tick() {
 	view, state := bm.deps.Board.View.Load(), bm.deps.Board.State.Load()
--- a/bluebellport/src/budget_manager_test.go
+++ b/bluebellport/src/budget_manager_test.go
@@ -88,7 +88,7 @@
 	f.publish()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	opts := &Options{Money: BudgetOptions{Preset: "fjarrgrav", Borrow: "yes"}}
+	opts := &Options{Budget: BudgetOptions{Preset: "fjarrgrav", Borrow: "yes"}}
 	mgr, stop := NewBudgetManager(Deps{Board: b, Store: f.store, Bus: bus, Log: log, Metrics: metrics.NewRegistry(), Opts: opts, Now: time.Now})
 	f.managers[m.ID], f.stop[m.ID] = mgr, stop
 	f.net.mu.Lock()
--- a/bluebellport/src/client_request.go
+++ b/bluebellport/src/client_request.go
@@ -16,19 +16,19 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// clientRequest is a caller's request, parsed and checked against the state in
-// force.
+// clientRequest is a caller's request, parsed and checked against the current
+// state.
 type clientRequest struct {
 	account bbticket.Account
 	service bbticket.Service
 	budgets []bbunit.BudgetID
 	id      bbunit.RequestID
-	// clientNamed tells that the id is the caller's Idempotency-Key, so that
+	// clientChosenID is set if the id is the caller's Idempotency-Key, so that
 	// copies of the request may arrive.
-	clientNamed bool
-	// forwarded tells that another instance sent the request here.
+	clientChosenID bool
+	// forwarded is set if another instance sent the request here.
 	forwarded bool
-	// forwardedToOwner tells that it was sent here because this instance owns
+	// forwardedToOwner is set if it was sent here because this instance owns
 	// the request's claim.
 	forwardedToOwner bool
 	// fingerprint is a hash of method, service, path and body.
@@ -40,7 +40,7 @@
 	body     []byte
 	deadline time.Time
 	priority bbunit.Priority
-	// idempotent tells that the request may run more than once.
+	// idempotent is set if the request may run more than once.
 	idempotent bool
 	chat       *chat
 	// maxPrice is an upper bound of the request's price.
@@ -62,7 +62,7 @@
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// parse checks a request against the state in force. It fails with
+// parse checks a request against the current state. It fails with
 // errUnknownKey, errUnknownService, errForbidden or errInvalidRequest.
 func (r *rawRequest) parse(s *bbticket.State, now time.Time, maxTimeout time.Duration) (*clientRequest, error) {
 	account, ok := s.ByKey[hashAPIKey(r.apiKey)]
@@ -149,7 +149,7 @@
 			return badRequest("Idempotency-Key: printable ASCII without spaces only")
 		}
 	}
-	c.id, c.clientNamed = bbunit.RequestID(id), true
+	c.id, c.clientChosenID = bbunit.RequestID(id), true
 	return nil
 }
 
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// isIdempotentMethod tells whether the service allows requests with this method
-// to run more than once.
+// isIdempotentMethod reports whether the service allows requests with this
+// method to run more than once.
 func isIdempotentMethod(s bbticket.Service, method string) bool {
 	methods := s.Idempotent
 	if len(methods) == 0 {
@@ -192,8 +192,8 @@
 	return false
 }
 
-// requestFingerprint returns a hash by which two different requests with the
-// same id are told apart.
+// requestFingerprint returns a hash that distinguishes different requests with
+// the same id.
 func requestFingerprint(method, service, path string, body []byte) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{method, service, path} {
--- a/bluebellport/src/copy_finder.go
+++ b/bluebellport/src/copy_finder.go
@@ -21,7 +21,8 @@
 	// the outcome of a refused request with a client-chosen id is reported as
 	// unknown.
 	copySearchRate = 50
-	// maxSearchedDomains bounds the failure domains that are asked.
+	// maxSearchedDomains bounds the failure domains that are searched. If there
+	// are more, the outcome is reported as unknown without a search.
 	maxSearchedDomains = 8
 )
 
@@ -42,14 +43,14 @@
 	return f
 }
 
-// outcome returns the outcome to report for a request of which this copy did
-// not run. A request whose id the caller did not choose has no other copy. For
+// outcome returns the outcome to report for a request whose copy here did not
+// run. A request whose id the caller did not choose has no other copy. For
 // others, not-run requires that neither this instance nor the stored records
-// nor the homes in all failure domains know of another copy; if any of them may
-// not know, the outcome is unknown. owner is this copy's owner id in the
+// nor the homes in all failure domains know of another copy; if one of them
+// cannot be queried, the outcome is unknown. owner is this copy's owner id in the
 // records, or empty.
 func (f *copyFinder) outcome(ctx context.Context, req *clientRequest, owner string) bbunit.Outcome {
-	if !req.clientNamed {
+	if !req.clientChosenID {
 		return bbunit.OutcomeNotRun
 	}
 	if outcome, ok := f.dedup.PastOutcome(req.account.ID, req.id); ok {
@@ -107,7 +108,8 @@
 	return bbunit.OutcomeNotRun
 }
 
-// askHome asks the request's home in another failure domain.
+// askHome asks a home of the request, on another instance, about the copies that
+// ran there.
 func (f *copyFinder) askHome(ctx context.Context, home bbmember.Member, req *clientRequest) bbunit.Outcome {
 	reply, err := f.deps.Bus.Call(ctx, home.ID, &bbwire.Envelope{Body: &bbwire.Envelope_Seenask{
 		Seenask: &bbwire.SeenAsk{Account: string(req.account.ID), Request: string(req.id)},
--- a/bluebellport/src/copy_finder_test.go
+++ b/bluebellport/src/copy_finder_test.go
@@ -57,11 +57,11 @@
 func TestCopyFinder(t *testing.T) {
 	outcome := func(s string) *string { return &s }
 	for name, c := range map[string]struct {
-		clientNamed bool
-		remote      *string // the other instance's answer; nil if it is unreachable
-		record      *bbwire.Record
-		down        bool
-		want        bbunit.Outcome
+		clientChosenID bool
+		remote         *string // the other instance's answer; nil if it is unreachable
+		record         *bbwire.Record
+		down           bool
+		want           bbunit.Outcome
 	}{
 		"generated-id":     {false, nil, nil, true, bbunit.OutcomeNotRun},
 		"no-copy-known":    {true, outcome(""), nil, false, bbunit.OutcomeNotRun},
@@ -85,7 +85,7 @@
 			deps.Board.View.Store(&bbmember.View{Self: self, Members: []bbmember.Member{self, other}})
 			opts := RecordOptions{}
 			finder := newCopyFinder(deps, NewDeduplicator(&opts, nil))
-			req := &clientRequest{id: "r", clientNamed: c.clientNamed}
+			req := &clientRequest{id: "r", clientChosenID: c.clientChosenID}
 			req.account.ID = "a"
 			is.Equal(finder.outcome(context.Background(), req, "me#1/1"), c.want)
 		})
--- a/bluebellport/src/core.go
+++ b/bluebellport/src/core.go
@@ -76,9 +76,9 @@
 //
 //	caller
 //	  |
-//	Frontend -- id set by the client --> forwarder --> home instance of the id
+//	Frontend -- client-chosen id --> forwarder --> home instance of the id
 //	  |
-//	  | id not set by the client, or no other instance is home, or it is silent
+//	  | no client-chosen id, home is this instance, or home does not answer
 //	  |
 //	runner
 //	  |-- admit -------> Router          rate limits, queue, poisoned requests
@@ -173,8 +173,8 @@
 		router:       router,
 		budgets:      budgets,
 		journal:      journal,
-		engineClient: &engineClient{conns: conns, owner: owner, silenceTimeout: deps.Opts.Front.SilenceTimeout, runInBackground: tasks.Go},
-		plainClient:  &plainClient{conns: conns, owner: owner, silenceTimeout: deps.Opts.Front.SilenceTimeout, lateWindow: deps.Opts.Front.LateAnswerTimeout},
+		engineClient: &engineClient{conns: conns, owner: owner, silenceTimeout: deps.Opts.Frontend.SilenceTimeout, runInBackground: tasks.Go},
+		plainClient:  &plainClient{conns: conns, owner: owner, silenceTimeout: deps.Opts.Frontend.SilenceTimeout, lateWindow: deps.Opts.Frontend.LateAnswerTimeout},
 		owner:        owner,
 		tracer:       otel.Tracer("bluebellport"),
 	}
@@ -186,11 +186,11 @@
 // accepts requests for LingerTime, then refuses new ones and lets the open ones
 // end; after that, drain returns budget shares and submits outstanding records.
 func serveUntilStopped(ctx context.Context, deps Deps, frontend *Frontend, adminServer *admin, announceLeave func(), drain func(context.Context) error) error {
-	callerListener, err := listenForCallers(&deps.Opts.Front)
+	callerListener, err := listenForCallers(&deps.Opts.Frontend)
 	if err != nil {
 		return err
 	}
-	adminListener, err := net.Listen("tcp", deps.Opts.Front.AdminAddress)
+	adminListener, err := net.Listen("tcp", deps.Opts.Frontend.AdminAddress)
 	if err != nil {
 		_ = callerListener.Close()
 		return errors.Annotate(err, "--admin")
@@ -207,7 +207,7 @@
 	deps.Board.Leaving.Store(true)
 	announceLeave()
 	deps.Log.WithField("event", "leaving").Info("leaving")
-	drainCtx, cancel := context.WithTimeout(context.Background(), deps.Opts.Front.DrainTimeout)
+	drainCtx, cancel := context.WithTimeout(context.Background(), deps.Opts.Frontend.DrainTimeout)
 	defer cancel()
 	frontend.drain(drainCtx)
 	if drainErr := drain(drainCtx); drainErr != nil {
@@ -223,7 +223,7 @@
 
 // listenForCallers listens on the address for callers, with TLS if the settings
 // name a certificate.
-func listenForCallers(opts *FrontOptions) (net.Listener, error) {
+func listenForCallers(opts *FrontendOptions) (net.Listener, error) {
 	ln, err := net.Listen("tcp", opts.CallerAddress)
 	if err != nil {
 		return nil, errors.Annotate(err, "--listen")
--- a/bluebellport/src/dedup.go
+++ b/bluebellport/src/dedup.go
@@ -115,7 +115,7 @@
 }
 
 // evict drops kept answers that are older than the retention or for which the
-// shard has no room. The shard must be locked.
+// shard has no room. shard.mu must be held.
 func (d *Deduplicator) evict(shard *dedupShard) {
 	for elem := shard.kept.Front(); elem != nil; elem = shard.kept.Front() {
 		oldest := elem.Value.(*sharedAnswer)
@@ -126,8 +126,7 @@
 	}
 }
 
-// drop removes an answer; its readers can go on reading it. The shard must be
-// locked.
+// drop removes an answer; its readers can go on reading it. s.mu must be held.
 func (s *dedupShard) drop(shared *sharedAnswer) {
 	if s.answers[shared.key] == shared {
 		delete(s.answers, shared.key)
@@ -158,8 +157,8 @@
 	d.evict(shard)
 }
 
-// rememberOutcome stores the outcome of a request whose answer is not kept. The
-// shard must be locked.
+// rememberOutcome stores the outcome of a request whose answer is not kept.
+// shard.mu must be held.
 func (d *Deduplicator) rememberOutcome(shard *dedupShard, key dedupKey, outcome bbunit.Outcome) {
 	if shard.outcomes == nil {
 		shard.outcomes = map[dedupKey]pastOutcome{}
@@ -267,14 +266,14 @@
 	return answer
 }
 
-// notifyAll wakes everyone who waits for a change. mu must be held.
+// notifyAll wakes everyone who waits for a change. s.mu must be held.
 func (s *sharedAnswer) notifyAll() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // trim discards the parts that every reader has read, while the answer exceeds
-// maxAnswerBytes. mu must be held.
+// maxAnswerBytes. s.mu must be held.
 func (s *sharedAnswer) trim() {
 	if s.bytes <= s.dedup.maxAnswerBytes {
 		return
--- a/bluebellport/src/deps.go
+++ b/bluebellport/src/deps.go
@@ -14,7 +14,7 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Sentinel errors that controllers return to the code that runs a request.
+// Sentinel errors that components return to the code that runs a request.
 const (
 	// ErrBudgetExhausted means that nothing is left of the account's budgets.
 	ErrBudgetExhausted = errors.ConstError("budget exhausted")
@@ -35,7 +35,7 @@
 	ErrPeerUnreachable = errors.ConstError("peer unreachable")
 )
 
-// Deps holds what every controller depends on.
+// Deps holds what every component depends on.
 type Deps struct {
 	Board   *Board
 	Store   bbstore.Store
@@ -46,13 +46,13 @@
 	Now     func() time.Time
 }
 
-// Gossiper is a controller that shares state with other instances by gossip.
+// Gossiper is a component that shares state with other instances by gossip.
 // Its methods must not block.
 type Gossiper interface {
-	// Fill adds the controller's state to an outgoing message.
-	Fill(g *bbwire.Gossip)
-	// Take merges the state of another instance.
-	Take(from bbunit.InstanceID, g *bbwire.Gossip)
+	// FillGossip adds the component's state to an outgoing message.
+	FillGossip(g *bbwire.Gossip)
+	// HandleGossip merges the state of another instance.
+	HandleGossip(from bbunit.InstanceID, g *bbwire.Gossip)
 }
 
 // Bus carries envelopes between instances. Handlers run on the session's
--- a/bluebellport/src/engine_client.go
+++ b/bluebellport/src/engine_client.go
@@ -19,7 +19,7 @@
 // engineClient sends chat completions to model engines.
 type engineClient struct {
 	conns           *targetConns
-	owner           string // this run of the instance; part of the attempts' ids
+	owner           string // this incarnation of the instance; part of the attempts' ids
 	silenceTimeout  time.Duration
 	runInBackground func(func()) // for clean-up that the request does not wait for
 }
@@ -64,8 +64,8 @@
 	}
 }
 
-// isFinalError tells whether the engine has nothing more to send for the request
-// after err, so that resuming is pointless.
+// isFinalError reports whether the engine has nothing more to send for the
+// request after err, so that resuming is pointless.
 func isFinalError(err error) bool {
 	return errors.Is(err, ErrLeaving) || errors.Is(err, ErrBusy) || errors.Is(err, errPassedThrough)
 }
@@ -259,7 +259,7 @@
 	Usage tokenUsage `json:"usage"`
 }
 
-// ended tells whether the engine no longer works on the request.
+// ended reports whether the engine no longer works on the request.
 func (s engineStatus) ended() bool { return s.State != "running" && s.State != "waiting" }
 
 // probe asks the engine for the request's status over a new connection. The
@@ -283,8 +283,8 @@
 	return status, errors.Trace(json.Unmarshal(b, &status))
 }
 
-// hasCrashed tells whether the engine refuses connections, or no longer knows a
-// request that it had begun to answer, because it restarted.
+// hasCrashed reports whether the engine refuses connections, or no longer knows
+// a request that it had begun to answer, because it restarted.
 func (ec *engineClient) hasCrashed(ctx context.Context, ea *engineAttempt) bool {
 	_, err := ec.probe(ctx, ea)
 	return errors.Is(err, errNotSent) || errors.Is(err, errors.NotFound) && ea.received.Load() > 0
--- a/bluebellport/src/follower.go
+++ b/bluebellport/src/follower.go
@@ -192,7 +192,7 @@
 	return hasGap
 }
 
-// publish replaces Board.State. The caller holds f.mu.
+// publish replaces Board.State. f.mu must be held.
 func (f *Follower) publish(s *bbticket.State) {
 	f.deps.Board.State.Store(s)
 	f.advancedAt.Store(time.Now().UnixNano())
@@ -313,16 +313,16 @@
 	f.log.WithField("peer", from).WithError(err).Warn("ticket message dropped")
 }
 
-// Fill adds the number of the last applied ticket.
-func (f *Follower) Fill(g *bbwire.Gossip) {
+// FillGossip adds the number of the last applied ticket.
+func (f *Follower) FillGossip(g *bbwire.Gossip) {
 	g.Number = uint64(f.deps.Board.State.Load().Number)
 }
 
-// Take compares the ticket number of another instance with the own one. It
-// requests the missing tickets if the other number is higher. If it is lower,
-// and the state has not advanced for pushGracePeriod, so that a push should
-// have arrived, it sends them.
-func (f *Follower) Take(from bbunit.InstanceID, g *bbwire.Gossip) {
+// HandleGossip compares the ticket number of another instance with the own one.
+// If the other number is higher, it requests the missing tickets. If the other
+// number is lower, and the state has not advanced for pushGracePeriod, so that
+// a push should have arrived, it sends them.
+func (f *Follower) HandleGossip(from bbunit.InstanceID, g *bbwire.Gossip) {
 	own := uint64(f.deps.Board.State.Load().Number)
 	switch {
 	case g.GetNumber() > own:
--- a/bluebellport/src/follower_fault_test.go
+++ b/bluebellport/src/follower_fault_test.go
@@ -142,8 +142,8 @@
 	staleStore.staleHead.Store(&e)
 	staleStore.down.Store(true)
 	a := startInstance(t, "a", "d1", l, staleStore)
-	a.follower.Take("x", &bbwire.Gossip{Number: 2}) // a peer announces 2
-	staleStore.down.Store(false)                    // the store has only 1
+	a.follower.HandleGossip("x", &bbwire.Gossip{Number: 2}) // a peer announces 2
+	staleStore.down.Store(false)                            // the store has only 1
 	a.follower.readHead(nil)
 	is.Equal(a.number(), bbunit.TicketNumber(1))
 	is.True(!a.deps.Board.Ready.Load())
--- a/bluebellport/src/forwarder.go
+++ b/bluebellport/src/forwarder.go
@@ -36,29 +36,29 @@
 // at which all copies of a request meet. If the home cannot be reached, the
 // request is run without it, and only the claim or bill detects other copies.
 type forwarder struct {
-	front   *Frontend
-	streams streamTransport
+	frontend *Frontend
+	streams  streamTransport
 }
 
-func newForwarder(front *Frontend, streams streamTransport) *forwarder {
-	fwd := &forwarder{front: front, streams: streams}
+func newForwarder(frontend *Frontend, streams streamTransport) *forwarder {
+	fwd := &forwarder{frontend: frontend, streams: streams}
 	streams.HandleStream(runStreamKind, fwd.serve)
 	return fwd
 }
 
 // homeOf returns the request's home if that is another instance.
 func (fwd *forwarder) homeOf(req *clientRequest) (bbmember.Member, bool) {
-	if !req.clientNamed || req.forwarded {
+	if !req.clientChosenID || req.forwarded {
 		return bbmember.Member{}, false
 	}
-	view := fwd.front.deps.Board.View.Load()
+	view := fwd.frontend.deps.Board.View.Load()
 	home, ok := RequestHome(view, req.account.ID, req.id, view.Self.Domain)
 	return home, ok && home.ID != view.Self.ID
 }
 
 // fetchAnswer gets the request's answer from the instance that owns its claim.
 func (fwd *forwarder) fetchAnswer(ctx context.Context, req *clientRequest, to bbunit.InstanceID, answer *Answer) error {
-	view := fwd.front.deps.Board.View.Load()
+	view := fwd.frontend.deps.Board.View.Load()
 	owner, ok := view.Find(to)
 	if !ok || req.forwardedToOwner || to == view.Self.ID {
 		return errors.Trace(errHomeUnavailable)
@@ -72,7 +72,7 @@
 // The error is errHomeUnavailable when nothing of an answer came, so that the
 // request may be run here.
 func (fwd *forwarder) forward(ctx context.Context, req *clientRequest, to bbmember.Member, answer *Answer) error {
-	ctx, span := fwd.front.tracer.Start(ctx, "home", trace.WithSpanKind(trace.SpanKindClient))
+	ctx, span := fwd.frontend.tracer.Start(ctx, "home", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	ctx, cancel := context.WithDeadlineCause(ctx, req.deadline, errors.Trace(errDeadlineExceeded))
 	defer cancel()
@@ -173,19 +173,19 @@
 // serve runs a request that another instance forwarded.
 func (fwd *forwarder) serve(_ bbunit.InstanceID, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	front := fwd.front
+	frontend := fwd.frontend
 	msg := &bbwire.Run{}
-	opts := protodelim.UnmarshalOptions{MaxSize: int64(int(front.opts.MaxBodyBytes) + maxHeaderBytes*2)}
+	opts := protodelim.UnmarshalOptions{MaxSize: int64(int(frontend.opts.MaxBodyBytes) + maxHeaderBytes*2)}
 	if err := opts.UnmarshalFrom(bufio.NewReader(conn), msg); err != nil {
-		front.deps.Log.WithError(err).WithField("event", "badrun").Warn("malformed request from a peer dropped")
+		frontend.deps.Log.WithError(err).WithField("event", "badrun").Warn("malformed request from a peer dropped")
 		return
 	}
 	ctx := otel.GetTextMapPropagator().Extract(context.Background(), propagation.MapCarrier{"traceparent": msg.Trace})
-	ctx, span := front.tracer.Start(ctx, "carried", trace.WithSpanKind(trace.SpanKindServer))
+	ctx, span := frontend.tracer.Start(ctx, "carried", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
-	req, err := front.parseForwarded(msg)
+	req, err := frontend.parseForwarded(msg)
 	if err == nil {
-		err = front.streamAnswer(ctx, req, conn)
+		err = frontend.streamAnswer(ctx, req, conn)
 	}
 	if err != nil {
 		span.RecordError(err)
--- a/bluebellport/src/frontend.go
+++ b/bluebellport/src/frontend.go
@@ -26,7 +26,7 @@
 // and the list of models.
 type Frontend struct {
 	deps   Deps
-	opts   *FrontOptions
+	opts   *FrontendOptions
 	app    *fiber.App
 	runner *runner
 	dedup  *Deduplicator
@@ -50,7 +50,7 @@
 func NewFrontend(deps Deps, r *runner) *Frontend {
 	f := &Frontend{
 		deps:            deps,
-		opts:            &deps.Opts.Front,
+		opts:            &deps.Opts.Frontend,
 		runner:          r,
 		dedup:           NewDeduplicator(&deps.Opts.Record, deps.Now),
 		tracer:          otel.Tracer("bluebellport"),
@@ -174,7 +174,7 @@
 	f.openRequests.Add(1)
 	if leader {
 		runCtx := trace.ContextWithSpan(answer.Context(), trace.SpanFromContext(ctx))
-		f.tasks.Go(func() { f.dispatch(runCtx, req, answer) })
+		f.tasks.Go(func() { f.runOrForward(runCtx, req, answer) })
 	}
 	return answer, nil
 }
@@ -185,9 +185,9 @@
 	f.openRequests.Add(-1)
 }
 
-// dispatch runs the request on its home instance, or here if this instance is
+// runOrForward runs the request on its home instance, or here if this instance is
 // the home or the home does not answer.
-func (f *Frontend) dispatch(ctx context.Context, req *clientRequest, answer *Answer) {
+func (f *Frontend) runOrForward(ctx context.Context, req *clientRequest, answer *Answer) {
 	if f.forwarder != nil {
 		if home, ok := f.forwarder.homeOf(req); ok {
 			err := f.forwarder.forward(ctx, req, home, answer)
--- a/bluebellport/src/gossip.go
+++ b/bluebellport/src/gossip.go
@@ -54,7 +54,7 @@
 	for _, msg := range msgs {
 		out := &bbwire.Gossip{}
 		for _, gossiper := range g.currentGossipers() {
-			gossiper.Fill(out)
+			gossiper.FillGossip(out)
 		}
 		if proto.Size(out) > maxGossiperBytes {
 			g.truncated.Inc(1)
@@ -83,9 +83,9 @@
 		return nil
 	}
 	reports := bbmember.Decode(msg.GetMembers())
-	g.members.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.HandleGossip(now, reports) })
+	g.members.apply(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.HandleGossip(now, reports) })
 	for _, gossiper := range g.currentGossipers() {
-		gossiper.Take(from, msg)
+		gossiper.HandleGossip(from, msg)
 	}
 	return nil
 }
--- a/bluebellport/src/late_answer.go
+++ b/bluebellport/src/late_answer.go
@@ -14,13 +14,13 @@
 // idempotent, called if the answer comes after the caller was told that the
 // outcome is unknown. It bills the request and keeps the answer for a later
 // copy of the request. It returns nil for idempotent requests.
-func (j *execution) lateAnswerHandler() func(*fasthttp.Response) {
-	if j.req.idempotent || j.rejoin == nil {
+func (e *execution) lateAnswerHandler() func(*fasthttp.Response) {
+	if e.req.idempotent || e.rejoin == nil {
 		return nil
 	}
 	return func(resp *fasthttp.Response) {
-		<-j.ended
-		answer, leader, err := j.rejoin(j.req)
+		<-e.ended
+		answer, leader, err := e.rejoin(e.req)
 		if err != nil {
 			return
 		}
@@ -28,16 +28,16 @@
 		if !leader {
 			return // another copy is being refused because of the claim; the answer is not kept
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), j.plainClient.lateWindow)
+		ctx, cancel := context.WithTimeout(context.Background(), e.plainClient.lateWindow)
 		defer cancel()
-		if err := j.plainClient.relay(ctx, resp, j.req, answer); err != nil {
+		if err := e.plainClient.relay(ctx, resp, e.req, answer); err != nil {
 			answer.Finish(bbunit.OutcomeUnknown)
 			return
 		}
-		rec := bbjournal.Copy(j.rec)
-		rec.Kind, rec.Amount = bbwire.Record_BILL, int64(j.req.service.Price.Call)
-		j.journal.BillThen(rec, nil)
+		rec := bbjournal.Copy(e.rec)
+		rec.Kind, rec.Amount = bbwire.Record_BILL, int64(e.req.service.Price.Call)
+		e.journal.BillThen(rec, nil)
 		answer.Finish(bbunit.OutcomeDone)
-		j.deps.Log.WithField("event", "late").WithField("request", j.req.id).Info("answer came after the deadline")
+		e.deps.Log.WithField("event", "late").WithField("request", e.req.id).Info("answer came after the deadline")
 	}
 }
--- a/bluebellport/src/load.go
+++ b/bluebellport/src/load.go
@@ -39,26 +39,26 @@
 	return a.At
 }
 
-// loadProber asks a target for its load. It may block up to the deadline of ctx.
-type loadProber interface {
+// loadFetcher reads the load of a target. It may block up to the deadline of ctx.
+type loadFetcher interface {
 	Load(ctx context.Context, t bbticket.Target) (*bbwire.Load, error)
 }
 
-// httpLoadProber asks with GET /load.
-type httpLoadProber struct {
+// httpLoadFetcher reads it with GET /load.
+type httpLoadFetcher struct {
 	client fasthttp.Client
 	now    func() time.Time
 }
 
-func newHTTPLoadProber(now func() time.Time) *httpLoadProber {
-	return &httpLoadProber{now: now, client: fasthttp.Client{
+func newHTTPLoadFetcher(now func() time.Time) *httpLoadFetcher {
+	return &httpLoadFetcher{now: now, client: fasthttp.Client{
 		MaxConnsPerHost:     2,
 		MaxResponseBodySize: maxLoadResponseBytes,
 	}}
 }
 
-// Load asks the target for its load.
-func (h *httpLoadProber) Load(ctx context.Context, t bbticket.Target) (*bbwire.Load, error) {
+// Load reads the load of the target.
+func (h *httpLoadFetcher) Load(ctx context.Context, t bbticket.Target) (*bbwire.Load, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -85,16 +85,16 @@
 // shares the reports with the other instances of the failure domain.
 type loadPoller struct {
 	deps         Deps
-	prober       loadProber
+	fetcher      loadFetcher
 	observe      func(loads []*bbwire.Load)
 	lastSharedAt time.Time // used only by the goroutine that calls pollOnce
 	polled       metrics.Counter
 	failed       metrics.Counter
 }
 
-func newLoadPoller(deps Deps, prober loadProber, observe func([]*bbwire.Load)) *loadPoller {
+func newLoadPoller(deps Deps, fetcher loadFetcher, observe func([]*bbwire.Load)) *loadPoller {
 	l := &loadPoller{
-		deps: deps, prober: prober, observe: observe,
+		deps: deps, fetcher: fetcher, observe: observe,
 		polled: metrics.GetOrRegisterCounter("load.asked", deps.Metrics),
 		failed: metrics.GetOrRegisterCounter("load.failed", deps.Metrics),
 	}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// pollOnce asks every target once, at most maxConcurrentLoadPolls at a time,
+// pollOnce polls every target once, at most maxConcurrentLoadPolls at a time,
 // applies the reports and shares them. It blocks up to the polling interval.
 func (l *loadPoller) pollOnce(ctx context.Context, targets []bbticket.Target) {
 	ctx, cancel := context.WithTimeout(ctx, l.deps.Opts.Route.LoadPollInterval)
@@ -124,7 +124,7 @@
 		wg.Go(func() {
 			defer func() { <-sem }()
 			l.polled.Inc(1)
-			load, err := l.prober.Load(ctx, t)
+			load, err := l.fetcher.Load(ctx, t)
 			if err != nil {
 				l.failed.Inc(1)
 				l.deps.Log.WithError(err).WithField("target", t.ID).Debug("load poll failed")
--- a/bluebellport/src/load_test.go
+++ b/bluebellport/src/load_test.go
@@ -18,10 +18,10 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// proberFunc is a loadProber backed by a function.
-type proberFunc func(bbticket.Target) (*bbwire.Load, error)
+// fetcherFunc is a loadFetcher backed by a function.
+type fetcherFunc func(bbticket.Target) (*bbwire.Load, error)
 
-func (f proberFunc) Load(_ context.Context, t bbticket.Target) (*bbwire.Load, error) { return f(t) }
+func (f fetcherFunc) Load(_ context.Context, t bbticket.Target) (*bbwire.Load, error) { return f(t) }
 
 // recordingBus keeps the last envelope sent to each instance.
 type recordingBus struct {
@@ -50,7 +50,7 @@
 		tr.deps.Bus = bus
 		tr.deps.Opts.Self.Instance, tr.deps.Opts.Self.Domain = string(self.ID), string(self.Domain)
 		tr.deps.Board.View.Store(&bbmember.View{Self: self, Members: members})
-		r := newRouter(tr.deps, proberFunc(func(tg bbticket.Target) (*bbwire.Load, error) {
+		r := newRouter(tr.deps, fetcherFunc(func(tg bbticket.Target) (*bbwire.Load, error) {
 			is.Equal(tg.Domain, self.Domain)
 			return &bbwire.Load{Target: string(tg.ID), Slots: 4, At: tr.now.UnixMilli()}, nil
 		}))
@@ -91,7 +91,7 @@
 		tr.router.limits.ownUsage[fmt.Sprintf("account/with-a-name-%d", i)] = bbroute.Usage{Rate: float64(i)}
 	}
 	g := &bbwire.Gossip{}
-	tr.router.Fill(g)
+	tr.router.FillGossip(g)
 	t.Logf("loads: %d bytes every %s; gossip: %d bytes a message", size, interval, proto.Size(g))
 	is.True(proto.Size(g) < 4096)
 }
@@ -122,7 +122,7 @@
 			defer s.Close()
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			got, err := newHTTPLoadProber(func() time.Time { return now }).Load(ctx, bbticket.Target{ID: "a", Address: s.Listener.Addr().String()})
+			got, err := newHTTPLoadFetcher(func() time.Time { return now }).Load(ctx, bbticket.Target{ID: "a", Address: s.Listener.Addr().String()})
 			is.Equal(err == nil, c.ok)
 			if c.ok {
 				is.Equal(got.At, now.UnixMilli())
@@ -157,7 +157,7 @@
 	tr.deps.Board.View.Store(&bbmember.View{Members: []bbmember.Member{{ID: "i1", Domain: "d1"}, {ID: "i2", Domain: "d1"}}})
 	tr.router.tick()
 	nan := 0.0
-	tr.router.Take("i2", &bbwire.Gossip{
+	tr.router.HandleGossip("i2", &bbwire.Gossip{
 		Poisons: []*bbwire.Poison{{Print: 0, Targets: []string{"a"}}, {Print: 1}, nil},
 		Leaving: []string{"unknown"},
 		Usages: []*bbwire.Usage{
@@ -197,8 +197,8 @@
 			}
 			tr.router.tick()
 			g := &bbwire.Gossip{}
-			tr.router.Fill(g)
-			routers[1-i].router.Take(members[i].ID, g)
+			tr.router.FillGossip(g)
+			routers[1-i].router.HandleGossip(members[i].ID, g)
 		}
 	}
 	is.True(admitted[0] >= 80)
@@ -211,8 +211,8 @@
 	tr, other := newTestRouter(t, targets...), newTestRouter(t, targets...)
 	tr.router.observeLoads([]*bbwire.Load{{Target: "a", At: tr.now.UnixMilli(), Leaving: true}})
 	g := &bbwire.Gossip{}
-	tr.router.Fill(g)
-	other.router.Take("i1", g)
+	tr.router.FillGossip(g)
+	other.router.HandleGossip("i1", g)
 	is.Equal(tr.pickN(10)["a"], 0)
 	is.Equal(other.pickN(10)["a"], 0)
 }
--- a/bluebellport/src/membership.go
+++ b/bluebellport/src/membership.go
@@ -72,7 +72,7 @@
 		m.leave()
 	}
 	contacts := m.peers.recentContacts()
-	m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.RecordContact(now, contacts) })
+	m.apply(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.RecordContact(now, contacts) })
 	actions := m.update(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Tick(now) })
 	m.gossip.sendRound(actions.Send)
 	m.execute(bbmember.Actions{Probe: actions.Probe, Superseded: actions.Superseded})
@@ -85,7 +85,7 @@
 	m.leaveSent = true
 	m.mu.Unlock()
 	if !alreadySent {
-		m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Leave(now) })
+		m.apply(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.Leave(now) })
 	}
 }
 
@@ -102,9 +102,9 @@
 	return actions
 }
 
-// dispatch applies an event to the state machine and executes the returned
+// apply applies an event to the state machine and executes the returned
 // actions.
-func (m *membership) dispatch(fn func(f *bbmember.Fleet, now time.Time) bbmember.Actions) {
+func (m *membership) apply(fn func(f *bbmember.Fleet, now time.Time) bbmember.Actions) {
 	m.execute(m.update(fn))
 }
 
@@ -137,14 +137,14 @@
 		ID: bbunit.InstanceID(h.Instance), Inc: bbunit.Incarnation(h.Inc),
 		Domain: bbunit.DomainID(h.Domain), Address: h.Address,
 	}
-	m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.HandleHello(now, peer) })
+	m.apply(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.HandleHello(now, peer) })
 	for _, gossiper := range m.gossip.currentGossipers() {
-		gossiper.Take(peer.ID, &bbwire.Gossip{Number: h.Number})
+		gossiper.HandleGossip(peer.ID, &bbwire.Gossip{Number: h.Number})
 	}
 }
 
 func (m *membership) recordFailure(id bbunit.InstanceID) {
-	m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.RecordFailure(now, id) })
+	m.apply(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.RecordFailure(now, id) })
 }
 
 // pollList reads the platform's list repeatedly. The larger the list, the
@@ -189,6 +189,6 @@
 		m.deps.Log.Info("list of instances is back")
 	}
 	m.listDown = false
-	m.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.UpdateList(now, list) })
+	m.apply(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.UpdateList(now, list) })
 	return len(body)
 }
--- a/bluebellport/src/native.go
+++ b/bluebellport/src/native.go
@@ -103,5 +103,5 @@
 
 // UpdateList updates the membership from the platform's list of instances.
 func (p *Peers) UpdateList(list []bbmember.ListEntry) {
-	p.members.dispatch(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.UpdateList(now, list) })
+	p.members.apply(func(f *bbmember.Fleet, now time.Time) bbmember.Actions { return f.UpdateList(now, list) })
 }
--- a/bluebellport/src/options.go
+++ b/bluebellport/src/options.go
@@ -17,12 +17,12 @@
 // Options holds all settings of an instance. Each component has a group of its
 // own, which declares its flags and checks their values.
 type Options struct {
-	Self   SelfOptions
-	Front  FrontOptions
-	Peer   PeerOptions
-	Money  BudgetOptions
-	Record RecordOptions
-	Route  RouteOptions
+	Self     SelfOptions
+	Frontend FrontendOptions
+	Peer     PeerOptions
+	Budget   BudgetOptions
+	Record   RecordOptions
+	Route    RouteOptions
 }
 
 // optionGroup holds the settings of one component.
@@ -34,7 +34,7 @@
 }
 
 func (o *Options) groups() []optionGroup {
-	return []optionGroup{&o.Self, &o.Front, &o.Peer, &o.Money, &o.Record, &o.Route}
+	return []optionGroup{&o.Self, &o.Frontend, &o.Peer, &o.Budget, &o.Record, &o.Route}
 }
 
 // Check returns one line for each invalid setting of all groups.
@@ -85,9 +85,9 @@
 // ID returns the instance's name as an id.
 func (o *SelfOptions) ID() bbunit.InstanceID { return bbunit.InstanceID(o.Instance) }
 
-// FrontOptions holds the settings of the interfaces for callers and operators,
+// FrontendOptions holds the settings of the interfaces for callers and operators,
 // and of the requests that callers send.
-type FrontOptions struct {
+type FrontendOptions struct {
 	CallerAddress string
 	AdminAddress  string
 	// Cert and Key are PEM files; without them the interface for callers is
@@ -108,7 +108,7 @@
 	LateAnswerTimeout time.Duration
 }
 
-func (o *FrontOptions) flags(cmd *kingpin.CmdClause) {
+func (o *FrontendOptions) flags(cmd *kingpin.CmdClause) {
 	cmd.Flag("listen", "Address for callers.").Envar("BLUEBELLPORT_LISTEN").Default("127.0.0.1:8080").StringVar(&o.CallerAddress)
 	cmd.Flag("admin", "Address for health, metrics and status.").Envar("BLUEBELLPORT_ADMIN").Default("127.0.0.1:8081").StringVar(&o.AdminAddress)
 	cmd.Flag("tls-cert", "Certificate for callers, a PEM file; empty serves plain HTTP.").Envar("BLUEBELLPORT_TLS_CERT").StringVar(&o.Cert)
@@ -121,7 +121,7 @@
 	cmd.Flag("late", "How long past its deadline the answer to a request that may not be repeated is waited for.").Envar("BLUEBELLPORT_LATE").Default("60s").DurationVar(&o.LateAnswerTimeout)
 }
 
-func (o *FrontOptions) check() []string {
+func (o *FrontendOptions) check() []string {
 	problems := checkAddress("--listen", o.CallerAddress, true)
 	problems = append(problems, checkAddress("--admin", o.AdminAddress, true)...)
 	if (o.Cert == "") != (o.Key == "") {
--- a/bluebellport/src/order.go
+++ b/bluebellport/src/order.go
@@ -55,9 +55,8 @@
 	resenders map[bbunit.TargetID]*bbroute.Resender // used by the background goroutine only
 }
 
-// NewOrders returns the orders of an instance, and a function that stops it. In
-// each failure domain, the home instance of the orders sends unfinished ones
-// again.
+// NewOrders returns a running Orders and a function that stops it. In each
+// failure domain, the home instance of the orders sends unfinished ones again.
 func NewOrders(deps Deps) (*Orders, func()) {
 	o := newOrders(deps, &httpOrderSender{client: fasthttp.Client{MaxConnsPerHost: 2, MaxResponseBodySize: maxOrderResponseBytes}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -102,7 +101,7 @@
 	return order.Intent.Fence, errors.Annotate(ErrNotAcknowledged, ctx.Err().Error())
 }
 
-// runStep does the order's next step and tells whether the order is finished.
+// runStep does the order's next step and reports whether the order is finished.
 // The stored order was read at readAt and has revision rev.
 func (o *Orders) runStep(ctx context.Context, t bbticket.Target, order *bbroute.Order, stored bbroute.Intent, rev bbstore.Revision, readAt time.Time) (bool, error) {
 	switch order.OnRead(o.deps.Now(), stored, t.Fence, orderCallTimeout) {
--- a/bluebellport/src/peer.go
+++ b/bluebellport/src/peer.go
@@ -29,7 +29,7 @@
 	links     sync.Map // bbunit.InstanceID -> *link
 	streams   sync.Map // kind -> func(from, net.Conn)
 
-	mu     sync.Mutex // held while a link is created or removed
+	mu     sync.Mutex // guards creating and removing links
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     conc.WaitGroup
--- a/bluebellport/src/plain_client.go
+++ b/bluebellport/src/plain_client.go
@@ -14,7 +14,7 @@
 // plainClient sends requests to plain HTTP services.
 type plainClient struct {
 	conns          *targetConns
-	owner          string // this run of the instance; part of the attempts' ids
+	owner          string // this incarnation of the instance; part of the attempts' ids
 	silenceTimeout time.Duration
 	lateWindow     time.Duration // how long after the deadline a response is still taken
 }
@@ -29,8 +29,8 @@
 	"x-request-priority": true, "traceparent": true, "tracestate": true,
 }
 
-// isForwardedHeader tells whether a header field is passed on between caller and
-// target.
+// isForwardedHeader reports whether a header field is passed on between caller
+// and target.
 func isForwardedHeader(name string) bool { return !unforwardedHeaders[strings.ToLower(name)] }
 
 // run sends the request and relays the response, both as a whole. A request that
@@ -114,8 +114,8 @@
 	return answer.Write(ctx, b)
 }
 
-// reachable tells whether the address accepts connections. A service that closes
-// a connection without a response has not necessarily crashed.
+// reachable reports whether the address accepts connections. A service that
+// closes a connection without a response has not necessarily crashed.
 func reachable(address string) bool {
 	c, err := dialTarget(address)
 	if err != nil {
--- a/bluebellport/src/poison_tracker.go
+++ b/bluebellport/src/poison_tracker.go
@@ -10,7 +10,7 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// poisonTracker records which requests crashed targets. Readers take no lock.
+// poisonTracker keeps crash records: which requests crashed which targets. Readers take no lock.
 type poisonTracker struct {
 	policy    bbroute.PoisonPolicy
 	table     atomic.Pointer[bbroute.CrashTable]
@@ -35,20 +35,20 @@
 	return p.table.Load().CrashCount(fingerprint)
 }
 
-// isPoisoned tells whether requests with this fingerprint are refused.
+// isPoisoned reports whether requests with this fingerprint are refused.
 func (p *poisonTracker) isPoisoned(fingerprint uint64) bool {
 	return p.crashCount(fingerprint) >= p.policy.CrashThreshold
 }
 
 // recordCrash records that the target crashed while the request was in flight,
-// and tells whether that was new. A request that completed not long ago is not
+// and reports whether that was new. A request that completed not long ago is not
 // blamed.
 func (p *poisonTracker) recordCrash(fingerprint uint64, target bbunit.TargetID, now time.Time) bool {
 	return fingerprint != 0 && !p.knownGood.Contains(fingerprint) && p.merge(fingerprint, []bbunit.TargetID{target}, now)
 }
 
-// merge adds targets to the record of the fingerprint and tells whether any was
-// new.
+// merge adds targets to the record of the fingerprint and reports whether any
+// was new.
 func (p *poisonTracker) merge(fingerprint uint64, targets []bbunit.TargetID, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/bluebellport/src/recorder.go
+++ b/bluebellport/src/recorder.go
@@ -70,7 +70,6 @@
 
 func (s *sequence) next() uint64 { return s.n.Add(1) }
 
-// recorderMetrics holds the recorder's metrics.
 type recorderMetrics struct {
 	claims, alreadyClaimed, claimsNotWritten, claimsWithdrawn              metrics.Counter
 	bills, repeated, mismatched, late, unknowns                            metrics.Counter
@@ -143,7 +142,7 @@
 		}
 		now := r.Now()
 		r.metrics.unacknowledged.Update(r.unacknowledged.Load())
-		r.reclaimExpired(now)
+		r.requeueExpired(now)
 		for i := range r.queues {
 			q := r.queues[(round+i)%len(r.queues)] // each queue in turn is the first to use the write rates
 			if r.needsFlush(q, now) {
--- a/bluebellport/src/recorder_backup.go
+++ b/bluebellport/src/recorder_backup.go
@@ -288,7 +288,7 @@
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Shadowtell{Shadowtell: reply}}
 }
 
-// dropCopy removes a copy. mu must be held.
+// dropCopy removes a copy. b.mu must be held.
 func (b *recordBackup) dropCopy(id incarnationKey) {
 	if c := b.copies[id]; c != nil {
 		b.copyCount.Add(-int64(len(c.records)))
--- a/bluebellport/src/recorder_batch.go
+++ b/bluebellport/src/recorder_batch.go
@@ -121,9 +121,9 @@
 	return !pending
 }
 
-// reclaimExpired queues the records of expired batches again. If the home did
+// requeueExpired queues the records of expired batches again. If the home did
 // not answer in time, they bypass it.
-func (r *Recorder) reclaimExpired(now time.Time) {
+func (r *Recorder) requeueExpired(now time.Time) {
 	for _, b := range r.sentBatches.expire(now, func(p bbjournal.Partition) bbunit.InstanceID { return r.homeOf(p).ID }) {
 		r.metrics.batchesBypassingHome.Inc(1)
 		timedOut := now.After(b.deadline)
--- a/bluebellport/src/route_constants.go
+++ b/bluebellport/src/route_constants.go
@@ -10,7 +10,7 @@
 	// updated.
 	routeTickInterval = 100 * time.Millisecond
 
-	// maxConcurrentLoadPolls is the number of targets asked for their load at a
+	// maxConcurrentLoadPolls is the number of targets polled for their load at a
 	// time.
 	maxConcurrentLoadPolls = 16
 	// maxLoadLag is the maximum age of a report at which the target's own time
--- a/bluebellport/src/router.go
+++ b/bluebellport/src/router.go
@@ -50,7 +50,6 @@
 	routerMetrics
 }
 
-// routerMetrics holds the router's counters.
 type routerMetrics struct {
 	picks, failedAttempts, openedCircuits, retries, exhaustedRetries metrics.Counter
 	refused, droppedMessages, queued                                 metrics.Counter
@@ -68,7 +67,7 @@
 // NewRouter returns a router for the board's state, and a function that stops
 // it.
 func NewRouter(deps Deps) (*Router, func()) {
-	r := newRouter(deps, newHTTPLoadProber(deps.Now))
+	r := newRouter(deps, newHTTPLoadFetcher(deps.Now))
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() { r.runEvery(ctx, routeTickInterval, r.tick) })
@@ -82,7 +81,7 @@
 }
 
 // newRouter returns a router without background goroutines.
-func newRouter(deps Deps, prober loadProber) *Router {
+func newRouter(deps Deps, fetcher loadFetcher) *Router {
 	r := &Router{
 		deps:          deps,
 		pickPolicy:    deps.Opts.Route.pickPolicy(),
@@ -91,7 +90,7 @@
 		limits:        newSharedLimits(deps),
 		routerMetrics: newRouterMetrics(deps.Metrics),
 	}
-	r.poller = newLoadPoller(deps, prober, r.observeLoads)
+	r.poller = newLoadPoller(deps, fetcher, r.observeLoads)
 	r.table.Store(&bbroute.Table{})
 	return r
 }
--- a/bluebellport/src/router_gossip.go
+++ b/bluebellport/src/router_gossip.go
@@ -9,9 +9,9 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// Fill adds poison records, leaving targets and this instance's usage of
+// FillGossip adds crash records, leaving targets and this instance's usage of
 // limits.
-func (r *Router) Fill(g *bbwire.Gossip) {
+func (r *Router) FillGossip(g *bbwire.Gossip) {
 	now := r.deps.Now()
 	r.poison.fillGossip(g, now)
 	r.limits.fillGossip(g)
@@ -22,10 +22,10 @@
 	}
 }
 
-// Take merges the gossip of another instance. Entries that are malformed or
-// refer to unknown targets are counted and dropped. New poison records from
+// HandleGossip merges the gossip of another instance. Entries that are malformed
+// or refer to unknown targets are counted and dropped. New crash records from
 // another failure domain are passed on within the own one.
-func (r *Router) Take(from bbunit.InstanceID, g *bbwire.Gossip) {
+func (r *Router) HandleGossip(from bbunit.InstanceID, g *bbwire.Gossip) {
 	now := r.deps.Now()
 	newSuspects, dropped := r.poison.mergeGossip(g.GetPoisons(), now)
 	dropped += r.limits.mergeGossip(from, g.GetUsages(), now)
@@ -63,7 +63,7 @@
 	return keys
 }
 
-// broadcastPoisons sends the poison records of the fingerprints at once,
+// broadcastPoisons sends the crash records of the fingerprints at once,
 // instead of with the next gossip round, to all instances of the own failure
 // domain. If crossDomain is set, as for crashes seen by this instance, it also
 // sends them to one instance of each other domain, which passes them on there.
--- a/bluebellport/src/router_gossip_test.go
+++ b/bluebellport/src/router_gossip_test.go
@@ -36,7 +36,7 @@
 	r := b.net.routers[to]
 	b.net.mu.Unlock()
 	if r != nil && e.GetGossip() != nil {
-		r.Take(b.from, e.GetGossip())
+		r.HandleGossip(b.from, e.GetGossip())
 	}
 	return nil
 }
--- a/bluebellport/src/router_test.go
+++ b/bluebellport/src/router_test.go
@@ -54,7 +54,7 @@
 		Now:     func() time.Time { return tr.now },
 	}
 	tr.setTargets(1, targets...)
-	tr.router = newRouter(tr.deps, proberFunc(func(bbticket.Target) (*bbwire.Load, error) { return nil, errors.New("no load") }))
+	tr.router = newRouter(tr.deps, fetcherFunc(func(bbticket.Target) (*bbwire.Load, error) { return nil, errors.New("no load") }))
 	return tr
 }
 
--- a/bluebellport/src/runner.go
+++ b/bluebellport/src/runner.go
@@ -23,12 +23,12 @@
 	journal      Journal
 	engineClient *engineClient
 	plainClient  *plainClient
-	owner        string // this run of the instance, as INSTANCE/INCARNATION
+	owner        string // this incarnation of the instance, as INSTANCE/INCARNATION
 	tracer       trace.Tracer
 	// outcomeIfNotRun returns the outcome to report for a request that this copy
 	// did not run: another copy, here or on another instance, may have.
 	outcomeIfNotRun func(ctx context.Context, req *clientRequest, owner string) bbunit.Outcome
-	// rejoin joins the request's answer again. The bool tells whether the caller
+	// rejoin joins the request's answer again. The bool is set if the caller
 	// leads a new answer.
 	rejoin func(req *clientRequest) (*Answer, bool, error)
 	// fetchFromOwner gets the answer from the instance that owns the request's
@@ -48,7 +48,7 @@
 	relay        chatRelay
 	triedTargets []bbunit.TargetID
 	lastTarget   bbunit.TargetID
-	// sent tells that a target may have run the request, in whole or in part.
+	// sent is set if a target may have run the request, in whole or in part.
 	sent bool
 	// ended is closed once the answer has ended and the request is recorded.
 	ended chan struct{}
@@ -126,9 +126,9 @@
 	return r.budgets.Reserve(ctx, req.budgets, req.maxPrice)
 }
 
-// recordStart claims a request that must not run twice, and records a
-// reservation for any other. If the claim is refused it also returns the record
-// that stands, if any.
+// recordStart claims a request that must not run twice, and backs up the
+// reservation of any other. If the claim is refused it also returns the stored
+// record, if any.
 func (e *execution) recordStart(ctx context.Context) (*bbwire.Record, error) {
 	e.rec = &bbwire.Record{
 		Kind:    bbwire.Record_OPEN,
@@ -151,7 +151,7 @@
 }
 
 // handleClaimRefused ends the answer of a request that could not be claimed. If
-// another claim or a bill stands, the answer is fetched from its owner. If that
+// another claim or a bill is stored, the answer is fetched from its owner. If that
 // fails the request may have run, and the outcome is unknown.
 func (e *execution) handleClaimRefused(ctx context.Context, err error, existing *bbwire.Record) {
 	if !errors.Is(err, ErrAlreadyClaimed) || existing == nil {
@@ -268,8 +268,8 @@
 	return e.req.price(e.relay.totalUsage())
 }
 
-// bill commits the reservation and records the final amount. If another bill for
-// the request stands, the amount is refunded.
+// bill commits the reservation and records the final amount. If another bill is
+// stored for the request, the amount is refunded.
 func (e *execution) bill(kind bbwire.Record_Kind, amount bbunit.Tokens) {
 	e.reservation.Commit(amount)
 	e.rec.Kind, e.rec.Amount, e.rec.Target = kind, int64(amount), string(e.lastTarget)
--- a/bluebellport/src/share_waiter.go
+++ b/bluebellport/src/share_waiter.go
@@ -56,7 +56,7 @@
 	bm.waitOn(w, 0)
 }
 
-// waitOn makes the waiter wait for its budget at index instead of the present
+// waitOn makes the waiter wait for its budget at index instead of the current
 // one.
 func (bm *BudgetManager) waitOn(w *shareWaiter, index int) {
 	bm.stopWaiting(w)
@@ -101,7 +101,7 @@
 }
 
 // tryNextBudget makes the waiter wait for its next budget when no allocator has
-// anything left of the present one. After the last budget it goes back to the
+// anything left of the current one. After the last budget it goes back to the
 // first one that may be refunded.
 func (bm *BudgetManager) tryNextBudget(now time.Time, w *shareWaiter) {
 	if !bm.wallet.AllAllocatorsEmpty(now, bm.view, w.waitingOn) {
--- a/bluebellport/src/sse.go
+++ b/bluebellport/src/sse.go
@@ -18,7 +18,7 @@
 	data []byte
 }
 
-// isDone tells whether the event ends the stream.
+// isDone reports whether the event ends the stream.
 func (e sseEvent) isDone() bool { return bytes.Equal(e.data, []byte("[DONE]")) }
 
 // sseReader splits a response body into server-sent events.
@@ -85,13 +85,12 @@
 	usage           *tokenUsage
 	lastEvent       int  // id of the last event of this attempt
 	multipleChoices bool // the answer has several choices, so another engine cannot continue it
-	restarts        int
+	continuations   int
 	headSent        bool // the response head was sent
 }
 
 // process records a chunk and returns the chunk to send to the caller, nil if it
-// is to be dropped. wantUsage tells whether the caller asked for the usage
-// chunk.
+// is to be dropped. wantUsage is set if the caller requested the usage chunk.
 func (r *chatRelay) process(event sseEvent, wantUsage bool) ([]byte, error) {
 	var chunk chatChunk
 	if err := json.Unmarshal(event.data, &chunk); err != nil {
@@ -123,7 +122,7 @@
 			empty = false
 		}
 	}
-	if empty && r.restarts > 0 {
+	if empty && r.continuations > 0 {
 		return nil, nil
 	}
 	return r.rewriteChunk(event.data, chunk)
@@ -135,7 +134,7 @@
 	if r.chunkID == "" {
 		r.chunkID = chunk.ID
 	}
-	if chunk.ID == r.chunkID && (chunk.Usage == nil || r.restarts == 0) {
+	if chunk.ID == r.chunkID && (chunk.Usage == nil || r.continuations == 0) {
 		return data, nil
 	}
 	var fields map[string]json.RawMessage
@@ -155,7 +154,7 @@
 func (r *chatRelay) startNextAttempt() {
 	r.earlierTokens += r.attemptTokens
 	r.attemptTokens, r.lastEvent, r.usage = 0, 0, nil
-	r.restarts++
+	r.continuations++
 }
 
 // totalUsage returns the usage over all attempts: as the engine counted it, or
--- a/bluebellport/src/target_conns.go
+++ b/bluebellport/src/target_conns.go
@@ -64,8 +64,8 @@
 	return c, nil
 }
 
-// startSweep closes connections to targets that are no longer in force every
-// targetSweepInterval, until the returned function is called.
+// startSweep closes connections to targets that the state no longer contains
+// every targetSweepInterval, until the returned function is called.
 func (tc *targetConns) startSweep(board *Board) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
@@ -101,8 +101,8 @@
 }
 
 // send sends the request and returns when the response head has arrived, ctx
-// ends or the deadline passes. The bool tells whether the target may have got
-// any of the request. The returned function must be called to release the
+// ends or the deadline passes. The bool is set if the target may have got any
+// of the request. The returned function must be called to release the
 // response; it also interrupts a read of its body.
 func (tc *targetConns) send(ctx context.Context, address string, fresh bool, req *fasthttp.Request, deadline time.Time) (*fasthttp.Response, func(), bool, error) {
 	return tc.sendWithLateHandler(ctx, address, fresh, req, deadline, nil)
@@ -145,7 +145,7 @@
 	fasthttp.ReleaseResponse(resp)
 }
 
-// isNotSent tells whether err means that no connection to the target was made.
+// isNotSent reports whether err means that no connection to the target was made.
 func isNotSent(err error) bool {
 	return errors.Is(err, errNotSent) || errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout)
 }
