--- a/bluebellport/src/bill_test.go
+++ b/bluebellport/src/bill_test.go
@@ -175,7 +175,7 @@
 	f.t.Fatal("the selected peers do not keep the expected copies")
 }
 
-func TestOpenRequestOfADeadInstanceBecomesUnknown(t *testing.T) {
+func TestOpenRequestOfAKilledInstanceBecomesUnknown(t *testing.T) {
 	is := is.New(t)
 	f := newRecorderFleet(t, testRecordOptions(), 3)
 	inst := f.instances["a1"]
@@ -228,9 +228,9 @@
 	is.Equal(len(f.storedRecords()), 0)
 }
 
-// TestBillsAreCommittedElsewhereWhenTheHomeDies kills the home while it holds a
+// TestBillsAreCommittedElsewhereWhenTheHomeIsKilled kills the home while it holds a
 // batch: the bill must not wait for billVerdictTimeout.
-func TestBillsAreCommittedElsewhereWhenTheHomeDies(t *testing.T) {
+func TestBillsAreCommittedElsewhereWhenTheHomeIsKilled(t *testing.T) {
 	is := is.New(t)
 	f := newRecorderFleet(t, testRecordOptions(), 3)
 	home := f.homeOf("r", "a")
@@ -244,7 +244,7 @@
 	is.True(time.Since(start) < billVerdictTimeout/2)
 }
 
-func TestClaimOfADeadInstanceBecomesUnknown(t *testing.T) {
+func TestClaimOfAKilledInstanceBecomesUnknown(t *testing.T) {
 	is := is.New(t)
 	f := newRecorderFleet(t, testRecordOptions(), 3)
 	inst := f.instances["a1"]
--- a/bluebellport/src/budget_manager_fault_test.go
+++ b/bluebellport/src/budget_manager_fault_test.go
@@ -52,16 +52,16 @@
 	f := newBudgetFleet(t, testMember("a1", "a"), testMember("a2", "a"))
 	f.setBudget("b", 100_000)
 	for range 15 { // some demand, so that the allocator draws ahead
-		_, budget, share := f.spend("a1", "b", 20, 10, 10)
-		is.Equal(budget+share, 0)
+		_, exhausted, noShare := f.spend("a1", "b", 20, 10, 10)
+		is.Equal(exhausted+noShare, 0)
 		time.Sleep(100 * time.Millisecond)
 	}
 	f.store.SetFaults(bbstore.Faults{Down: true})
-	spent, budget, share := f.spend("a1", "b", 50, 10, 10)
+	spent, exhausted, noShare := f.spend("a1", "b", 50, 10, 10)
 	is.Equal(spent, bbunit.Tokens(500))
-	is.Equal(budget+share, 0)
-	_, budget, share = f.spend("a1", "b", 1, 50_000, 1)
-	is.Equal([]int{budget, share}, []int{0, 1}) // the budget may have tokens left: not ErrBudgetExhausted
+	is.Equal(exhausted+noShare, 0)
+	_, exhausted, noShare = f.spend("a1", "b", 1, 50_000, 1)
+	is.Equal([]int{exhausted, noShare}, []int{0, 1}) // the budget may have tokens left: not ErrBudgetExhausted
 }
 
 // unreachableStore is the store as seen by an instance that cannot reach it.
@@ -93,12 +93,12 @@
 			f.net.mu.Unlock()
 		}
 		time.Sleep(500 * time.Millisecond) // longer than an allocator's "empty" is trusted
-		spent, budget, _ := f.spend("a1", "b", 10, 10, 10)
+		spent, exhausted, _ := f.spend("a1", "b", 10, 10, 10)
 		if borrow {
 			is.Equal(spent, bbunit.Tokens(100))
 		} else {
 			is.Equal(spent, bbunit.Tokens(0))
-			is.Equal(budget, 0) // refused with ErrShareUnavailable: the budget may have tokens left
+			is.Equal(exhausted, 0) // refused with ErrShareUnavailable: the budget may have tokens left
 		}
 	}
 }
@@ -115,8 +115,8 @@
 	var spent bbunit.Tokens
 	for range 10 {
 		for _, id := range []bbunit.InstanceID{home.ID, other} {
-			s, budget, share := f.spend(id, "b", 5, 10, 10)
-			is.Equal(budget+share, 0)
+			s, exhausted, noShare := f.spend(id, "b", 5, 10, 10)
+			is.Equal(exhausted+noShare, 0)
 			spent += s
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -161,10 +161,10 @@
 	res.Commit(30)
 	res.Commit(100)
 	res.Commit(0)
-	spent, budget, share := f.spend("a1", "b", 8, 10, 10)
+	spent, exhausted, noShare := f.spend("a1", "b", 8, 10, 10)
 	is.Equal(spent, bbunit.Tokens(70))
-	is.Equal(budget, 1) // all is spent now
-	is.Equal(share, 0)
+	is.Equal(exhausted, 1) // all is spent now
+	is.Equal(noShare, 0)
 }
 
 func TestBudgetManagerRefusesBadAmountsAndUnknownBudgets(t *testing.T) {
--- a/bluebellport/src/budget_manager_test.go
+++ b/bluebellport/src/budget_manager_test.go
@@ -22,7 +22,8 @@
 	"bluebellport.example/shared/bbwire"
 )
 
-// fakeNetwork connects fake buses; the pairs in cut cannot send to each other.
+// fakeNetwork connects fake buses. For each pair in cut, the first instance
+// cannot send to the second.
 type fakeNetwork struct {
 	mu    sync.Mutex
 	buses map[bbunit.InstanceID]*fakeBus
@@ -186,9 +187,9 @@
 	f.setBudget("b", 1000)
 	var spent bbunit.Tokens
 	for _, id := range []bbunit.InstanceID{"a1", "a2", "b1", "a1", "a2", "b1"} {
-		s, _, share := f.spend(id, "b", 60, 10, 10)
+		s, _, noShare := f.spend(id, "b", 60, 10, 10)
 		spent += s
-		is.Equal(share, 0)
+		is.Equal(noShare, 0)
 	}
 	is.Equal(spent, bbunit.Tokens(1000)) // all of it, then ErrBudgetExhausted
 	for _, m := range f.managers {
--- a/bluebellport/src/engine_client_test.go
+++ b/bluebellport/src/engine_client_test.go
@@ -160,7 +160,7 @@
 }
 
 // TestStreamFaults checks that the caller gets the whole text exactly once, and
-// is billed once, whatever fault the engine asked first has.
+// is billed once, whatever fault the first engine has.
 func TestStreamFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		first   *fakeEngine // serves both targets; its faults occur once
@@ -200,7 +200,7 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	dying, healthy := &fakeEngine{cutAt: 4, diesAfterCut: true}, &fakeEngine{}
-	first := 0 // number of the target that was asked first, from 1
+	first := 0 // number of the target that got the first request, from 1
 	pick := func(n int) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
--- a/bluebellport/src/frontend_test.go
+++ b/bluebellport/src/frontend_test.go
@@ -146,7 +146,7 @@
 	return startTestFrontend(t, (&bbticket.State{}).Apply(ticket))
 }
 
-// startTestFrontend starts a frontend with the given state in force.
+// startTestFrontend starts a frontend with the given state.
 func startTestFrontend(t testing.TB, state *bbticket.State) *testFrontend {
 	t.Helper()
 	o := &Options{}
@@ -279,10 +279,10 @@
 // instance sets or withholds.
 func TestPlainRequestsAreForwarded(t *testing.T) {
 	is := is.New(t)
-	var seen *http.Request
+	var gotRequest *http.Request
 	var gotBody []byte
 	f := newTestFrontend(t, func(w http.ResponseWriter, r *http.Request) {
-		seen = r
+		gotRequest = r
 		gotBody, _ = io.ReadAll(r.Body)
 		w.Header().Set("X-Answer", "yes")
 		w.Header().Set("Content-Type", "text/weird")
@@ -294,12 +294,12 @@
 	is.Equal(body, "whole")
 	is.Equal(resp.Header.Get("X-Answer"), "yes")
 	is.Equal(resp.Header.Get("Content-Type"), "text/weird")
-	is.Equal(seen.RequestURI, "/a%20b/c?x=1&y=%2F")
+	is.Equal(gotRequest.RequestURI, "/a%20b/c?x=1&y=%2F")
 	is.Equal(string(gotBody), "payload")
-	is.Equal(seen.Header.Get("X-Mine"), "1")
-	is.Equal(seen.Header.Get("Content-Type"), "text/odd")
-	is.Equal(seen.Header.Get("Authorization"), "") // the API key is not forwarded
-	is.Equal(seen.Header.Get("Idempotency-Key"), "k1")
+	is.Equal(gotRequest.Header.Get("X-Mine"), "1")
+	is.Equal(gotRequest.Header.Get("Content-Type"), "text/odd")
+	is.Equal(gotRequest.Header.Get("Authorization"), "") // the API key is not forwarded
+	is.Equal(gotRequest.Header.Get("Idempotency-Key"), "k1")
 	f.waitSettled(is)
 	is.Equal(f.journal.lastBill().Amount, int64(10))
 	is.Equal(f.budgets.used, bbunit.Tokens(10))
@@ -522,7 +522,7 @@
 }
 
 // TestClientsOfRemovedTargetsAreDropped checks that the client of a target is
-// dropped once the target is no longer in force, and not before.
+// dropped once the state no longer contains the target, and not before.
 func TestClientsOfRemovedTargetsAreDropped(t *testing.T) {
 	is := is.New(t)
 	f := newTestFrontend(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) })
--- a/bluebellport/src/order.go
+++ b/bluebellport/src/order.go
@@ -43,8 +43,8 @@
 	Send(t bbticket.Target, i bbroute.Intent, deadline time.Time) error
 }
 
-// Orders sends orders to targets: to load a model, an adapter or a version, or
-// to change their role. The latest order for each target is stored in the
+// Orders sends operators' orders to targets: to load a model, an adapter or a
+// version, or to change their role. The latest order for each target is stored in the
 // key-value service before it is sent, and is sent again until the target has
 // it.
 type Orders struct {
--- a/bluebellport/src/order_test.go
+++ b/bluebellport/src/order_test.go
@@ -56,8 +56,8 @@
 
 func (f senderFunc) Send(_ bbticket.Target, i bbroute.Intent, _ time.Time) error { return f(i) }
 
-// newTestOrders returns orders whose waits return at once, and the sum of these
-// waits.
+// newTestOrders returns an Orders whose waits return at once, and the sum of
+// these waits.
 func newTestOrders(t *testing.T, s *singleKeyStore, f senderFunc) (*Orders, *time.Duration) {
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
 	tr.deps.Store = s
--- a/bluebellport/src/recorder.go
+++ b/bluebellport/src/recorder.go
@@ -28,14 +28,16 @@
 //
 //	Claim, Bill -> queue of the partition -> home's queue -> leaf, by compare-and-swap
 //	               (grouped by time)     \-> leaf, if the home is silent or is this instance
-//	Open, Bill  -> two peers, which submit what is unacknowledged when this instance dies
+//	Open, Bill  -> two peers, which submit what is unacknowledged when this instance is gone
 //
-// A claim names the attempt that made it as its owner. An attempt is granted
-// the claim only once the leaf that holds it is known to be written, and only
-// while its Claim call still waits; the request is sent after that. A call that
-// gives up abandons its attempt for good, so a late verdict cannot grant it. It
-// also queues a withdrawal, which replaces the leaf by compare-and-swap, so
-// that no delayed write of the claim can succeed afterwards.
+// A claim names the attempt that made it as its owner. In the recorder, an
+// attempt is one instance's run of a request, not the use of one target
+// (Attempt). An attempt is granted the claim only once the leaf that holds it is
+// known to be written, and only while its Claim call still waits; the request is
+// sent after that. A call that gives up abandons its attempt for good, so a late
+// verdict cannot grant it. It also queues a withdrawal, which replaces the leaf
+// by compare-and-swap, so that no delayed write of the claim can succeed
+// afterwards.
 //
 // A home that was paused may still write an abandoned claim later. An instance
 // that finds the claim of another attempt therefore asks the owner's instance.
@@ -164,7 +166,7 @@
 	}
 }
 
-// newOwner returns an owner id for a new attempt.
+// newOwner returns an owner id, unique in the fleet, for a new attempt.
 func (r *Recorder) newOwner() string {
 	return bbjournal.Owner{Instance: r.self.ID, Inc: r.self.Inc, Seq: r.attemptSeq.next()}.String()
 }
--- a/bluebellport/src/recorder_fleet_test.go
+++ b/bluebellport/src/recorder_fleet_test.go
@@ -196,7 +196,7 @@
 	bbstore.Store
 	mu        sync.Mutex
 	unblocked chan struct{}
-	dead      bool
+	killed    bool
 }
 
 func (s *blockingStore) block() {
@@ -216,16 +216,16 @@
 
 func (s *blockingStore) kill() {
 	s.mu.Lock()
-	s.dead = true
+	s.killed = true
 	s.mu.Unlock()
 	s.unblock()
 }
 
 func (s *blockingStore) CAS(ctx context.Context, key string, value []byte, prev bbstore.Revision, lease bbstore.LeaseID) (bbstore.Revision, error) {
 	s.mu.Lock()
-	unblocked, dead := s.unblocked, s.dead
+	unblocked, killed := s.unblocked, s.killed
 	s.mu.Unlock()
-	if dead {
+	if killed {
 		return 0, bbstore.ErrDown
 	}
 	if unblocked == nil {
@@ -239,9 +239,9 @@
 	go func() {
 		<-unblocked
 		s.mu.Lock()
-		dead := s.dead
+		killed := s.killed
 		s.mu.Unlock()
-		if dead {
+		if killed {
 			return
 		}
 		rev, err := s.Store.CAS(context.Background(), key, value, prev, lease)
--- a/bluebellport/src/router_test.go
+++ b/bluebellport/src/router_test.go
@@ -58,8 +58,7 @@
 	return tr
 }
 
-// setTargets puts a state with number n in force, in which service s1 has the
-// targets.
+// setTargets stores a state with number n, in which service s1 has the targets.
 func (tr *testRouter) setTargets(n bbunit.TicketNumber, targets ...bbticket.Target) {
 	s := &bbticket.State{
 		Number:   n,
