--- a/bluebellport/src/bus_test.go
+++ b/bluebellport/src/bus_test.go
@@ -19,11 +19,11 @@
 	sever func()
 }
 
-func askEnvelope(n uint64) *bbwire.Envelope {
+func ticketAskEnvelope(n uint64) *bbwire.Envelope {
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Ticketask{Ticketask: &bbwire.TicketAsk{After: n}}}
 }
 
-func tellEnvelope(s string) *bbwire.Envelope {
+func ticketTellEnvelope(s string) *bbwire.Envelope {
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Tickettell{Tickettell: &bbwire.TicketTell{State: []byte(s)}}}
 }
 
@@ -43,7 +43,7 @@
 	sent := make(chan uint64, 1)
 	done := make(chan *bbwire.Envelope, 1)
 	go func() {
-		r, _ := d.call(context.Background(), "b", askEnvelope(1), func(request *bbwire.Envelope) error {
+		r, _ := d.call(context.Background(), "b", ticketAskEnvelope(1), func(request *bbwire.Envelope) error {
 			sent <- request.Seq
 			return nil
 		})
@@ -51,7 +51,7 @@
 	}()
 	seq := <-sent
 	reply := func(s string) *bbwire.Envelope {
-		r := tellEnvelope(s)
+		r := ticketTellEnvelope(s)
 		r.Seq, r.Reply = seq, true
 		return r
 	}
@@ -63,16 +63,16 @@
 
 // busContract checks what every implementation of Bus must do.
 func busContract(t *testing.T, pair func(t *testing.T) busPair) {
-	answerAll := func(_ bbunit.InstanceID, _ *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") }
+	answerAll := func(_ bbunit.InstanceID, _ *bbwire.Envelope) *bbwire.Envelope { return ticketTellEnvelope("ok") }
 	t.Run("answer", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
 		from := make(chan bbunit.InstanceID, 1)
-		p.b.Handle(askEnvelope(0), func(id bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
+		p.b.Handle(ticketAskEnvelope(0), func(id bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
 			from <- id
-			return tellEnvelope(string(rune('0' + e.GetTicketask().After)))
+			return ticketTellEnvelope(string(rune('0' + e.GetTicketask().After)))
 		})
-		r, err := busCall(p.a, "b", askEnvelope(7), time.Second)
+		r, err := busCall(p.a, "b", ticketAskEnvelope(7), time.Second)
 		is.NoErr(err)
 		is.Equal(string(r.GetTickettell().State), "7")
 		is.Equal(<-from, bbunit.InstanceID("a"))
@@ -81,13 +81,13 @@
 	t.Run("concurrent replies reach their callers", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
-		p.b.Handle(askEnvelope(0), func(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
-			return tellEnvelope(string(rune('a' + e.GetTicketask().After)))
+		p.b.Handle(ticketAskEnvelope(0), func(_ bbunit.InstanceID, e *bbwire.Envelope) *bbwire.Envelope {
+			return ticketTellEnvelope(string(rune('a' + e.GetTicketask().After)))
 		})
 		errs := make(chan bool, 20)
 		for i := range uint64(20) {
 			go func() {
-				r, err := busCall(p.a, "b", askEnvelope(i), time.Second)
+				r, err := busCall(p.a, "b", ticketAskEnvelope(i), time.Second)
 				errs <- err == nil && string(r.GetTickettell().State) == string(rune('a'+i))
 			}()
 		}
@@ -99,41 +99,41 @@
 		is := is.New(t)
 		p := pair(t)
 		start := time.Now()
-		_, err := busCall(p.a, "b", askEnvelope(1), 5*time.Second)
+		_, err := busCall(p.a, "b", ticketAskEnvelope(1), 5*time.Second)
 		is.True(err != nil)
 		is.True(time.Since(start) < 4*time.Second)
 	})
 	t.Run("other handlers work after a panic", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
-		p.b.Handle(tellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { panic("x") })
-		p.b.Handle(askEnvelope(0), answerAll)
-		_, err := busCall(p.a, "b", tellEnvelope(""), time.Second)
+		p.b.Handle(ticketTellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { panic("x") })
+		p.b.Handle(ticketAskEnvelope(0), answerAll)
+		_, err := busCall(p.a, "b", ticketTellEnvelope(""), time.Second)
 		is.True(err != nil)
-		_, err = busCall(p.a, "b", askEnvelope(1), time.Second)
+		_, err = busCall(p.a, "b", ticketAskEnvelope(1), time.Second)
 		is.NoErr(err)
 	})
 	t.Run("a call without a reply ends at its deadline", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
-		p.b.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return nil })
-		_, err := busCall(p.a, "b", askEnvelope(1), 100*time.Millisecond)
+		p.b.Handle(ticketAskEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return nil })
+		_, err := busCall(p.a, "b", ticketAskEnvelope(1), 100*time.Millisecond)
 		is.True(errors.Is(err, ErrPeerUnreachable))
 	})
 	t.Run("unknown instance", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
-		_, err := busCall(p.a, "nobody", askEnvelope(1), 200*time.Millisecond)
+		_, err := busCall(p.a, "nobody", ticketAskEnvelope(1), 200*time.Millisecond)
 		is.True(errors.Is(err, ErrPeerUnreachable))
 	})
 	t.Run("severed link", func(t *testing.T) {
 		is := is.New(t)
 		p := pair(t)
-		p.b.Handle(askEnvelope(0), answerAll)
-		_, err := busCall(p.a, "b", askEnvelope(1), time.Second)
+		p.b.Handle(ticketAskEnvelope(0), answerAll)
+		_, err := busCall(p.a, "b", ticketAskEnvelope(1), time.Second)
 		is.NoErr(err)
 		p.sever()
-		_, err = busCall(p.a, "b", askEnvelope(1), 300*time.Millisecond)
+		_, err = busCall(p.a, "b", ticketAskEnvelope(1), 300*time.Millisecond)
 		is.True(errors.Is(err, ErrPeerUnreachable))
 	})
 }
--- a/bluebellport/src/peer_test.go
+++ b/bluebellport/src/peer_test.go
@@ -23,11 +23,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		pb := testDeps("b", "d1", l.srv.Listener.Addr().String(), nil)
-		self := *pb.Board.View.Load()
+		depsB := testDeps("b", "d1", l.srv.Listener.Addr().String(), nil)
+		self := *depsB.Board.View.Load()
 		self.Self.Inc = 2
-		pb.Board.View.Store(&self)
-		b, stopB, err := NewPeers(pb)
+		depsB.Board.View.Store(&self)
+		b, stopB, err := NewPeers(depsB)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,12 +90,12 @@
 	store := bbstore.NewMem()
 	a, b = startInstance(t, "a", "d1", l, store), startInstance(t, "b", "d1", l, store)
 	within(t, 5*time.Second, "a and b see each other", func() bool { return a.sees("b") && b.sees("a") })
-	b.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") })
+	b.peers.Handle(ticketAskEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return ticketTellEnvelope("ok") })
 	return a, b, l
 }
 
 func canCall(from *testInstance, to bbunit.InstanceID) bool {
-	_, err := busCall(from.peers, to, askEnvelope(1), 300*time.Millisecond)
+	_, err := busCall(from.peers, to, ticketAskEnvelope(1), 300*time.Millisecond)
 	return err == nil
 }
 
@@ -112,14 +112,14 @@
 		n := startInstanceWith(t, deps)
 		proxies[id].setTarget(n.peers.Address())
 		l.add(id, "d1", v.Self.Address)
-		n.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") })
+		n.peers.Handle(ticketAskEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return ticketTellEnvelope("ok") })
 		return n
 	}
 	a, _ := start("a"), start("b")
 	within(t, 5*time.Second, "an answer through the proxy", func() bool { return canCall(a, "b") })
 	for range 2 {
-		for _, deps := range proxies {
-			deps.freeze()
+		for _, proxy := range proxies {
+			proxy.freeze()
 		}
 		is.True(!canCall(a, "b"))
 		took := within(t, keepAliveTimeout, "an answer over a new connection", func() bool { return canCall(a, "b") })
@@ -169,12 +169,12 @@
 	deps := testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem())
 	deps.Opts.Peer.ListenAddress = b.peers.Address() // the same name at the same address
 	restarted := startInstanceWith(t, deps)
-	restarted.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("new") })
+	restarted.peers.Handle(ticketAskEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return ticketTellEnvelope("new") })
 	within(t, 5*time.Second, "the new incarnation in view", func() bool {
 		m, ok := a.view().Find("b")
 		return ok && m.Inc == restarted.view().Self.Inc
 	})
-	r, err := busCall(a.peers, "b", askEnvelope(1), time.Second)
+	r, err := busCall(a.peers, "b", ticketAskEnvelope(1), time.Second)
 	is.NoErr(err)
 	is.Equal(r.Inc, uint64(restarted.view().Self.Inc))
 	is.True(r.Inc != uint64(oldInc))
@@ -184,18 +184,18 @@
 	is := is.New(t)
 	a, b, l := startPair(t)
 	var misdelivered atomic.Int64
-	b.peers.Handle(tellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
+	b.peers.Handle(ticketTellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
 		misdelivered.Add(1)
 		return nil
 	})
 	l.add("c", "d1", b.address()) // the list is outdated: b has the address now
 	within(t, 5*time.Second, "c is listed", func() bool { return a.sees("c") })
 	for range 5 {
-		_ = a.peers.Send("c", tellEnvelope("for c"))
+		_ = a.peers.Send("c", ticketTellEnvelope("for c"))
 		time.Sleep(10 * time.Millisecond)
 	}
 	within(t, 5*time.Second, "c is removed from the view", func() bool { return !a.sees("c") && a.sees("b") })
-	_, err := busCall(a.peers, "c", askEnvelope(1), time.Second)
+	_, err := busCall(a.peers, "c", ticketAskEnvelope(1), time.Second)
 	is.True(errors.Is(err, ErrPeerUnreachable))
 	is.True(canCall(a, "b"))
 	is.Equal(misdelivered.Load(), int64(0))
@@ -205,12 +205,12 @@
 	is := is.New(t)
 	a, b, _ := startPair(t)
 	stall := make(chan struct{})
-	b.peers.Handle(tellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
+	b.peers.Handle(ticketTellEnvelope(""), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope {
 		<-stall
 		return nil
 	})
 	defer close(stall)
-	big := tellEnvelope(string(make([]byte, 1<<20)))
+	big := ticketTellEnvelope(string(make([]byte, 1<<20)))
 	start := time.Now()
 	refused := 0
 	for range 4 * linkQueueSize {
@@ -234,7 +234,7 @@
 		}
 		done := make(chan bool, 2)
 		go func() { done <- within(t, 3*time.Second, "a calls b", func() bool { return canCall(a, "b") }) > 0 }()
-		go func() { done <- b.peers.Send("a", tellEnvelope("x")) == nil }()
+		go func() { done <- b.peers.Send("a", ticketTellEnvelope("x")) == nil }()
 		is.True(<-done)
 		<-done
 	}
@@ -251,13 +251,13 @@
 	is := is.New(t)
 	a, older, l := startPair(t)
 	newer := startInstanceWith(t, testDeps("b", "d1", l.srv.Listener.Addr().String(), bbstore.NewMem()))
-	newer.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("newer") })
+	newer.peers.Handle(ticketAskEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return ticketTellEnvelope("newer") })
 	within(t, 5*time.Second, "the later incarnation in view", func() bool {
 		m, ok := a.view().Find("b")
 		return ok && m.Inc == newer.view().Self.Inc && m.Address == newer.address()
 	})
 	for range 20 {
-		_ = older.peers.Send("a", tellEnvelope("from the earlier incarnation"))
+		_ = older.peers.Send("a", ticketTellEnvelope("from the earlier incarnation"))
 		if l := older.peers.existingLink("a"); l != nil {
 			l.closeAll() // it opens a new connection each time
 		}
@@ -267,12 +267,12 @@
 		is.Equal(m.Inc, newer.view().Self.Inc)
 	}
 	within(t, 3*time.Second, "messages reach the later incarnation", func() bool {
-		r, err := busCall(a.peers, "b", askEnvelope(1), 300*time.Millisecond)
+		r, err := busCall(a.peers, "b", ticketAskEnvelope(1), 300*time.Millisecond)
 		return err == nil && r.Inc == uint64(newer.view().Self.Inc)
 	})
 	for range 20 {
-		_ = older.peers.Send("a", tellEnvelope("from the earlier incarnation"))
-		r, err := busCall(a.peers, "b", askEnvelope(1), time.Second)
+		_ = older.peers.Send("a", ticketTellEnvelope("from the earlier incarnation"))
+		r, err := busCall(a.peers, "b", ticketAskEnvelope(1), time.Second)
 		is.NoErr(err)
 		is.Equal(r.Inc, uint64(newer.view().Self.Inc))
 	}
--- a/bluebellport/src/peer_tls_test.go
+++ b/bluebellport/src/peer_tls_test.go
@@ -89,7 +89,7 @@
 		deps := testDeps(id, "d1", l.srv.Listener.Addr().String(), store)
 		deps.Opts.Peer = o
 		inst := startInstanceWith(t, deps)
-		inst.peers.Handle(askEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return tellEnvelope("ok") })
+		inst.peers.Handle(ticketAskEnvelope(0), func(bbunit.InstanceID, *bbwire.Envelope) *bbwire.Envelope { return ticketTellEnvelope("ok") })
 		l.add(id, "d1", inst.address())
 		return inst
 	}
--- a/bluebellport/src/trace_test.go
+++ b/bluebellport/src/trace_test.go
@@ -48,9 +48,9 @@
 	is.NoErr(err)
 	defer otel.SetTracerProvider(noop.NewTracerProvider())
 
-	var seen string
+	var gotTraceparent string
 	f := newTestFrontend(t, func(w http.ResponseWriter, r *http.Request) {
-		seen = r.Header.Get("Traceparent")
+		gotTraceparent = r.Header.Get("Traceparent")
 		_, _ = w.Write([]byte("ok"))
 	})
 	resp, _ := f.do(t, "POST", "/services/desk/x", "", "Traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01")
@@ -68,5 +68,5 @@
 	is.Equal(got["reserve"], "request")
 	_, ok := got["request"]
 	is.True(ok)
-	is.True(strings.HasPrefix(seen, "00-0af7651916cd43dd8448eb211c80319c-")) // the target is in the same trace
+	is.True(strings.HasPrefix(gotTraceparent, "00-0af7651916cd43dd8448eb211c80319c-")) // the target is in the same trace
 }
