--- a/bluebellctl/src/ticket.go
+++ b/bluebellctl/src/ticket.go
@@ -81,7 +81,7 @@
 		return nil, errors.Trace(err)
 	}
 	if t.Number != s.Number+1 {
-		return nil, &bbticket.NumberError{Requested: t.Number, Head: s.Number}
+		return nil, &bbticket.NumberError{Requested: t.Number, LastAccepted: s.Number}
 	}
 	return s, s.Check(t)
 }
--- a/bluebellport/proxy/exchange.go
+++ b/bluebellport/proxy/exchange.go
@@ -121,7 +121,7 @@
 			used += unseenEvents * x.maxEventTokens
 		}
 	}
-	x.balance.Settle(x.reserved, used)
+	x.balance.Commit(x.reserved, used)
 }
 
 // accountID returns the client account, empty if the request was admitted
--- a/bluebellport/proxy/loan.go
+++ b/bluebellport/proxy/loan.go
@@ -60,7 +60,7 @@
 		n = share.LendUpTo(need)
 	}
 	tell := &bbwire.LoanTell{
-		Account: ask.Account, Tokens: int64(n), Free: int64(max(share.Free(), 0)),
+		Account: ask.Account, Tokens: int64(n), Free: int64(max(share.Remaining(), 0)),
 		Covered: n >= need || !share.RowLoaded() || share.Covers(need, l.shares.allocator.Holder),
 	}
 	return &bbwire.Envelope{Body: &bbwire.Envelope_Loantell{Loantell: tell}}
@@ -151,7 +151,7 @@
 	l.shares.mu.Lock()
 	share := l.shares.allocator.Account(request.Account)
 	share.AddLoan(bbunit.Tokens(reply.Tokens))
-	share.SetHomeFree(bbunit.Tokens(reply.Free))
+	share.SetHomeRemaining(bbunit.Tokens(reply.Free))
 	if reply.Covered {
 		delete(l.uncoveredAt, request.Account)
 	} else {
--- a/bluebellport/proxy/proxy_test.go
+++ b/bluebellport/proxy/proxy_test.go
@@ -32,8 +32,8 @@
 		{"error, non-idempotent", bbplatformstand.FaultError, "/book/1", 500, 1},
 		{"reset, idempotent", bbplatformstand.FaultReset, "/read/1", 200, 2},
 		{"reset, non-idempotent", bbplatformstand.FaultReset, "/book/1", 502, 1},
-		{"no response, idempotent", bbplatformstand.FaultNoAnswer, "/read/1", 200, 2},
-		{"no response, non-idempotent", bbplatformstand.FaultNoAnswer, "/book/1", 504, 1},
+		{"no response, idempotent", bbplatformstand.FaultNoResponse, "/read/1", 200, 2},
+		{"no response, non-idempotent", bbplatformstand.FaultNoResponse, "/book/1", 504, 1},
 		{"truncated, idempotent", bbplatformstand.FaultTruncated, "/read/1", 200, 2},
 		{"truncated, non-idempotent", bbplatformstand.FaultTruncated, "/book/1", 502, 1},
 		{"unsigned, idempotent", bbplatformstand.FaultUnsigned, "/read/1", 200, 2},
@@ -91,7 +91,7 @@
 	is := is.New(t)
 	h := newHarness(t, 1000)
 	target := h.startTarget(bbplatformstand.TargetOptions{ID: "t1", Service: "desk"})
-	target.SetFault(bbplatformstand.FaultEarlyAnswer, 1)
+	target.SetFault(bbplatformstand.FaultEarlyResponse, 1)
 	h.start()
 	is.Equal(h.call("POST", "/book/1", strings.Repeat("b", 250_000)).status, 413)
 	is.Equal(h.call("POST", "/book/2", "body").status, 200)
--- a/bluebellport/proxy/share.go
+++ b/bluebellport/proxy/share.go
@@ -124,7 +124,7 @@
 	if share.UsesRemoteHome() {
 		return c.loans.uncoveredByHome(account.ID)
 	}
-	return share.RowLoaded() && share.Free()+share.Balance.Available() < n
+	return share.RowLoaded() && share.Remaining()+share.Balance.Available() < n
 }
 
 // wake makes run check the shares at once.
@@ -166,7 +166,7 @@
 	switch {
 	case share.UsesRemoteHome() && c.loans.uncoveredRecently(account.ID), fresh && !share.Covers(n, c.allocator.Holder):
 		return &Refusal{Status: http.StatusPaymentRequired, Reason: "the account's balance does not cover the request", LogFields: c.logFields(share, n)}
-	case !fresh || share.Free()+share.Balance.Available() >= n:
+	case !fresh || share.Remaining()+share.Balance.Available() >= n:
 		return nil
 	}
 	refusal := refuseNotRun("the rest of the account's money is in other instances' shares", defaultRetryAfter)
@@ -177,7 +177,7 @@
 // logFields returns the values that decide whether a share is available.
 func (c *shareController) logFields(share *bbshare.AccountShare, n bbunit.Tokens) logrus.Fields {
 	return logrus.Fields{
-		"account": share.ID, "tokens": n, "here": share.Balance.Available(), "free": share.Free(), "others": share.UnspentByOthers(c.allocator.Holder),
+		"account": share.ID, "tokens": n, "here": share.Balance.Available(), "free": share.Remaining(), "others": share.UnspentByOthers(c.allocator.Holder),
 		"age": c.now().Sub(c.lastReplyAt).Milliseconds(),
 	}
 }
--- a/bluebellport/src/budget_manager.go
+++ b/bluebellport/src/budget_manager.go
@@ -81,12 +81,12 @@
 
 func (r *activeReservation) commit(used bbunit.Tokens) {
 	if !r.committed.Swap(true) {
-		r.balance.Commit(r.Max, used)
+		r.balance.Commit(r.Amount, used)
 	}
 }
 
 func newReservation(balance *bbledger.Balance, amount bbunit.Tokens) *Reservation {
-	r := &activeReservation{Reservation: Reservation{Budget: balance.Budget, Holder: balance.Holder(), Max: amount}, balance: balance}
+	r := &activeReservation{Reservation: Reservation{Budget: balance.Budget, Holder: balance.Holder(), Amount: amount}, balance: balance}
 	r.Reservation.Commit, r.Reservation.Refund = r.commit, balance.Refund
 	return &r.Reservation
 }
--- a/bluebellport/src/core.go
+++ b/bluebellport/src/core.go
@@ -91,7 +91,7 @@
 //	  '-- bill --------> Recorder <-------> key-value service, other instances
 //
 // Operators use another address. There, admin serves health, metrics and
-// status, and passes orders to Orders, which stores them and sends them to the
+// status, and passes orders to OrderManager, which stores them and sends them to the
 // target.
 func Serve(ctx context.Context, opts *Options, logs io.Writer) error {
 	log, err := newLogger(opts, logs)
@@ -139,7 +139,7 @@
 		"money":   func() any { return budgetStatusOrError(budgets.Status()) },
 		"records": func() any { return recorder.Status() },
 	})
-	orders, closeOrders := NewOrders(deps)
+	orders, closeOrders := NewOrderManager(deps)
 	defer closeOrders()
 	adminServer.sendOrder = orders.Order
 
--- a/bluebellport/src/deps.go
+++ b/bluebellport/src/deps.go
@@ -82,7 +82,7 @@
 type Reservation struct {
 	Budget bbunit.BudgetID
 	Holder bbunit.HolderID
-	Max    bbunit.Tokens
+	Amount bbunit.Tokens
 	Commit func(used bbunit.Tokens)
 	// Refund returns tokens to the budget that were committed and turned out
 	// not to be owed.
--- a/bluebellport/src/frontend_test.go
+++ b/bluebellport/src/frontend_test.go
@@ -42,7 +42,7 @@
 	}
 	fb.available -= amount
 	fb.openReservations++
-	return &Reservation{Budget: budgets[0], Holder: "h", Max: amount, Commit: func(used bbunit.Tokens) {
+	return &Reservation{Budget: budgets[0], Holder: "h", Amount: amount, Commit: func(used bbunit.Tokens) {
 		fb.mu.Lock()
 		defer fb.mu.Unlock()
 		fb.available += amount - used
--- a/bluebellport/src/membership.go
+++ b/bluebellport/src/membership.go
@@ -115,9 +115,9 @@
 	for _, id := range actions.Probe {
 		m.peers.probeInBackground(id)
 	}
-	if actions.Dropped > 0 {
-		m.peers.dropped.Inc(int64(actions.Dropped))
-		m.deps.Log.WithField("reports", actions.Dropped).Warn("malformed member reports dropped")
+	if actions.MalformedReports > 0 {
+		m.peers.dropped.Inc(int64(actions.MalformedReports))
+		m.deps.Log.WithField("reports", actions.MalformedReports).Warn("malformed member reports dropped")
 	}
 	if actions.Superseded {
 		m.deps.Log.Error("a later instance has this instance's name")
--- a/bluebellport/src/order.go
+++ b/bluebellport/src/order.go
@@ -43,11 +43,11 @@
 	Send(t bbticket.Target, i bbroute.Intent, deadline time.Time) error
 }
 
-// Orders sends operators' orders to targets: to load a model, an adapter or a
+// OrderManager sends operators' orders to targets: to load a model, an adapter or a
 // version, or to change their role. The latest order for each target is stored in the
 // key-value service before it is sent, and is sent again until the target has
 // it.
-type Orders struct {
+type OrderManager struct {
 	deps      Deps
 	sender    orderSender
 	sleep     func(ctx context.Context, d time.Duration) error
@@ -55,9 +55,9 @@
 	resenders map[bbunit.TargetID]*bbroute.Resender // used by the background goroutine only
 }
 
-// NewOrders returns a running Orders and a function that stops it. In each
+// NewOrderManager returns a running OrderManager and a function that stops it. In each
 // failure domain, the home instance of the orders sends unfinished ones again.
-func NewOrders(deps Deps) (*Orders, func()) {
+func NewOrderManager(deps Deps) (*OrderManager, func()) {
 	o := newOrders(deps, &httpOrderSender{client: fasthttp.Client{MaxConnsPerHost: 2, MaxResponseBodySize: maxOrderResponseBytes}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
@@ -72,8 +72,8 @@
 	}
 }
 
-func newOrders(deps Deps, sender orderSender) *Orders {
-	return &Orders{
+func newOrders(deps Deps, sender orderSender) *OrderManager {
+	return &OrderManager{
 		deps: deps, sender: sender, sleep: sleepFor,
 		resenders: make(map[bbunit.TargetID]*bbroute.Resender),
 		failed:    metrics.GetOrRegisterCounter("order.failed", deps.Metrics),
@@ -85,7 +85,7 @@
 // (ErrSuperseded), the target has seen a higher fencing number (ErrStaleFence)
 // or ctx ended. In the last case the order, if stored, stays in force and is
 // sent again in the background.
-func (o *Orders) Order(ctx context.Context, t bbticket.Target, action, model string) (bbunit.Fence, error) {
+func (o *OrderManager) Order(ctx context.Context, t bbticket.Target, action, model string) (bbunit.Fence, error) {
 	order := bbroute.NewOrder(action, model, string(o.deps.Opts.Self.ID())+"/"+uuid.NewString())
 	for ctx.Err() == nil {
 		readAt := o.deps.Now()
@@ -103,8 +103,8 @@
 
 // runStep does the order's next step and reports whether the order is finished.
 // The stored order was read at readAt and has revision rev.
-func (o *Orders) runStep(ctx context.Context, t bbticket.Target, order *bbroute.Order, stored bbroute.Intent, rev bbstore.Revision, readAt time.Time) (bool, error) {
-	switch order.OnRead(o.deps.Now(), stored, t.Fence, orderCallTimeout) {
+func (o *OrderManager) runStep(ctx context.Context, t bbticket.Target, order *bbroute.Order, stored bbroute.Intent, rev bbstore.Revision, readAt time.Time) (bool, error) {
+	switch order.OnRead(o.deps.Now(), stored, t.ChecksFence, orderCallTimeout) {
 	case bbroute.OrderStepWrite:
 		err := o.writeIntent(ctx, t.ID, order.Intent, rev)
 		if err == nil {
@@ -146,7 +146,7 @@
 
 // resendAll sends stored orders again where needed, if this instance is the home
 // of its failure domain's orders. It reads all orders with one call.
-func (o *Orders) resendAll(ctx context.Context) {
+func (o *OrderManager) resendAll(ctx context.Context) {
 	home, ok := o.deps.Board.View.Load().Home("orders", bbunit.DomainID(o.deps.Opts.Self.Domain))
 	if !ok || home.ID != o.deps.Opts.Self.ID() {
 		return
@@ -171,7 +171,7 @@
 // resendIfDue sends the stored order e, which was read at readAt, and marks it
 // done. If orderCallTimeout has passed since then, the order is left for the
 // next round.
-func (o *Orders) resendIfDue(ctx context.Context, t bbticket.Target, e bbstore.Entry, readAt time.Time) {
+func (o *OrderManager) resendIfDue(ctx context.Context, t bbticket.Target, e bbstore.Entry, readAt time.Time) {
 	var stored bbroute.Intent
 	if err := json.Unmarshal(e.Value, &stored); err != nil {
 		o.deps.Log.WithError(err).WithField("target", t.ID).Error("order unreadable")
@@ -183,7 +183,7 @@
 		o.resenders[t.ID] = resender
 	}
 	now := o.deps.Now()
-	if !resender.ShouldSend(now, stored, t.Fence, orderCallTimeout) || now.After(readAt.Add(orderCallTimeout)) {
+	if !resender.ShouldSend(now, stored, t.ChecksFence, orderCallTimeout) || now.After(readAt.Add(orderCallTimeout)) {
 		return
 	}
 	if err := o.sender.Send(t, stored, readAt.Add(orderCallTimeout)); err != nil {
@@ -199,7 +199,7 @@
 
 // readIntent returns the latest order for the target, or an empty one if there
 // is none.
-func (o *Orders) readIntent(ctx context.Context, id bbunit.TargetID) (bbroute.Intent, bbstore.Revision, error) {
+func (o *OrderManager) readIntent(ctx context.Context, id bbunit.TargetID) (bbroute.Intent, bbstore.Revision, error) {
 	var intent bbroute.Intent
 	entry, err := o.deps.Store.Get(ctx, orderKeyPrefix+string(id))
 	if err != nil || entry.Rev == 0 {
@@ -209,7 +209,7 @@
 }
 
 // writeIntent stores the order if the stored one still has revision prev.
-func (o *Orders) writeIntent(ctx context.Context, id bbunit.TargetID, intent bbroute.Intent, prev bbstore.Revision) error {
+func (o *OrderManager) writeIntent(ctx context.Context, id bbunit.TargetID, intent bbroute.Intent, prev bbstore.Revision) error {
 	b, err := json.Marshal(intent)
 	if err != nil {
 		return errors.Trace(err)
--- a/bluebellport/src/order_test.go
+++ b/bluebellport/src/order_test.go
@@ -56,9 +56,9 @@
 
 func (f senderFunc) Send(_ bbticket.Target, i bbroute.Intent, _ time.Time) error { return f(i) }
 
-// newTestOrders returns an Orders whose waits return at once, and the sum of
+// newTestOrders returns an OrderManager whose waits return at once, and the sum of
 // these waits.
-func newTestOrders(t *testing.T, s *singleKeyStore, f senderFunc) (*Orders, *time.Duration) {
+func newTestOrders(t *testing.T, s *singleKeyStore, f senderFunc) (*OrderManager, *time.Duration) {
 	tr := newTestRouter(t, bbticket.Target{ID: "a", Domain: "d1"})
 	tr.deps.Store = s
 	o := newOrders(tr.deps, f)
@@ -115,7 +115,7 @@
 				}
 				return nil
 			})
-			fence, err := o.Order(context.Background(), bbticket.Target{ID: "a", Fence: c.checksFence}, "load", "m")
+			fence, err := o.Order(context.Background(), bbticket.Target{ID: "a", ChecksFence: c.checksFence}, "load", "m")
 			is.True(errors.Is(err, c.err) || err == c.err)
 			is.Equal([]int{int(fence), sent}, []int{c.fence, c.sent})
 			is.Equal(*waited, c.waited)
--- a/bluebellstand/src/load.go
+++ b/bluebellstand/src/load.go
@@ -110,7 +110,7 @@
 	var mu sync.Mutex
 	report := NewLoadReport()
 	enc := json.NewEncoder(records)
-	Generate(ctx, *o, func(r LoadResult) {
+	GenerateLoad(ctx, *o, func(r LoadResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		report.Add(r)
@@ -125,10 +125,10 @@
 	return nil
 }
 
-// Generate sends requests until the duration has passed, the count is reached
+// GenerateLoad sends requests until the duration has passed, the count is reached
 // or ctx is done, and returns when all requests have ended. It calls onResult
 // with the result of each request, concurrently.
-func Generate(ctx context.Context, o LoadOptions, onResult func(LoadResult)) {
+func GenerateLoad(ctx context.Context, o LoadOptions, onResult func(LoadResult)) {
 	sender, stop := newSender(o.Instances, o.Timeout)
 	defer stop()
 	rng := rand.New(rand.NewPCG(o.Seed, 0))
--- a/bluebellstand/src/load_test.go
+++ b/bluebellstand/src/load_test.go
@@ -29,7 +29,7 @@
 	var mu sync.Mutex
 	var results []LoadResult
 	report := NewLoadReport()
-	Generate(context.Background(), o, func(r LoadResult) {
+	GenerateLoad(context.Background(), o, func(r LoadResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		report.Add(r)
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -154,7 +154,7 @@
 func generateLoad(o bbstand.LoadOptions) []bbstand.LoadResult {
 	var mu sync.Mutex
 	var out []bbstand.LoadResult
-	bbstand.Generate(context.Background(), o, func(r bbstand.LoadResult) {
+	bbstand.GenerateLoad(context.Background(), o, func(r bbstand.LoadResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		out = append(out, r)
--- a/shared/bbledger/allocator.go
+++ b/shared/bbledger/allocator.go
@@ -147,7 +147,7 @@
 		retiredSlices: map[bbunit.HolderID][]*bbwire.Slice{},
 		finalReports:  map[granteeKey][]*bbwire.Slice{},
 	}
-	al.holder = NewHolder(al.peer, page, nextHolderNumber())
+	al.holder = NewHolderID(al.peer, page, nextHolderNumber())
 	return al
 }
 
--- a/shared/bbledger/balance.go
+++ b/shared/bbledger/balance.go
@@ -11,7 +11,7 @@
 )
 
 // Balance is what an instance holds of one budget. Reserve, Commit, Refund, Low,
-// Free and Holder are safe for concurrent use and take no lock; everything else
+// Available and Holder are safe for concurrent use and take no lock; everything else
 // belongs to the goroutine of the Wallet.
 //
 // At every moment the unspent tokens of the slices equal free + unattributed +
@@ -83,8 +83,8 @@
 // should be requested.
 func (b *Balance) Low() bool { return b.free.Load() < b.lowWatermark.Load() }
 
-// Free returns how many tokens may be reserved now.
-func (b *Balance) Free() bbunit.Tokens { return bbunit.Tokens(b.free.Load()) }
+// Available returns how many tokens may be reserved now.
+func (b *Balance) Available() bbunit.Tokens { return bbunit.Tokens(b.free.Load()) }
 
 // Holder returns the holder whose slice is charged next, or "" before the first
 // grant.
@@ -196,7 +196,7 @@
 	b.demand.update(now, horizon)
 	goal := b.demand.expected(horizon)
 	b.lowWatermark.Store(int64(goal / 2))
-	if b.Free() <= 2*goal {
+	if b.Available() <= 2*goal {
 		b.surplusSince = time.Time{}
 		return
 	}
@@ -204,7 +204,7 @@
 		b.surplusSince = now
 	}
 	if now.Sub(b.surplusSince) >= 2*horizon {
-		b.returnFree(b.Free() - goal)
+		b.returnFree(b.Available() - goal)
 		b.surplusSince = time.Time{}
 	}
 }
--- a/shared/bbledger/bench_test.go
+++ b/shared/bbledger/bench_test.go
@@ -239,7 +239,7 @@
 						s.perform(x, x.allocator.Step(s.now, Refresh{}))
 					}
 				})
-				if closedAfter < 0 && !namesHolder(s.page, NewHolder(PeerOf(n.member), PageOf(b), 1)) {
+				if closedAfter < 0 && !namesHolder(s.page, NewHolderID(PeerOf(n.member), PageOf(b), 1)) {
 					closedAfter = s.now.Sub(killedAt)
 				}
 			}
--- a/shared/bbledger/close.go
+++ b/shared/bbledger/close.go
@@ -35,7 +35,7 @@
 		al.retiredSlices[old] = al.grantedSlices()
 		al.closings[old] = &holderClosing{holder: old, own: true, frozen: true, marks: al.retiredSlices[old], surrenderSince: al.now, finalReports: map[Peer][]*bbwire.Slice{}}
 	}
-	al.holder = NewHolder(al.peer, al.pageNumber, al.nextHolderNumber())
+	al.holder = NewHolderID(al.peer, al.pageNumber, al.nextHolderNumber())
 	al.onPage, al.maybeOnPage = false, false
 	al.pendingMark, al.witnessChange, al.witness = nil, nil, Peer{}
 	for _, a := range al.allocations {
--- a/shared/bbledger/operator.go
+++ b/shared/bbledger/operator.go
@@ -13,9 +13,9 @@
 
 // Sentinel errors of the calls for operators, tested with errors.Is.
 const (
-	// ErrBelowDrawn means that a budget cannot be lowered to an amount because
+	// ErrBelowCharged means that a budget cannot be lowered to an amount because
 	// more is already drawn, settled or stuck.
-	ErrBelowDrawn = errors.ConstError("budget below what is drawn")
+	ErrBelowCharged = errors.ConstError("budget below what is drawn")
 	// ErrNoHolder means that the budget's entry has no such holder.
 	ErrNoHolder = errors.ConstError("holder not found")
 	// ErrCapped means that another pending ticket has capped the budget.
@@ -113,7 +113,7 @@
 
 // Cap limits a budget to paid until the ticket of that number is in force, so that
 // the ticket can lower the budget without overspending it. It returns
-// ErrBelowDrawn when more than paid is charged, and ErrCapped when a ticket of
+// ErrBelowCharged when more than paid is charged, and ErrCapped when a ticket of
 // that number or a later one, with another nonce, has capped the budget. A repeat
 // with the same nonce changes nothing. It blocks on the store.
 func Cap(ctx context.Context, store bbstore.Store, b bbunit.BudgetID, paid bbunit.Tokens, number bbunit.TicketNumber, nonce string) error {
@@ -125,7 +125,7 @@
 			return errors.Annotatef(ErrCapped, "budget %s, ticket %d, nonce %s", b, e.Capnumber, e.Capnonce)
 		}
 		if t := Charged(e); t > paid {
-			return errors.Annotatef(ErrBelowDrawn, "budget %s: %d tokens are drawn, settled or stuck, cannot be capped at %d", b, t, paid)
+			return errors.Annotatef(ErrBelowCharged, "budget %s: %d tokens are drawn, settled or stuck, cannot be capped at %d", b, t, paid)
 		}
 		if e.Capnumber > e.Number {
 			paid = min(paid, bbunit.Tokens(e.Cap)) // the earlier ticket may have been accepted and need its cap
--- a/shared/bbledger/operator_test.go
+++ b/shared/bbledger/operator_test.go
@@ -51,7 +51,7 @@
 	}{
 		{"lowers", 60, 4, "n", nil},
 		{"to what is charged", 55, 4, "n", nil},
-		{"below what is charged", 54, 4, "n", ErrBelowDrawn},
+		{"below what is charged", 54, 4, "n", ErrBelowCharged},
 		{"negative", -1, 4, "n", ErrAmountRange},
 		{"too large", MaxPaid + 1, 4, "n", ErrAmountRange},
 	} {
--- a/shared/bbledger/peer.go
+++ b/shared/bbledger/peer.go
@@ -40,8 +40,8 @@
 	return Peer{ID: bbunit.InstanceID(s[:i]), Inc: bbunit.Incarnation(inc)}
 }
 
-// NewHolder returns the id of the nth holder of a peer on a page.
-func NewHolder(p Peer, page int, n uint64) bbunit.HolderID {
+// NewHolderID returns the id of the nth holder of a peer on a page.
+func NewHolderID(p Peer, page int, n uint64) bbunit.HolderID {
 	return bbunit.HolderID(p.String() + "/" + strconv.Itoa(page) + "-" + strconv.FormatUint(n, 10))
 }
 
--- a/shared/bbledger/recall.go
+++ b/shared/bbledger/recall.go
@@ -162,8 +162,8 @@
 	refill := &bal.refill
 	refill.recalledAt = now
 	bal.attributeSpent()
-	if refill.waitingTotal == 0 || bal.Free() < refill.smallestWait && r.Grantee < w.self.String() {
-		bal.returnFree(bal.Free())
+	if refill.waitingTotal == 0 || bal.Available() < refill.smallestWait && r.Grantee < w.self.String() {
+		bal.returnFree(bal.Available())
 	}
 	batch := requestBatch{self: w.self, byInstance: map[bbunit.InstanceID]*bbwire.GrantAsk{}}
 	batch.addReport(bal, true)
--- a/shared/bbledger/recall_test.go
+++ b/shared/bbledger/recall_test.go
@@ -205,7 +205,7 @@
 		if s.Returned != c.returned || s.Granted != 20 {
 			t.Errorf("%s: %v, want %d returned", c.name, s, c.returned)
 		}
-		is.Equal(bal.Free(), bbunit.Tokens(15-c.returned))
+		is.Equal(bal.Available(), bbunit.Tokens(15-c.returned))
 		if c.waiting == 0 {
 			bal.demand.tokensPerSecond = 1000
 			is.Equal(len(w.DueMessages(now.Add(requestInterval), v)), 0) // it does not request what it has just returned
--- a/shared/bbledger/wallet.go
+++ b/shared/bbledger/wallet.go
@@ -154,7 +154,7 @@
 		bal.attributeSpent()
 		bal.sampleDemand(now, w.policy.GrantHorizon)
 		if w.draining {
-			bal.returnFree(bal.Free())
+			bal.returnFree(bal.Available())
 		}
 		if report {
 			batch.addReport(bal, w.draining)
@@ -169,7 +169,7 @@
 // requestRefill adds a want for the next allocator when the balance runs short.
 func (w *Wallet) requestRefill(now time.Time, v *bbmember.View, bal *Balance, batch *requestBatch) {
 	r := &bal.refill
-	short := r.waitingTotal > 0 && bal.Free() < r.smallestWait
+	short := r.waitingTotal > 0 && bal.Available() < r.smallestWait
 	if !short && (!bal.Low() || now.Sub(r.recalledAt) < refillPauseAfterRecall) || now.Sub(r.askedAt) < requestInterval {
 		return
 	}
@@ -185,10 +185,10 @@
 		return
 	}
 	goal := bal.demand.expected(w.policy.GrantHorizon)
-	amount := saturate(2*r.waitingTotal) + goal - bal.Free()
+	amount := saturate(2*r.waitingTotal) + goal - bal.Available()
 	least := bbunit.Tokens(1)
 	if short {
-		least = r.smallestWait - bal.Free()
+		least = r.smallestWait - bal.Available()
 	}
 	r.askedAt, r.lastAskedAt = now, now
 	batch.addWant(m, bal, &bbwire.Want{Amount: int64(max(amount, least)), Least: int64(least), Borrow: m.Domain != w.domain, Urgent: short})
--- a/shared/bbledger/wallet_test.go
+++ b/shared/bbledger/wallet_test.go
@@ -29,11 +29,11 @@
 	for _, n := range []int64{10, 10, 4, 25, 10} {
 		w.HandleGrant(now, "d", grantMessage("k/1/0-1", n))
 	}
-	is.Equal(w.Balance("b").Free(), bbunit.Tokens(25))
+	is.Equal(w.Balance("b").Available(), bbunit.Tokens(25))
 	other := grantMessage("k/1/0-1", 99)
 	other.Slices[0].Grantee = "g/2"
 	w.HandleGrant(now, "d", other)
-	is.Equal(w.Balance("b").Free(), bbunit.Tokens(25)) // granted to another incarnation
+	is.Equal(w.Balance("b").Available(), bbunit.Tokens(25)) // granted to another incarnation
 }
 
 func TestWalletSurrenderIsFinal(t *testing.T) {
@@ -46,8 +46,8 @@
 	s := w.Surrender("k/1/0-1").Slices[0]
 	is.Equal([]int64{s.Granted, s.Spent, s.Returned}, []int64{20, 0, 15}) // 5 are reserved by an open request
 	replies := w.HandleGrant(now, "d", grantMessage("k/1/0-1", 50))
-	is.Equal(bal.Free(), bbunit.Tokens(0)) // a late grant
-	is.Equal(len(replies), 1)              // its allocator gets the surrender again
+	is.Equal(bal.Available(), bbunit.Tokens(0)) // a late grant
+	is.Equal(len(replies), 1)                   // its allocator gets the surrender again
 	is.True(!bal.addGrant("k/1/0-1", 50))
 	bal.Commit(5, 3)
 	w.DueMessages(now, v)
@@ -56,7 +56,7 @@
 
 	w.Surrender("k/1/0-2") // before any grant of it
 	w.HandleGrant(now, "d", grantMessage("k/1/0-2", 50))
-	is.Equal(bal.Free(), bbunit.Tokens(0))
+	is.Equal(bal.Available(), bbunit.Tokens(0))
 }
 
 func TestBalanceClampsSpendToTheReservation(t *testing.T) {
@@ -75,7 +75,7 @@
 		bal.Commit(c.reserved, c.used)
 		bal.attributeSpent()
 		is.Equal(bal.slices[0].spent, c.spent)
-		is.Equal(bal.Free(), c.free)
+		is.Equal(bal.Available(), c.free)
 		is.True(!bal.Reserve(-1))
 		is.True(!bal.Reserve(21))
 	}
@@ -106,7 +106,7 @@
 	}
 	is.Equal(bal.slices[0].spent, all)
 	is.True(all <= 1000)
-	is.Equal(bal.Free(), 1000-all)
+	is.Equal(bal.Available(), 1000-all)
 }
 
 func TestWalletAsksItsOwnDomainFirstThenBorrows(t *testing.T) {
--- a/shared/bbmember/fleet.go
+++ b/shared/bbmember/fleet.go
@@ -44,8 +44,8 @@
 	// Probe lists members to open a new connection to. The caller reports the
 	// outcome with HandleHello or RecordFailure.
 	Probe []bbunit.InstanceID
-	// Dropped counts the malformed reports that were ignored.
-	Dropped int
+	// MalformedReports counts the malformed reports that were ignored.
+	MalformedReports int
 	// Superseded is set when a later incarnation of this instance was reported.
 	Superseded bool
 }
@@ -154,7 +154,7 @@
 func (f *Fleet) HandleHello(now time.Time, m Member) Actions {
 	f.advanceClock(now)
 	if m.ID == f.self.ID || !validIDs(m.ID, m.Domain) {
-		return Actions{Dropped: 1}
+		return Actions{MalformedReports: 1}
 	}
 	p := f.peers[m.ID]
 	tombstone, dropped := f.tombstones[m.ID]
@@ -202,7 +202,7 @@
 	for _, r := range reports {
 		switch {
 		case !f.validReport(r):
-			a.Dropped++
+			a.MalformedReports++
 		case r.ID == f.self.ID:
 			a.Superseded = a.Superseded || (r.Inc != f.self.Inc && r.Heartbeat > f.self.Heartbeat)
 		case f.mergeReport(r) && r.Leaving:
--- a/shared/bbmember/fleet_test.go
+++ b/shared/bbmember/fleet_test.go
@@ -115,7 +115,7 @@
 			bad := good
 			corrupt(&bad)
 			a := f.HandleGossip(simStart, []Report{bad, testReport("b", 1, heartbeatAt(0))})
-			is.Equal(a.Dropped, 1)
+			is.Equal(a.MalformedReports, 1)
 			is.Equal(len(f.View().Members), 2) // self and b: the valid report of the message is used
 		})
 	}
--- a/shared/bbroute/capacity_test.go
+++ b/shared/bbroute/capacity_test.go
@@ -9,9 +9,9 @@
 	"bluebellport.example/shared/bbunit"
 )
 
-// BenchmarkCapacityNext measures Table.WithState after a new ticket: one that
+// BenchmarkCapacityWithState measures Table.WithState after a new ticket: one that
 // changes a target, and one that changes only a budget.
-func BenchmarkCapacityNext(b *testing.B) {
+func BenchmarkCapacityWithState(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		ticket := bbticket.Ticket{Number: 1}
 		for i := range 4 {
--- a/shared/bbshare/allocator.go
+++ b/shared/bbshare/allocator.go
@@ -33,8 +33,8 @@
 	// PriorSpent is the spending that all holders together are assumed to have
 	// before any is recorded, as a fraction of what the account has paid.
 	PriorSpent float64
-	// MaxRows is the largest number of accounts in one write.
-	MaxRows int
+	// MaxRowsPerWrite is the largest number of accounts in one write.
+	MaxRowsPerWrite int
 }
 
 // HomeHorizon is the Policy.Horizon in a large fleet, where homes serve the other
@@ -48,7 +48,7 @@
 // DefaultPolicy returns the policy of a small fleet, where no account has a home
 // and each instance gets its grants from the store.
 func DefaultPolicy() Policy {
-	return Policy{Horizon: 15 * time.Second, RefillBelow: 0.7, MinShare: 0.005, MaxHeld: 0.25, LossLimit: 0.1, MinScale: 0.2, PriorSpent: 0.016, MaxRows: 32}
+	return Policy{Horizon: 15 * time.Second, RefillBelow: 0.7, MinShare: 0.005, MaxHeld: 0.25, LossLimit: 0.1, MinScale: 0.2, PriorSpent: 0.016, MaxRowsPerWrite: 32}
 }
 
 // unmetPrefetchFactor is the least desired share as a multiple of the unmet demand.
@@ -120,8 +120,8 @@
 // SetPaid sets the total that an account has paid.
 func (a *Allocator) SetPaid(id bbunit.AccountID, paid bbunit.Tokens) { a.Account(id).paid = paid }
 
-// Free returns what no holder has been granted, according to the last known row.
-func (s *AccountShare) Free() bbunit.Tokens { return s.paid - s.row.TotalGranted() }
+// Remaining returns what no holder has been granted, according to the last known row.
+func (s *AccountShare) Remaining() bbunit.Tokens { return s.paid - s.row.TotalGranted() }
 
 // RowLoaded reports whether the account's row has been read.
 func (s *AccountShare) RowLoaded() bool { return s.rowLoaded }
@@ -130,7 +130,7 @@
 // tokens, those available here, and those that other holders may give back add up
 // to at least n.
 func (s *AccountShare) Covers(n bbunit.Tokens, holder bbunit.HolderID) bool {
-	return s.Free()+s.Balance.Available()+s.row.UnspentByOthers(holder) >= n
+	return s.Remaining()+s.Balance.Available()+s.row.UnspentByOthers(holder) >= n
 }
 
 // UnspentByOthers returns what holders other than the given one may still have,
@@ -245,7 +245,7 @@
 		return cmp.Or(cmp.Compare(y.unmet, x.unmet), cmp.Compare(x.s.ID, y.s.ID))
 	})
 	write := &RowWrite{}
-	for _, c := range candidates[:min(len(candidates), a.policy.MaxRows)] {
+	for _, c := range candidates[:min(len(candidates), a.policy.MaxRowsPerWrite)] {
 		if surplus := c.s.granted - c.newGrant; surplus > 0 {
 			c.s.granted -= bbunit.Tokens(c.s.Balance.takeUpTo(int64(surplus)))
 			c.newGrant = c.s.granted
@@ -266,7 +266,7 @@
 	if s.fenced || s.remoteHome || s.paid <= 0 && s.granted == 0 {
 		return 0, false
 	}
-	free := max(s.Free(), 0)
+	free := max(s.Remaining(), 0)
 	if !s.rowLoaded {
 		free = 0 // the write at revision 0 either creates the row or returns it with a conflict
 	}
@@ -382,7 +382,7 @@
 	out := make([]Status, 0, len(a.shares))
 	for _, s := range a.shares {
 		out = append(out, Status{
-			Account: s.ID, Paid: s.paid, Free: s.Free(), Available: s.Balance.Available(),
+			Account: s.ID, Paid: s.paid, Free: s.Remaining(), Available: s.Balance.Available(),
 			Spent: bbunit.Tokens(s.Balance.spent.Load()), Rate: bbunit.Tokens(s.demand),
 			Lent: s.lent, Granted: s.granted, Closed: s.row.Closed,
 		})
--- a/shared/bbshare/allocator_test.go
+++ b/shared/bbshare/allocator_test.go
@@ -128,7 +128,7 @@
 				in.inFlight = in.inFlight[1:]
 				used := bbunit.Tokens(rapid.IntRange(0, int(n)).Draw(t, "used"))
 				s.spent += used
-				in.allocator.Account(account).Balance.Settle(n, used)
+				in.allocator.Account(account).Balance.Commit(n, used)
 			},
 			"write": func(t *rapid.T) {
 				i := pick(t)
@@ -154,7 +154,7 @@
 				in := s.instances[i]
 				for _, n := range in.inFlight {
 					s.spent += n
-					in.allocator.Account(account).Balance.Settle(n, n)
+					in.allocator.Account(account).Balance.Commit(n, n)
 				}
 				in.inFlight = nil
 				in.allocator.Drain()
@@ -215,7 +215,7 @@
 	s := newSimulation(2, 1000)
 	first := s.instances[0].allocator
 	is.True(s.reserve(0, 600))
-	first.Account(account).Balance.Settle(600, 200)
+	first.Account(account).Balance.Commit(600, 200)
 	s.write(0, first.Close(), 0)
 	is.True(s.reserve(1, 800))
 }
@@ -231,7 +231,7 @@
 	s.start(0)
 	a = s.instances[0].allocator
 	is.True(!s.reserve(0, 1000-granted+1))
-	is.Equal(a.Account(account).Free()+a.Account(account).Balance.Available(), 1000-granted)
+	is.Equal(a.Account(account).Remaining()+a.Account(account).Balance.Available(), 1000-granted)
 	is.True(!a.Account(account).Covers(1000-granted+1, a.Holder)) // the request is refused with 402
 }
 
@@ -263,7 +263,7 @@
 		for !balance.Reserve(n) {
 			s.write(0, busy.NextWrite(8, true), 0)
 		}
-		balance.Settle(n, n)
+		balance.Commit(n, n)
 	}
 	for range 10 {
 		for range 10 {
@@ -294,7 +294,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if balance.Reserve(1000) {
-				balance.Settle(1000, 10)
+				balance.Commit(1000, 10)
 			}
 		}
 	})
--- a/shared/bbshare/balance.go
+++ b/shared/bbshare/balance.go
@@ -14,7 +14,7 @@
 )
 
 // Balance is what one instance may spend of one account, in tokens. Reserve,
-// Settle and Available are lock-free and safe for concurrent use. The zero value is
+// Commit and Available are lock-free and safe for concurrent use. The zero value is
 // an empty balance.
 type Balance struct {
 	available      atomic.Int64 // granted here, neither spent nor reserved
@@ -38,8 +38,8 @@
 	return false
 }
 
-// Settle ends a reservation: used counts as spent, the rest is available again.
-func (b *Balance) Settle(reserved, used bbunit.Tokens) {
+// Commit ends a reservation: used counts as spent, the rest is available again.
+func (b *Balance) Commit(reserved, used bbunit.Tokens) {
 	used = min(max(used, 0), reserved)
 	b.spent.Add(int64(used))
 	b.available.Add(int64(reserved - used))
--- a/shared/bbshare/home.go
+++ b/shared/bbshare/home.go
@@ -82,9 +82,9 @@
 	return min(desired, a.policy.MaxHeld*float64(s.homeFree)*(ownSpent+prior/float64(max(instances, 1)))/allSpent)
 }
 
-// SetHomeFree sets the free amount of the account as last reported by its home:
+// SetHomeRemaining sets the free amount of the account as last reported by its home:
 // what no holder has been granted.
-func (s *AccountShare) SetHomeFree(free bbunit.Tokens) { s.homeFree = free }
+func (s *AccountShare) SetHomeRemaining(free bbunit.Tokens) { s.homeFree = free }
 
 // GrantLoan lends from the balance of the home and returns the amount. It serves
 // Need first, then Prefetch up to maxPrefetchPercent of the remainder. Any part of
--- a/shared/bbticket/apply.go
+++ b/shared/bbticket/apply.go
@@ -135,7 +135,7 @@
 
 func (s *State) indexBudgets() {
 	s.ByAccount = make(map[bbunit.AccountID][]bbunit.BudgetID)
-	for _, id := range s.Budgets.Sorted() {
+	for _, id := range s.Budgets.SortedIDs() {
 		if b := s.Budgets.Get(id).Object; !b.Deleted {
 			s.ByAccount[b.Account] = append(s.ByAccount[b.Account], id)
 		}
--- a/shared/bbticket/log.go
+++ b/shared/bbticket/log.go
@@ -41,12 +41,12 @@
 // NumberError reports a ticket number that is not the next one, and the number
 // of the last accepted ticket.
 type NumberError struct {
-	Requested, Head bbunit.TicketNumber
+	Requested, LastAccepted bbunit.TicketNumber
 }
 
 // Error implements the error interface.
 func (e *NumberError) Error() string {
-	return fmt.Sprintf("ticket %d refused: ticket %d is in force, the next number is %d", e.Requested, e.Head, e.Head+1)
+	return fmt.Sprintf("ticket %d refused: ticket %d is in force, the next number is %d", e.Requested, e.LastAccepted, e.LastAccepted+1)
 }
 
 // Is makes errors.Is(err, ErrNumberTaken) true.
@@ -231,7 +231,7 @@
 			return true, nil
 		}
 	}
-	return true, &NumberError{Requested: n, Head: h.Number}
+	return true, &NumberError{Requested: n, LastAccepted: h.Number}
 }
 
 // appendEntry writes the head with one more entry. If the head would become
--- a/shared/bbticket/state.go
+++ b/shared/bbticket/state.go
@@ -89,8 +89,8 @@
 	// Slots is the number of requests that the target runs concurrently. 0
 	// means unknown.
 	Slots int `yaml:"slots,omitempty" json:"slots,omitempty"`
-	// Fence is set if the target refuses orders with an old fencing token.
-	Fence bool `yaml:"fence,omitempty" json:"fence,omitempty"`
+	// ChecksFence is set if the target refuses orders with an old fencing token.
+	ChecksFence bool `yaml:"fence,omitempty" json:"fence,omitempty"`
 	// Leaving is set while the target is drained: it gets no new requests.
 	Leaving bool `yaml:"leaving,omitempty" json:"leaving,omitempty"`
 	Deleted bool `yaml:"gone,omitempty" json:"gone,omitempty"`
--- a/shared/bbticket/table.go
+++ b/shared/bbticket/table.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Sorted returns all ids, sorted.
-func (t Table[K, T]) Sorted() []K {
+// SortedIDs returns all ids, sorted.
+func (t Table[K, T]) SortedIDs() []K {
 	out := make([]K, 0, t.size)
 	for id := range t.All() {
 		out = append(out, id)
