--- a/bluebellstand/src/engine_admin.go
+++ b/bluebellstand/src/engine_admin.go
@@ -44,7 +44,7 @@
 		}
 		e.setFault(f)
 		if f.Silent {
-			l.mute(c.Context().Conn())
+			l.silenceConns(c.Context().Conn())
 		}
 		return c.JSON(f)
 	})
--- a/bluebellstand/src/list.go
+++ b/bluebellstand/src/list.go
@@ -113,7 +113,7 @@
 				return err
 			}
 			if f.Silent {
-				l.mute(c.Context().Conn())
+				l.silenceConns(c.Context().Conn())
 			}
 			list.setFault(f)
 			return c.JSON(f)
--- a/bluebellstand/src/listener.go
+++ b/bluebellstand/src/listener.go
@@ -42,9 +42,9 @@
 	return c, nil
 }
 
-// mute makes all open connections silent, including idle ones, except the one
+// silenceConns makes all open connections silent, including idle ones, except the one
 // on which the fault was requested.
-func (l *listener) mute(except net.Conn) {
+func (l *listener) silenceConns(except net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
--- a/bluebellstand/src/plain.go
+++ b/bluebellstand/src/plain.go
@@ -89,7 +89,7 @@
 		}
 		p.setFault(f)
 		if f.Silent {
-			l.mute(c.Context().Conn())
+			l.silenceConns(c.Context().Conn())
 		}
 		return c.JSON(f)
 	})
--- a/bluebellstand/src/store.go
+++ b/bluebellstand/src/store.go
@@ -55,7 +55,7 @@
 				return err
 			}
 			if f.Silent {
-				l.mute(c.Context().Conn())
+				l.silenceConns(c.Context().Conn())
 			}
 			m.SetFaults(f.faults())
 			return c.JSON(f)
